--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -47,19 +47,19 @@
 });
 
 test('the timers keep the distances that safety rests on', () => {
-  for (const [report_s, lease_s, cancel_s] of [
+  for (const [reportS, leaseS, cancelS] of [
     [3, 20, 50],
     [3, 27, 52],
     [5, 30, 45],
   ] as const) {
     const p = structuredClone(PLATFORM);
-    p.settings.workers = { report_s, lease_s, cancel_s };
+    p.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
     const t = timingOf(parsePlatform(JSON.stringify(p), 'f'));
     // Proof ends before another node could hold the lease.
     assert.ok(t.provenMs < t.leaseMs * (1 - DRIFT));
     assert.ok(t.renewMs * 2 < t.provenMs);
     // With answers to reports over, leases end in time for a cancellation.
-    assert.ok((t.answerMs + lease_s * 1000) * (1 + DRIFT) < cancel_s * 1000);
-    assert.ok((t.deputyMs + lease_s * 1000) * (1 + DRIFT) < cancel_s * 1000);
+    assert.ok((t.answerMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
+    assert.ok((t.deputyMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
   }
 });
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -58,13 +58,15 @@
   });
   // What is done for ever need not be kept.
   assert.deepEqual(
-    (w.store.entries.get(`live/${id(10)}`)?.value as never as { upstream: string[] }).upstream,
+    (w.store.entries.get(`live/${id(10)}`)?.value as { upstream: string[] } | undefined)?.upstream,
     [id(1)],
   );
   for (const none of [null, undefined, []]) {
     const n = 20 + w.store.entries.size;
     assert.equal((await a.submit(n, none)).status, 201);
-    assert.equal('upstream' in (w.store.entries.get(`live/${id(n)}`)?.value as object), false);
+    const live = w.store.entries.get(`live/${id(n)}`);
+    assert.ok(live);
+    assert.equal('upstream' in (live.value as object), false);
   }
   w.end(3, 'cancelled');
   assert.deepEqual(await a.submit(11, [id(1), id(3)]), {
@@ -225,7 +227,7 @@
   w.store.outage = false;
   const other = w.controllers.find((c) => c !== leader);
   const reply = await other?.users.query(last);
-  assert.equal((reply?.body as { standing: string }).standing, 'cancelled');
+  assert.equal((reply?.body as { standing: string } | undefined)?.standing, 'cancelled');
 });
 
 test('a cancellation that is answered with done leaves what follows alone', async () => {
