--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -352,43 +352,55 @@
     if (!own && !this.machines.has(r.machine)) return false;
     const m = this.machine(r.machine, r.type, r.zone, r.spot, 0, now);
     if (r.session < m.session || (r.session === m.session && r.seq <= m.seq)) return false;
-    if (r.session > m.session) {
-      if (m.session > 0) {
-        const lost = this.releaseAll(m);
-        this.note('new session', { machine: m.id, session: r.session, lostTasks: lost });
-        // Its reports come, but no answer renewed its lease: it has to show that it hears us.
-        this.markUnresponsive(m, now);
-      }
-      m.session = r.session;
-      m.confirmed = false;
-    }
+    if (r.session > m.session) this.beginSession(m, r.session, now);
     m.seq = r.seq;
     m.address = r.address;
     if (!m.rostered && !m.rostering) this.rosterPuts.add(m);
-    if (!own) return true;
-    m.lastReport = now;
-    m.missing = false;
-    this.hear(m.zone, now);
-    if (m.upAt === null) {
-      m.upAt = now;
-      m.idleSince = now;
+    if (own) this.applyOwnReport(m, r, beat, now);
+    return true;
+  }
+
+  /** The machine's lease ran out, and all that it ran has ended. */
+  private beginSession(machine: Machine, session: number, now: number): void {
+    if (machine.session > 0) {
+      const lost = this.releaseAll(machine);
+      this.note('new session', { machine: machine.id, session, lostTasks: lost });
+      // Its reports come, but no answer renewed its lease: it has to show that it hears us.
+      this.markUnresponsive(machine, now);
     }
-    if (m.drain === 'silent' || m.drain === 'no boot') m.drain = null;
-    const noticed = r.noticeS !== null && m.noticeUntil === null;
-    if (r.noticeS !== null) {
-      if (noticed) this.note('spot notice', { machine: m.id, seconds: r.noticeS });
-      m.noticeUntil = now + r.noticeS * 1000;
-      this.drain(m, 'notice');
+    machine.session = session;
+    machine.confirmed = false;
+  }
+
+  /** A report under our own token: proof that the machine is alive, with the whole list of its tasks. */
+  private applyOwnReport(
+    machine: Machine,
+    report: MachineReport,
+    beat: boolean,
+    now: number,
+  ): void {
+    machine.lastReport = now;
+    machine.missing = false;
+    this.hear(machine.zone, now);
+    if (machine.upAt === null) {
+      machine.upAt = now;
+      machine.idleSince = now;
+    }
+    if (machine.drain === 'silent' || machine.drain === 'no boot') machine.drain = null;
+    const noticed = report.noticeS !== null && machine.noticeUntil === null;
+    if (report.noticeS !== null) {
+      if (noticed) this.note('spot notice', { machine: machine.id, seconds: report.noticeS });
+      machine.noticeUntil = now + report.noticeS * 1000;
+      this.drain(machine, 'notice');
     }
     // Under an older token commands of an earlier leader might still be executed; from here on the list is whole.
-    if (!m.confirmed) {
-      m.confirmed = true;
-      this.inherited.settle(m);
+    if (!machine.confirmed) {
+      machine.confirmed = true;
+      this.inherited.settle(machine);
       this.roundDue = true;
     }
-    this.reconcile(m, r, beat, now);
-    if (noticed) this.clear(m, r.noticeS ?? 0, now);
-    return true;
+    this.reconcile(machine, report, beat, now);
+    if (noticed) this.clear(machine, report.noticeS ?? 0, now);
   }
 
   /**
@@ -433,55 +445,73 @@
     else h.last = now;
   }
 
-  private reconcile(m: Machine, r: MachineReport, beat: boolean, now: number): void {
+  /** Brings what is known of the machine's tasks in line with its own list of them. */
+  private reconcile(machine: Machine, report: MachineReport, beat: boolean, now: number): void {
     const listed = new Set<string>();
-    m.fence = Math.max(m.fence, r.fence);
-    m.fenced = Math.max(m.fenced, r.fence);
+    machine.fence = Math.max(machine.fence, report.fence);
+    machine.fenced = Math.max(machine.fenced, report.fence);
     const strays: TaskReport[] = [];
-    for (const t of r.tasks) {
-      const key = bindingKey(t.job, t.index, t.attempt);
+    for (const task of report.tasks) {
+      const key = bindingKey(task.job, task.index, task.attempt);
       listed.add(key);
-      let b = m.bindings.get(key);
-      if (!b) {
-        const job = this.jobs.get(t.job);
-        if (!job || t.index >= job.spec.tasks) {
-          strays.push(t);
-          continue;
-        }
-        b = this.found(job, t, m, now);
-      }
-      if (t.state === 'exited') {
-        if (b.state !== 'exited') this.exit(b, t, now);
-        continue;
-      }
-      if (b.state === 'assigned') this.markResponsive(m);
-      if (t.state === 'running' && b.runningSince === null) {
-        b.runningSince = now;
-        m.touchImage(b.job.spec);
-      }
-      b.state = t.state;
+      const binding = machine.bindings.get(key) ?? this.adopt(task, machine, now);
+      if (binding) this.applyTaskReport(binding, task, now);
+      else strays.push(task);
+    }
+    this.keepStrays(machine, strays);
+    this.releaseUnlisted(machine, listed, beat ? report.seq : null, now);
+  }
+
+  /** A listed task that is not known here, of a live job; null: there is no such job. */
+  private adopt(task: TaskReport, machine: Machine, now: number): Binding | null {
+    const job = this.jobs.get(task.job);
+    if (!job || task.index >= job.spec.tasks) return null;
+    return this.found(job, task, machine, now);
+  }
+
+  private applyTaskReport(binding: Binding, task: TaskReport, now: number): void {
+    if (task.state === 'exited') {
+      if (binding.state !== 'exited') this.exit(binding, task, now);
+      return;
+    }
+    if (binding.state === 'assigned') this.markResponsive(binding.machine);
+    if (task.state === 'running' && binding.runningSince === null) {
+      binding.runningSince = now;
+      binding.machine.touchImage(binding.job.spec);
     }
-    m.strays = strays.some((t) => t.state !== 'exited');
-    if (m.strays) this.strayHolders.add(m);
-    else this.strayHolders.delete(m);
-    if (strays.length > 0) this.strayTasks.set(m.id, strays);
-    else this.strayTasks.delete(m.id);
+    binding.state = task.state;
+  }
+
+  private keepStrays(machine: Machine, strays: TaskReport[]): void {
+    machine.strays = strays.some((task) => task.state !== 'exited');
+    if (machine.strays) this.strayHolders.add(machine);
+    else this.strayHolders.delete(machine);
+    if (strays.length > 0) this.strayTasks.set(machine.id, strays);
+    else this.strayTasks.delete(machine.id);
+  }
+
+  /** What its list leaves out has ended or never began. `beatSeq` is null for the report in a command's answer. */
+  private releaseUnlisted(
+    machine: Machine,
+    listed: ReadonlySet<string>,
+    beatSeq: number | null,
+    now: number,
+  ): void {
     let lost = false;
-    for (const [key, b] of m.bindings) {
-      const cutOff = b.direct !== null && b.direct < m.fenced;
-      if (cutOff) b.direct = null;
+    for (const [key, binding] of machine.bindings) {
+      const cutOff = binding.direct !== null && binding.direct < machine.fenced;
+      if (cutOff) binding.direct = null;
       if (listed.has(key)) continue;
-      if (b.state === 'exited') m.remove(b);
-      else if (b.state !== 'assigned') this.release(b, 0);
+      if (binding.state === 'exited') machine.remove(binding);
+      else if (binding.state !== 'assigned') this.release(binding, 0);
       // It left by a direct command alone, which is refused from here on.
-      else if (cutOff && b.sentSeq === null) this.release(b, 0);
-      // The answer that carried the start was dropped: the worker sends one report at a time and drops late answers.
-      else if (beat && b.sentSeq !== null && r.seq > b.sentSeq && b.direct === null) {
-        this.release(b, 0);
+      else if (cutOff && binding.sentSeq === null) this.release(binding, 0);
+      else if (beatSeq !== null && isStartLost(binding, beatSeq)) {
+        this.release(binding, 0);
         lost = true;
       }
     }
-    if (lost && ++m.lostAnswers >= LOST_ANSWERS) this.markUnresponsive(m, now);
+    if (lost && ++machine.lostAnswers >= LOST_ANSWERS) this.markUnresponsive(machine, now);
   }
 
   /**
@@ -622,34 +652,48 @@
   /** A whole list, asked for at `askedAt`. */
   listed(list: ListedMachine[], askedAt: number, now: number): void {
     const seen = new Set<string>();
-    for (const l of list) {
-      seen.add(l.id);
-      if (this.gone.has(l.id)) continue;
-      if (l.state === 'failed') {
-        if (!this.machines.has(l.id)) this.machine(l.id, l.type, l.zone, l.spot, l.ageS, now);
-        this.machineGone(l.id, 'listed as failed', now);
-        continue;
-      }
-      if (!this.machines.has(l.id))
-        this.note('unexpected machine adopted', { machine: l.id, type: l.type, zone: l.zone });
-      const m = this.machine(l.id, l.type, l.zone, l.spot, l.ageS, now);
-      m.missing = false;
-      if (l.address) m.address = l.address;
-      if (l.state === 'running' && m.upAt === null) {
-        m.upAt = now;
-        m.lastReport = now;
-        m.idleSince = now;
-      }
+    for (const entry of list) {
+      seen.add(entry.id);
+      if (!this.gone.has(entry.id)) this.applyListed(entry, now);
     }
-    const missedMs = this.timing.reportMs * MISSED_REPORTS;
-    for (const m of [...this.machines.values()]) {
-      if (seen.has(m.id) || m.lastReport >= askedAt) continue;
-      // What is listed stays listed until it is gone, and by now this one would have been listed.
-      if (askedAt > m.knownAt + this.timing.listProofMs)
-        this.machineGone(m.id, 'absent from the list', now);
-      // A young one may be up before the list shows it, and what was heard until the asking counts:
-      // the answer may have waited while we stood still.
-      else if (m.rostered && (m.inherited || askedAt - m.lastReport > missedMs)) m.missing = true;
+    for (const machine of [...this.machines.values()])
+      if (!seen.has(machine.id) && machine.lastReport < askedAt)
+        this.applyAbsence(machine, askedAt, now);
+  }
+
+  private applyListed(entry: ListedMachine, now: number): void {
+    const { id, type, zone, spot, ageS } = entry;
+    if (entry.state === 'failed') {
+      if (!this.machines.has(id)) this.machine(id, type, zone, spot, ageS, now);
+      this.machineGone(id, 'listed as failed', now);
+      return;
+    }
+    if (!this.machines.has(id))
+      this.note('unexpected machine adopted', { machine: id, type, zone });
+    const machine = this.machine(id, type, zone, spot, ageS, now);
+    machine.missing = false;
+    if (entry.address) machine.address = entry.address;
+    if (entry.state === 'running' && machine.upAt === null) {
+      machine.upAt = now;
+      machine.lastReport = now;
+      machine.idleSince = now;
     }
   }
+
+  /** A list that was asked for after the machine was last heard does not show it. */
+  private applyAbsence(machine: Machine, askedAt: number, now: number): void {
+    const missedMs = this.timing.reportMs * MISSED_REPORTS;
+    const silentMs = askedAt - machine.lastReport;
+    // What is listed stays listed until it is gone, and by now this one would have been listed.
+    if (askedAt > machine.knownAt + this.timing.listProofMs)
+      this.machineGone(machine.id, 'absent from the list', now);
+    // A young one may be up before the list shows it, and what was heard until the asking counts:
+    // the answer may have waited while we stood still.
+    else if (machine.rostered && (machine.inherited || silentMs > missedMs)) machine.missing = true;
+  }
+}
+
+/** The answer that carried the start was dropped: the worker sends one report at a time and drops late answers. */
+function isStartLost(binding: Binding, seq: number): boolean {
+  return binding.sentSeq !== null && seq > binding.sentSeq && binding.direct === null;
 }
--- a/src/core/flush.ts
+++ b/src/core/flush.ts
@@ -48,13 +48,7 @@
       list.push(doneUnit(cluster, job, limits.wallNow));
       continue;
     }
-    for (const [chunk, waiting] of job.dirty) {
-      if (spare < 1) break;
-      const version = job.chunks.get(chunk);
-      if (version === null) continue;
-      spare--;
-      partial.push(chunkUnit(cluster, job, chunk, waiting, version ?? 0));
-    }
+    spare = addProgress(cluster, job, spare, partial);
   }
   units.push(...needed, ...ends, ...partial);
   for (const w of cluster.roster.clean(spare)) {
@@ -69,6 +63,19 @@
   return units;
 }
 
+/** Adds the job's changed chunks as long as changes are to spare; returns how many are left. */
+function addProgress(cluster: Cluster, job: Job, spare: number, units: Unit[]): number {
+  let left = spare;
+  for (const [chunk, waiting] of job.dirty) {
+    if (left < 1) break;
+    const version = job.chunks.get(chunk);
+    if (version === null) continue;
+    left--;
+    units.push(chunkUnit(cluster, job, chunk, waiting, version ?? 0));
+  }
+  return left;
+}
+
 function doneUnit(cluster: Cluster, job: Job, at: number): Unit {
   const end: JobEnd = { state: 'done', at };
   // Refused: its live key is gone, so it has an end already, which may be a cancellation.
--- a/src/core/machine-orders.ts
+++ b/src/core/machine-orders.ts
@@ -33,32 +33,52 @@
 
 /** The orders for a machine that has just reported, in the order of their execution. */
 export function reportOrders(m: Machine, strays: readonly TaskReport[]): Order[] {
-  const out: Order[] = [];
-  if (!m.confirmed) return out;
+  const orders: Order[] = [];
+  if (!m.confirmed) return orders;
   // Ends of jobs come first: where an answer is full, what runs on does so under a renewed lease.
-  for (const b of m.bindings.values())
-    if (b.job.over && b.stop && b.state !== 'exited' && b.state !== 'assigned')
-      out.push({ op: 'stop', job: b.job.spec.id, index: b.index, attempt: b.attempt, graceS: 0 });
-  for (const t of strays) {
-    if (out.length >= ORDERS_PER_ANSWER) break;
-    const base = { job: t.job, index: t.index, attempt: t.attempt };
-    if (t.state === 'exited') out.push({ op: 'forget', ...base });
-    else out.push({ op: 'stop', ...base, graceS: 0 });
+  addStopsOfEndedJobs(orders, m);
+  addStrayOrders(orders, strays);
+  addBindingOrders(orders, m);
+  return orders;
+}
+
+function addStopsOfEndedJobs(orders: Order[], machine: Machine): void {
+  for (const { job, index, attempt, state, stop } of machine.bindings.values())
+    if (job.over && stop && state !== 'exited' && state !== 'assigned')
+      orders.push({ op: 'stop', job: job.spec.id, index, attempt, graceS: 0 });
+}
+
+function addStrayOrders(orders: Order[], strays: readonly TaskReport[]): void {
+  for (const { job, index, attempt, state } of strays) {
+    if (orders.length >= ORDERS_PER_ANSWER) break;
+    if (state === 'exited') orders.push({ op: 'forget', job, index, attempt });
+    else orders.push({ op: 'stop', job, index, attempt, graceS: 0 });
   }
-  for (const b of m.bindings.values()) {
-    if (out.length >= ORDERS_PER_ANSWER) break;
-    const base = { job: b.job.spec.id, index: b.index, attempt: b.attempt };
-    if (b.state === 'exited') {
-      if (b.settled && b.direct === null) out.push({ op: 'forget', ...base });
-    } else if (b.state === 'assigned') {
-      if (b.job.over) continue;
-      out.push({ op: 'start', ...base });
-      b.sentSeq = m.seq;
-    } else if (b.stop && !b.job.over && (b.state !== 'saving' || b.stop.graceS === 0)) {
-      out.push({ op: 'stop', ...base, graceS: b.stop.graceS });
-    }
+}
+
+function addBindingOrders(orders: Order[], machine: Machine): void {
+  for (const binding of machine.bindings.values()) {
+    if (orders.length >= ORDERS_PER_ANSWER) break;
+    const order = takeOrder(binding, machine.seq);
+    if (order) orders.push(order);
   }
-  return out;
+}
+
+/** What the answer to the report of this number tells the machine of the task; a start counts as sent with it. */
+function takeOrder(binding: Binding, seq: number): Order | null {
+  const { job, stop } = binding;
+  const base = { job: job.spec.id, index: binding.index, attempt: binding.attempt };
+  if (binding.state === 'exited')
+    return binding.settled && binding.direct === null ? { op: 'forget', ...base } : null;
+  if (binding.state === 'assigned') {
+    if (job.over) return null;
+    binding.sentSeq = seq;
+    return { op: 'start', ...base };
+  }
+  if (!stop || job.over) return null;
+  // What saves already is told again only to end at once.
+  if (binding.state === 'saving' && stop.graceS !== 0) return null;
+  return { op: 'stop', ...base, graceS: stop.graceS };
 }
 
 /**
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -41,6 +41,17 @@
   unplaced: number;
 }
 
+/** What stays the same throughout a round, and what it has started so far. */
+interface RoundState {
+  readonly cluster: Cluster;
+  readonly now: number;
+  readonly limit: number;
+  readonly doubt: Use;
+  /** The price of the dearest machine. */
+  readonly dearest: number;
+  readonly started: Binding[];
+}
+
 /**
  * One round of decisions: batches in order, each to the feasible machine of
  * the highest score until it is placed or nothing takes it. `limit` bounds the
@@ -53,37 +64,15 @@
   const openMachines = [...cluster.machines.values()].filter((m) => open(cluster, m, now));
   // Most machines are full under load, and none of them needs to be scored for each batch.
   const roomy = openMachines.filter((m) => m.hasRoom);
-  for (const m of openMachines) {
-    m.heldFor = null;
-    if (m.reservation && m.reservation.until <= now) m.reservation = null;
-  }
-  let dearest = 0;
-  for (const t of cluster.types.values()) dearest = Math.max(dearest, t.price, t.spotPrice);
+  dropReservations(openMachines, now);
+  const state = { cluster, now, limit, doubt, dearest: dearestPrice(cluster), started };
   let unplaced = 0;
   let held = 0;
   cluster.waiting = [];
   cluster.keptRoom.clear();
   const promised = new Map<Machine, Room>();
   for (const batch of batches) {
-    let left = batch.count;
-    const candidates = roomy.filter((m) => allowed(m, batch.spec) && mayUse(m, batch));
-    while (left > 0 && started.length < limit) {
-      const room = teamRoom(cluster, batch, doubt);
-      if (room === 0) break;
-      const m = best(cluster, batch, candidates, left, dearest);
-      if (!m) break;
-      const n = startTasks(
-        cluster,
-        batch,
-        m,
-        Math.min(left, room, limit - started.length),
-        started,
-        now,
-      );
-      left -= n;
-      // The zone rules or earlier failures kept every job of the batch off this machine.
-      if (n === 0) candidates.splice(candidates.indexOf(m), 1);
-    }
+    const left = placeBatch(state, batch, roomy);
     unplaced += left;
     if (left === 0) continue;
     cluster.waiting.push(batch);
@@ -98,6 +87,42 @@
   return { started, unplaced };
 }
 
+/** Those of large tasks are made anew in each round; those of preempting ones stand until their time is over. */
+function dropReservations(machines: Machine[], now: number): void {
+  for (const machine of machines) {
+    machine.heldFor = null;
+    if (machine.reservation && machine.reservation.until <= now) machine.reservation = null;
+  }
+}
+
+function dearestPrice(cluster: Cluster): number {
+  let dearest = 0;
+  for (const type of cluster.types.values())
+    dearest = Math.max(dearest, type.price, type.spotPrice);
+  return dearest;
+}
+
+/** Starts what it can of the batch; returns for how many of its tasks no machine was found. */
+function placeBatch(state: RoundState, batch: Batch, roomy: Machine[]): number {
+  const { cluster, now, limit, doubt, dearest, started } = state;
+  let left = batch.count;
+  const candidates = roomy.filter(
+    (machine) => allowed(machine, batch.spec) && mayUse(machine, batch),
+  );
+  while (left > 0 && started.length < limit) {
+    const room = teamRoom(cluster, batch, doubt);
+    if (room === 0) break;
+    const machine = best(cluster, batch, candidates, left, dearest);
+    if (!machine) break;
+    const want = Math.min(left, room, limit - started.length);
+    const count = startTasks(cluster, batch, machine, want, started, now);
+    left -= count;
+    // The zone rules or earlier failures kept every job of the batch off this machine.
+    if (count === 0) candidates.splice(candidates.indexOf(machine), 1);
+  }
+  return left;
+}
+
 /**
  * A task too large for the gaps that smaller ones leave would wait for ever:
  * the machine that is closest to having room for it takes nothing else until
@@ -125,10 +150,7 @@
   const doubt = cluster.doubt();
   for (const batch of cluster.waiting) {
     if (started.length >= limit || !m.hasRoom) break;
-    if (!allowed(m, batch.spec) || m.room(batch.spec) === 0) continue;
-    if (m.heldFor !== null && m.heldFor !== batch.jobs[0]?.spec.id) continue;
-    if (!mayUse(m, batch)) continue;
-    if (batch.aged && batch.jobs[0]?.begun) continue;
+    if (!mayFill(m, batch)) continue;
     const most = batch.aged ? 1 : limit;
     const room = Math.min(teamRoom(cluster, batch, doubt), most, limit - started.length);
     if (room === 0) continue;
@@ -138,6 +160,14 @@
   return started;
 }
 
+/** The batch may take what has come free on the machine without a round. */
+function mayFill(machine: Machine, batch: Batch): boolean {
+  const first = batch.jobs[0];
+  if (!allowed(machine, batch.spec) || machine.room(batch.spec) === 0) return false;
+  if (machine.heldFor !== null && machine.heldFor !== first?.spec.id) return false;
+  return mayUse(machine, batch) && !(batch.aged && first?.begun);
+}
+
 function best(
   cluster: Cluster,
   batch: Batch,
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -1,7 +1,7 @@
 import type { Cluster } from './cluster.js';
 import type { Binding, Machine } from './machine.js';
 import { allowed, reserve } from './machine-rules.js';
-import { EPSILON, type JobSpec } from './model.js';
+import { EPSILON, type JobSpec, type MachineType } from './model.js';
 import type { Batch } from './ready-list.js';
 
 /** A part of the aim on waiting, or on guarantees, that passes before others are stopped. */
@@ -76,31 +76,16 @@
   if (!lower && !same) return;
   let need = left;
   const offers: Offer[] = [];
-  for (const m of machines) {
-    const t = m.type;
-    if (!t || !allowed(m, spec)) continue;
-    const taken = promised.get(m) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    promised.set(m, taken);
-    const free = {
-      cpus: t.cpus - m.cpus - taken.cpus,
-      gpus: t.gpus - m.gpus - taken.gpus,
-      memoryGb: t.memoryGb - m.memoryGb - taken.memoryGb,
-    };
-    const victims: Victim[] = [];
-    for (const b of m.bindings.values()) {
-      if (b.state === 'exited' || b.state === 'assigned') continue;
-      if (b.stop) addRoom(free, b.job.spec, 1);
-      else if (mayStop(cluster, batch, b, lower, same))
-        victims.push({ binding: b, loss: lossS(b, now) * Math.max(b.job.spec.cpus, EPSILON) });
-    }
-    while (need > 0 && covers(free, spec)) {
-      need--;
-      addRoom(free, spec, -1);
-      addRoom(taken, spec, 1);
-    }
+  for (const machine of machines) {
+    if (!machine.type || !allowed(machine, spec)) continue;
+    const taken = promised.get(machine) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
+    promised.set(machine, taken);
+    const free = freeRoom(machine, machine.type, taken);
+    const victims = victimsOn(cluster, batch, machine, free, lower, same, now);
+    need -= takeFree(spec, free, taken, need);
     if (victims.length === 0) continue;
     victims.sort((a, b) => a.loss - b.loss);
-    offers.push({ machine: m, free, victims });
+    offers.push({ machine, free, victims });
   }
   offers.sort((a, b) => (a.victims[0]?.loss ?? 0) - (b.victims[0]?.loss ?? 0));
   for (const offer of offers) {
@@ -109,6 +94,47 @@
   }
 }
 
+/** What no task uses and what is not promised yet. */
+function freeRoom(machine: Machine, type: MachineType, taken: Room): Room {
+  return {
+    cpus: type.cpus - machine.cpus - taken.cpus,
+    gpus: type.gpus - machine.gpus - taken.gpus,
+    memoryGb: type.memoryGb - machine.memoryGb - taken.memoryGb,
+  };
+}
+
+/** What may be stopped on the machine for the batch; the room of what is being stopped already is added to `free`. */
+function victimsOn(
+  cluster: Cluster,
+  batch: Batch,
+  machine: Machine,
+  free: Room,
+  lower: boolean,
+  same: boolean,
+  now: number,
+): Victim[] {
+  const victims: Victim[] = [];
+  for (const binding of machine.bindings.values()) {
+    const { spec } = binding.job;
+    if (binding.state === 'exited' || binding.state === 'assigned') continue;
+    if (binding.stop) addRoom(free, spec, 1);
+    else if (mayStop(cluster, batch, binding, lower, same))
+      victims.push({ binding, loss: lossS(binding, now) * Math.max(spec.cpus, EPSILON) });
+  }
+  return victims;
+}
+
+/** Promises free room to up to `need` tasks; returns for how many there was some. */
+function takeFree(spec: JobSpec, free: Room, taken: Room, need: number): number {
+  let count = 0;
+  while (count < need && covers(free, spec)) {
+    count++;
+    addRoom(free, spec, -1);
+    addRoom(taken, spec, 1);
+  }
+  return count;
+}
+
 /**
  * Stops work on one machine for up to `need` tasks of the batch; returns for
  * how many. Nothing is stopped unless a whole task gets room by it: other
--- a/src/core/renting.ts
+++ b/src/core/renting.ts
@@ -75,6 +75,27 @@
   backlog: number;
 }
 
+/** Work of one kind that is there. */
+interface Work {
+  spec: JobSpec;
+  shape: Shape;
+  /** Tasks that may be started now. */
+  ready: number;
+  /** For how long all of it holds its room. */
+  seconds: number;
+}
+
+/** What may be rented. */
+interface Option {
+  type: MachineType;
+  zone: string;
+  spot: boolean;
+  /** Of one task. */
+  price: number;
+  /** Machines of the kind that there are. */
+  here: number;
+}
+
 /**
  * Rents by unplaced demand. For each kind of work the tasks to be run at once
  * are estimated: the mean of what arrives, a margin for arrays arriving whole
@@ -224,46 +245,12 @@
   }
 
   private needs(now: number): Need[] {
-    const { cluster } = this;
-    const drainS = this.bootS() * (1 + cluster.policy.drainBoots);
-    const work = new Map<string, { spec: JobSpec; shape: Shape; ready: number; seconds: number }>();
-    const add = (spec: JobSpec, tasks: number, seconds: number, ready: boolean) => {
-      const w = work.get(kindOf(spec)) ?? { spec, shape: spec, ready: 0, seconds: 0 };
-      w.shape = blend(w.shape, w.seconds, spec, tasks * seconds);
-      w.seconds += tasks * seconds;
-      if (ready) w.ready += tasks;
-      work.set(kindOf(spec), w);
-    };
-    for (const job of cluster.jobs.values()) {
-      if (wantsRoom(job, now)) add(job.spec, job.ready, this.holdS(job.spec), true);
-      // What it waits for is running: a machine rented now is up by the time that it is ready.
-      else if (cluster.graph.isNext(job)) add(job.spec, job.ready, this.holdS(job.spec), false);
-      if (job.bound.size === 0) continue;
-      let boundS = 0;
-      for (const b of job.bound.values()) boundS += cluster.estimates.remainingS(b, now);
-      add(job.spec, 1, boundS, false);
-    }
+    const drainS = this.bootS() * (1 + this.cluster.policy.drainBoots);
+    const work = this.workByKind(now);
     const out: Need[] = [];
     for (const key of new Set([...work.keys(), ...this.loads.keys()])) {
-      const load = this.loads.get(key);
-      const w = work.get(key);
-      const spec = (w ?? load)?.spec;
-      if (!spec) continue;
-      const flowing = load ? this.flowing(load) : 0;
-      const mean = (load?.mean ?? 0) * flowing;
-      const margin = Math.sqrt(load?.variance ?? 0) * flowing * this.spreads(spec);
-      // What is usually left of the work under way: half of each task on average. One job's length
-      // must not stand for all: the oldest live job is often the longest, and would hide a backlog
-      // for as long as it lives.
-      const usual = (mean * (load?.holdS ?? 0)) / 2;
-      const excess = Math.max(0, (w?.seconds ?? 0) - usual) / drainS;
-      const shape = blend(
-        load?.shape ?? spec,
-        mean + margin,
-        w?.shape ?? spec,
-        Math.max(0, excess - margin),
-      );
-      out.push({ spec, shape, slots: mean + Math.max(margin, excess), backlog: w?.ready ?? 0 });
+      const need = this.needOf(this.loads.get(key), work.get(key), drainS);
+      if (need) out.push(need);
     }
     // What may run on ordinary machines only chooses first among them.
     return out.sort(
@@ -271,6 +258,45 @@
     );
   }
 
+  /** The work of live jobs that is ready, will be ready next, or is under way. */
+  private workByKind(now: number): Map<string, Work> {
+    const { cluster } = this;
+    const work = new Map<string, Work>();
+    for (const job of cluster.jobs.values()) {
+      if (wantsRoom(job, now)) addWork(work, job.spec, job.ready, this.holdS(job.spec), true);
+      // What it waits for is running: a machine rented now is up by the time that it is ready.
+      else if (cluster.graph.isNext(job))
+        addWork(work, job.spec, job.ready, this.holdS(job.spec), false);
+      if (job.bound.size === 0) continue;
+      let boundS = 0;
+      for (const binding of job.bound.values())
+        boundS += cluster.estimates.remainingS(binding, now);
+      addWork(work, job.spec, 1, boundS, false);
+    }
+    return work;
+  }
+
+  /** What one kind of work needs, by what arrives of it and what is there; it is worked off in `drainS` seconds. */
+  private needOf(load: Load | undefined, work: Work | undefined, drainS: number): Need | null {
+    const spec = (work ?? load)?.spec;
+    if (!spec) return null;
+    const flowing = load ? this.flowing(load) : 0;
+    const mean = (load?.mean ?? 0) * flowing;
+    const margin = Math.sqrt(load?.variance ?? 0) * flowing * this.spreads(spec);
+    // What is usually left of the work under way: half of each task on average. One job's length
+    // must not stand for all: the oldest live job is often the longest, and would hide a backlog
+    // for as long as it lives.
+    const usual = (mean * (load?.holdS ?? 0)) / 2;
+    const excess = Math.max(0, (work?.seconds ?? 0) - usual) / drainS;
+    const shape = blend(
+      load?.shape ?? spec,
+      mean + margin,
+      work?.shape ?? spec,
+      Math.max(0, excess - margin),
+    );
+    return { spec, shape, slots: mean + Math.max(margin, excess), backlog: work?.ready ?? 0 };
+  }
+
   /**
    * From 1 down to 0 as it becomes unlikely that the stream still flows: far
    * longer than usual without an arrival, it has stopped, and its machines
@@ -372,31 +398,51 @@
   }
 
   /** What may be rented for the job, cheapest work first, the zone with the fewest machines first. */
-  private options(spec: JobSpec, now: number) {
-    const out: { type: MachineType; zone: string; spot: boolean; price: number; here: number }[] =
-      [];
+  private options(spec: JobSpec, now: number): Option[] {
+    const out: Option[] = [];
     for (const type of this.cluster.types.values()) {
-      const k = fitsType(type, spec);
-      if (k === 0 || !typeFits(spec, type)) continue;
+      const slots = fitsType(type, spec);
+      if (slots === 0 || !typeFits(spec, type)) continue;
       for (const zone of type.zones) {
         for (const spot of [true, false]) {
-          if (!typeAllowed(type, zone, spot, spec)) continue;
-          const refusal = this.refusals.get(kindKey(type.name, zone, spot));
-          if (refusal && refusal.until > now) continue;
+          if (!typeAllowed(type, zone, spot, spec) || this.isRefused(type, zone, spot, now))
+            continue;
           const here = this.machineCounts.get(kindKey(type.name, zone, spot)) ?? 0;
-          out.push({ type, zone, spot, price: (spot ? type.spotPrice : type.price) / k, here });
+          const price = (spot ? type.spotPrice : type.price) / slots;
+          out.push({ type, zone, spot, price, here });
         }
       }
     }
     return out.sort((a, b) => a.price - b.price || a.here - b.here);
   }
 
+  /** The cloud had none of the kind a short while ago. */
+  private isRefused(type: MachineType, zone: string, spot: boolean, now: number): boolean {
+    const refusal = this.refusals.get(kindKey(type.name, zone, spot));
+    return refusal !== undefined && refusal.until > now;
+  }
+
   /** Machines that should go back to the cloud now, with the reason. */
   returns(now: number): MachineReturn[] {
     return this.surplusMachines.due(now);
   }
 }
 
+function addWork(
+  work: Map<string, Work>,
+  spec: JobSpec,
+  tasks: number,
+  seconds: number,
+  ready: boolean,
+): void {
+  const kind = kindOf(spec);
+  const known = work.get(kind) ?? { spec, shape: spec, ready: 0, seconds: 0 };
+  known.shape = blend(known.shape, known.seconds, spec, tasks * seconds);
+  known.seconds += tasks * seconds;
+  if (ready) known.ready += tasks;
+  work.set(kind, known);
+}
+
 function bySupplyOrder(a: Supply, b: Supply): number {
   if (a.spot !== b.spot) return a.spot ? -1 : 1;
   const surplusA = a.machine?.surplus ?? false;
--- a/src/core/returns.ts
+++ b/src/core/returns.ts
@@ -18,6 +18,13 @@
 /** The same for one that gave no answer to a direct question either: an interval with its jitter, and a redirection. */
 const UNANSWERED_REPORTS = 1.4;
 
+/** What the fleet as a whole shows, which the judgement of one machine rests on. */
+interface FleetSigns {
+  deafMayGo: boolean;
+  manySilent: Set<string>;
+  holdsUp: Set<Machine>;
+}
+
 /**
  * Which machines should go back to the cloud: idle ones that no need is laid
  * on, and those that are silent, unresponsive, sick or never booted. A return
@@ -28,41 +35,37 @@
 
   /** Machines that should go back to the cloud now, with the reason. */
   due(now: number): MachineReturn[] {
-    const { cluster } = this;
     const out: MachineReturn[] = [];
-    const deafMayGo = this.deafAreFew();
-    const manySilent = this.zonesWithManySilent(now);
-    const holdsUp = this.holdersUp(now);
-    for (const m of cluster.machines.values()) {
-      const bootMs = (m.type?.bootS ?? 60) * 1000;
-      if (m.upAt === null) {
-        if (now - m.rentedAt > bootMs * cluster.policy.bootPatience)
-          out.push({ machine: m, why: 'no boot' });
-        continue;
-      }
-      if (m.missing || this.taken(m, now)) {
-        out.push({ machine: m, why: 'missing' });
-        continue;
-      }
-      if (holdsUp.has(m)) {
-        out.push({ machine: m, why: 'silent' });
-        continue;
-      }
-      const silent = now - cluster.silentFrom(m);
-      if (silent > cluster.timing.silentMs) {
-        if (this.deadLongEnough(m, manySilent, now)) out.push({ machine: m, why: 'silent' });
-        continue;
-      }
-      if (m.drain === 'sick') out.push({ machine: m, why: 'sick' });
-      else if (deafMayGo && this.deafTooLong(m, now)) out.push({ machine: m, why: 'deaf' });
-      else if (m.bindings.size > 0 || m.inherited || m.strays) continue;
-      else if (m.drain !== null) out.push({ machine: m, why: m.drain });
-      else if (m.confirmed && m.surplus && now - m.idleSince > bootMs * cluster.policy.idleBoots)
-        out.push({ machine: m, why: 'idle' });
+    const signs = {
+      deafMayGo: this.deafAreFew(),
+      manySilent: this.zonesWithManySilent(now),
+      holdsUp: this.holdersUp(now),
+    };
+    for (const machine of this.cluster.machines.values()) {
+      const why = this.reason(machine, signs, now);
+      if (why) out.push({ machine, why });
     }
     return out;
   }
 
+  private reason(machine: Machine, signs: FleetSigns, now: number): Drain | null {
+    const { policy, timing } = this.cluster;
+    const bootMs = (machine.type?.bootS ?? 60) * 1000;
+    if (machine.upAt === null)
+      return now - machine.rentedAt > bootMs * policy.bootPatience ? 'no boot' : null;
+    if (machine.missing || this.taken(machine, now)) return 'missing';
+    if (signs.holdsUp.has(machine)) return 'silent';
+    if (now - this.cluster.silentFrom(machine) > timing.silentMs)
+      return this.deadLongEnough(machine, signs.manySilent, now) ? 'silent' : null;
+    if (machine.drain === 'sick') return 'sick';
+    if (signs.deafMayGo && this.deafTooLong(machine, now)) return 'deaf';
+    if (machine.bindings.size > 0 || machine.inherited || machine.strays) return null;
+    if (machine.drain !== null) return machine.drain;
+    const idleMs = now - machine.idleSince;
+    const isIdle = machine.confirmed && machine.surplus && idleMs > bootMs * policy.idleBoots;
+    return isIdle ? 'idle' : null;
+  }
+
   /** It hears nothing although its reports arrive: what it runs and holds can only be had back by a return. */
   private deafTooLong(m: Machine, now: number): boolean {
     return (
@@ -122,34 +125,39 @@
    * many of a zone are missing, a cut keeps them, and their tasks live on.
    */
   private holdersUp(now: number): Set<Machine> {
-    const { cluster } = this;
-    const { reportMs } = cluster.timing;
-    const late = new Map<string, Machine[]>();
-    const up = new Map<string, number>();
-    for (const m of cluster.machines.values()) {
-      if (m.upAt === null) continue;
-      up.set(m.zone, (up.get(m.zone) ?? 0) + 1);
-      if (!m.inherited) continue;
-      const zone = late.get(m.zone);
-      if (zone) zone.push(m);
-      else late.set(m.zone, [m]);
-    }
+    const { late, up } = this.unconfirmedByZone();
     const out = new Set<Machine>();
     const waiting = new Map<string, number>();
     for (const [zone, machines] of late) {
       if (machines.length > Math.max(1, (up.get(zone) ?? 0) * MANY_SHARE)) continue;
-      for (const m of machines) {
-        const patience = m.unanswered ? UNANSWERED_REPORTS : CONFIRM_REPORTS;
-        if (now - cluster.silentFrom(m) <= reportMs * patience) continue;
-        const key = kindKey(m.typeName, m.zone, m.spot);
-        const cpus = waiting.get(key) ?? this.inheritedCpusFor(m, now);
+      for (const machine of machines) {
+        const patience = machine.unanswered ? UNANSWERED_REPORTS : CONFIRM_REPORTS;
+        const silent = now - this.cluster.silentFrom(machine);
+        if (silent <= this.cluster.timing.reportMs * patience) continue;
+        const key = kindKey(machine.typeName, machine.zone, machine.spot);
+        const cpus = waiting.get(key) ?? this.inheritedCpusFor(machine, now);
         waiting.set(key, cpus);
-        if (cpus >= (m.type?.cpus ?? 0)) out.add(m);
+        if (cpus >= (machine.type?.cpus ?? 0)) out.add(machine);
       }
     }
     return out;
   }
 
+  /** By zone: machines that may hold inherited work, and how many machines are up. */
+  private unconfirmedByZone(): { late: Map<string, Machine[]>; up: Map<string, number> } {
+    const late = new Map<string, Machine[]>();
+    const up = new Map<string, number>();
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.upAt === null) continue;
+      up.set(machine.zone, (up.get(machine.zone) ?? 0) + 1);
+      if (!machine.inherited) continue;
+      const zone = late.get(machine.zone);
+      if (zone) zone.push(machine);
+      else late.set(machine.zone, [machine]);
+    }
+    return { late, up };
+  }
+
   /**
    * CPUs of the inherited work that a machine of this type, zone and kind may
    * hold. When it would fill the machine, were it free to start elsewhere, it
