--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -504,16 +504,20 @@
       if (listed.has(key)) continue;
       if (binding.state === 'exited') machine.remove(binding);
       else if (binding.state !== 'assigned') this.release(binding, 0);
-      // It left by a direct command alone, which is refused from here on.
-      else if (cutOff && binding.sentSeq === null) this.release(binding, 0);
-      else if (beatSeq !== null && isStartLost(binding, beatSeq)) {
-        this.release(binding, 0);
-        lost = true;
-      }
+      else if (this.releaseUnstarted(binding, cutOff, beatSeq)) lost = true;
     }
     if (lost && ++machine.lostAnswers >= LOST_ANSWERS) this.markUnresponsive(machine, now);
   }
 
+  /** Releases an unlisted task whose start can't reach the machine any more; true: an answer with it was lost. */
+  private releaseUnstarted(binding: Binding, cutOff: boolean, beatSeq: number | null): boolean {
+    // It left by a direct command alone, which is refused from here on.
+    const refused = cutOff && binding.sentSeq === null;
+    const lost = !refused && beatSeq !== null && isStartLost(binding, beatSeq);
+    if (refused || lost) this.release(binding, 0);
+    return lost;
+  }
+
   /**
    * Something sent to the machine shows no effect although its reports arrive.
    * One loss is ordinary; from the second in a row on it gets no work until it
--- a/src/core/renting.ts
+++ b/src/core/renting.ts
@@ -403,23 +403,30 @@
     for (const type of this.cluster.types.values()) {
       const slots = fitsType(type, spec);
       if (slots === 0 || !typeFits(spec, type)) continue;
-      for (const zone of type.zones) {
+      for (const zone of type.zones)
         for (const spot of [true, false]) {
-          if (!typeAllowed(type, zone, spot, spec) || this.isRefused(type, zone, spot, now))
-            continue;
-          const here = this.machineCounts.get(kindKey(type.name, zone, spot)) ?? 0;
-          const price = (spot ? type.spotPrice : type.price) / slots;
-          out.push({ type, zone, spot, price, here });
+          const option = this.option(type, zone, spot, spec, slots, now);
+          if (option) out.push(option);
         }
-      }
     }
     return out.sort((a, b) => a.price - b.price || a.here - b.here);
   }
 
-  /** The cloud had none of the kind a short while ago. */
-  private isRefused(type: MachineType, zone: string, spot: boolean, now: number): boolean {
-    const refusal = this.refusals.get(kindKey(type.name, zone, spot));
-    return refusal !== undefined && refusal.until > now;
+  /** Null: the job may not run on the kind, or the cloud had none of it a short while ago. */
+  private option(
+    type: MachineType,
+    zone: string,
+    spot: boolean,
+    spec: JobSpec,
+    slots: number,
+    now: number,
+  ): Option | null {
+    if (!typeAllowed(type, zone, spot, spec)) return null;
+    const key = kindKey(type.name, zone, spot);
+    const refusal = this.refusals.get(key);
+    if (refusal && refusal.until > now) return null;
+    const price = (spot ? type.spotPrice : type.price) / slots;
+    return { type, zone, spot, price, here: this.machineCounts.get(key) ?? 0 };
   }
 
   /** Machines that should go back to the cloud now, with the reason. */
--- a/src/core/returns.ts
+++ b/src/core/returns.ts
@@ -50,20 +50,26 @@
 
   private reason(machine: Machine, signs: FleetSigns, now: number): Drain | null {
     const { policy, timing } = this.cluster;
-    const bootMs = (machine.type?.bootS ?? 60) * 1000;
     if (machine.upAt === null)
-      return now - machine.rentedAt > bootMs * policy.bootPatience ? 'no boot' : null;
+      return now - machine.rentedAt > bootMs(machine) * policy.bootPatience ? 'no boot' : null;
     if (machine.missing || this.taken(machine, now)) return 'missing';
     if (signs.holdsUp.has(machine)) return 'silent';
     if (now - this.cluster.silentFrom(machine) > timing.silentMs)
       return this.deadLongEnough(machine, signs.manySilent, now) ? 'silent' : null;
+    return this.reasonWhileHeard(machine, signs, now);
+  }
+
+  private reasonWhileHeard(machine: Machine, signs: FleetSigns, now: number): Drain | null {
     if (machine.drain === 'sick') return 'sick';
     if (signs.deafMayGo && this.deafTooLong(machine, now)) return 'deaf';
     if (machine.bindings.size > 0 || machine.inherited || machine.strays) return null;
-    if (machine.drain !== null) return machine.drain;
+    return machine.drain ?? (this.idleTooLong(machine, now) ? 'idle' : null);
+  }
+
+  private idleTooLong(machine: Machine, now: number): boolean {
     const idleMs = now - machine.idleSince;
-    const isIdle = machine.confirmed && machine.surplus && idleMs > bootMs * policy.idleBoots;
-    return isIdle ? 'idle' : null;
+    const { idleBoots } = this.cluster.policy;
+    return machine.confirmed && machine.surplus && idleMs > bootMs(machine) * idleBoots;
   }
 
   /** It hears nothing although its reports arrive: what it runs and holds can only be had back by a return. */
@@ -131,9 +137,7 @@
     for (const [zone, machines] of late) {
       if (machines.length > Math.max(1, (up.get(zone) ?? 0) * MANY_SHARE)) continue;
       for (const machine of machines) {
-        const patience = machine.unanswered ? UNANSWERED_REPORTS : CONFIRM_REPORTS;
-        const silent = now - this.cluster.silentFrom(machine);
-        if (silent <= this.cluster.timing.reportMs * patience) continue;
+        if (!this.shouldHaveConfirmed(machine, now)) continue;
         const key = kindKey(machine.typeName, machine.zone, machine.spot);
         const cpus = waiting.get(key) ?? this.inheritedCpusFor(machine, now);
         waiting.set(key, cpus);
@@ -143,6 +147,12 @@
     return out;
   }
 
+  private shouldHaveConfirmed(machine: Machine, now: number): boolean {
+    const patience = machine.unanswered ? UNANSWERED_REPORTS : CONFIRM_REPORTS;
+    const silent = now - this.cluster.silentFrom(machine);
+    return silent > this.cluster.timing.reportMs * patience;
+  }
+
   /** By zone: machines that may hold inherited work, and how many machines are up. */
   private unconfirmedByZone(): { late: Map<string, Machine[]>; up: Map<string, number> } {
     const late = new Map<string, Machine[]>();
@@ -184,3 +194,8 @@
     return new Set(many.map(([zone]) => zone));
   }
 }
+
+/** How long machines of its type usually take to boot; of an unknown type, a guess. */
+function bootMs(machine: Machine): number {
+  return (machine.type?.bootS ?? 60) * 1000;
+}
--- a/src/duties/flusher.ts
+++ b/src/duties/flusher.ts
@@ -89,18 +89,8 @@
         Priority.ends,
         term.signal,
       );
-      if (result.ok) {
-        for (const u of batch) u.applied(result.revision);
-        return true;
-      }
-      if (result.failed.includes(LEADER_KEY)) {
-        term.resign('another leader holds the key');
-        for (const u of batch) u.retry(false);
-        return false;
-      }
-      for (const u of batch)
-        if (u.conditions.some((c) => result.failed.includes(c.key))) u.conflict(result.failed);
-        else u.retry(false);
+      if (!result.ok) return this.notApplied(batch, result.failed);
+      for (const unit of batch) unit.applied(result.revision);
       return true;
     } catch (error) {
       if (error instanceof Rejected) return this.rejected(batch, error);
@@ -112,6 +102,20 @@
     }
   }
 
+  /** The conditions on these keys failed, so nothing of the batch stands. False: this leader has been followed. */
+  private notApplied(batch: Unit[], failed: string[]): boolean {
+    if (failed.includes(LEADER_KEY)) {
+      this.term.resign('another leader holds the key');
+      for (const unit of batch) unit.retry(false);
+      return false;
+    }
+    for (const unit of batch)
+      if (unit.conditions.some((condition) => failed.includes(condition.key)))
+        unit.conflict(failed);
+      else unit.retry(false);
+    return true;
+  }
+
   /**
    * The service will never take this transaction as it stands. Each part is
    * written by itself, so that one that is at fault holds up none of the others;
--- a/src/duties/key-ranges.ts
+++ b/src/duties/key-ranges.ts
@@ -50,16 +50,27 @@
   let next = 0;
   let after = '';
   while (next < sorted.length) {
-    const key = sorted[next] as string;
-    // Without its last character a key stands before itself, and few others stand between the two.
-    const before = key.slice(0, -1);
-    const from = before > after ? before : after;
+    const from = startOf(sorted[next] as string, after);
     const page = await state.listPage(prefix, from, signal, priority);
     for (const entry of page.entries) if (wanted.has(entry.key)) found.set(entry.key, entry);
     const last = page.entries.at(-1);
     if (!page.more || !last) return found;
     after = last.key;
-    while (next < sorted.length && (sorted[next] as string) <= after) next++;
+    next = firstAfter(sorted, next, after);
   }
   return found;
 }
+
+/** After which key a page begins that is to show this one, and nothing up to `after` again. */
+function startOf(key: string, after: string): string {
+  // Without its last character a key stands before itself, and few others stand between the two.
+  const before = key.slice(0, -1);
+  return before > after ? before : after;
+}
+
+/** Where in the sorted keys the first one stands, at `from` or later, that comes after the given one. */
+function firstAfter(sorted: readonly string[], from: number, after: string): number {
+  let next = from;
+  while (next < sorted.length && (sorted[next] as string) <= after) next++;
+  return next;
+}
--- a/src/duties/leader.ts
+++ b/src/duties/leader.ts
@@ -15,7 +15,7 @@
 import { raiseFence } from '../core/machine-orders.js';
 import type { MachineReport, Order } from '../core/model.js';
 import { fill, round } from '../core/placement.js';
-import type { Aims, CorePolicy } from '../core/policy.js';
+import type { Aims, ClassAims, CorePolicy } from '../core/policy.js';
 import { Renting } from '../core/renting.js';
 import type { RosterEntry } from '../core/roster.js';
 import type { Entry, StoreEvent } from '../protocol/store.js';
@@ -90,6 +90,8 @@
   return socketsOf(platform, COMMAND_SOCKETS) + socketsOf(platform, CONFIRM_SOCKETS);
 }
 
+type Objective = NonNullable<Platform['settings']['objectives']>[number];
+
 function aimsOf(objectives: Platform['settings']['objectives']): Aims {
   const aims: Aims = { classes: new Map(), guaranteeS: null };
   for (const o of objectives ?? []) {
@@ -97,13 +99,17 @@
     if (!o.class) continue;
     const c = aims.classes.get(o.class) ?? { waits: [], finishes: [], deadlines: [] };
     aims.classes.set(o.class, c);
-    if (o.kind === 'wait' && o.within_s) c.waits.push(o.within_s);
-    else if (o.kind === 'finished' && o.within_s) c.finishes.push(o.within_s);
-    else if (o.kind === 'deadline') c.deadlines.push(o.times ?? 1);
+    addAim(c, o);
   }
   return aims;
 }
 
+function addAim(aims: ClassAims, { kind, within_s: withinS, times }: Objective): void {
+  if (kind === 'wait' && withinS) aims.waits.push(withinS);
+  else if (kind === 'finished' && withinS) aims.finishes.push(withinS);
+  else if (kind === 'deadline') aims.deadlines.push(times ?? 1);
+}
+
 /** Keys come in the order of their names; jobs arrived in that of their versions. */
 function byArrival(entries: Entry[]): Entry[] {
   return entries.sort((a, b) => a.version - b.version);
@@ -234,30 +240,14 @@
       ctx.types = await retry(ctx, this.term.signal, (s) => readTypes(ctx, this.cloud, s));
     cluster.setTypes(ctx.types ?? []);
     const roster = await this.readAll(ROSTER_PREFIX);
-    for (const e of roster.entries) {
-      const key = e.key.slice(ROSTER_PREFIX.length);
-      const entries = rosterEntries(key, e.value);
-      cluster.roster.restore(key, e.version, entries);
-      for (const m of entries)
-        cluster.inheritMachine(m.id, m.type, m.zone, m.spot, m.address, ctx.clock.now());
-    }
+    this.restoreRoster(roster.entries);
     const askedAt = ctx.clock.now();
     const live = await this.readAll(LIVE_PREFIX);
     // What was expected before goes on; jobs that arrived since it was written add to it.
     await this.loads.read();
     for (const e of byArrival(live.entries)) this.addLive(e.key, e.value, e.version);
     const bits = await this.readAll(BITS_PREFIX);
-    for (const e of bits.entries) {
-      const key = cluster.bitmaps.parse(e.key);
-      const job = key && cluster.jobs.get(key.job);
-      if (!job || typeof e.value !== 'string') {
-        cluster.cleanup.add(e.key);
-        continue;
-      }
-      job.loadBits(key.firstTask, Buffer.from(e.value, 'base64'));
-      if (key.chunk === null) job.otherKeys.push(e.key);
-      else job.chunks.set(key.chunk, e.version);
-    }
+    this.restoreBits(bits.entries);
     const pages = await this.readAll(UPSTREAM_PREFIX);
     for (const e of pages.entries) {
       const [id = ''] = e.key.slice(UPSTREAM_PREFIX.length).split('/');
@@ -267,6 +257,33 @@
     return { revision: live.revision, askedAt };
   }
 
+  /** Machines that earlier leaders may have given tasks. */
+  private restoreRoster(pages: Entry[]): void {
+    for (const page of pages) {
+      const key = page.key.slice(ROSTER_PREFIX.length);
+      const machines = rosterEntries(key, page.value);
+      this.cluster.roster.restore(key, page.version, machines);
+      for (const { id, type, zone, spot, address } of machines)
+        this.cluster.inheritMachine(id, type, zone, spot, address, this.ctx.clock.now());
+    }
+  }
+
+  /** The finished tasks of live jobs; bitmaps of ended ones are cleaned up. */
+  private restoreBits(entries: Entry[]): void {
+    const { cluster } = this;
+    for (const { key, value, version } of entries) {
+      const place = cluster.bitmaps.parse(key);
+      const job = place && cluster.jobs.get(place.job);
+      if (!job || typeof value !== 'string') {
+        cluster.cleanup.add(key);
+        continue;
+      }
+      job.loadBits(place.firstTask, Buffer.from(value, 'base64'));
+      if (place.chunk === null) job.otherKeys.push(key);
+      else job.chunks.set(place.chunk, version);
+    }
+  }
+
   private addLive(key: string, value: unknown, version: number): void {
     const record = value as LiveRecord;
     if (!isObject(value) || !isObject(record.spec)) {
@@ -300,10 +317,7 @@
         // Too old a revision, which by itself is no news: what is no longer listed has ended.
         askedAt = ctx.clock.now();
         const live = await this.readAll(LIVE_PREFIX);
-        const known = new Set(live.entries.map((e) => e.key.slice(LIVE_PREFIX.length)));
-        for (const id of [...this.cluster.jobs.keys()])
-          if (!known.has(id)) this.cluster.endJob(id, null);
-        for (const e of byArrival(live.entries)) this.addLive(e.key, e.value, e.version);
+        this.catchUp(live.entries);
         after = live.revision;
       }
       this.cluster.upToDate(after);
@@ -313,6 +327,14 @@
     }
   }
 
+  /** Brings the jobs in line with a whole list of the live ones. */
+  private catchUp(entries: Entry[]): void {
+    const known = new Set(entries.map((entry) => entry.key.slice(LIVE_PREFIX.length)));
+    for (const id of [...this.cluster.jobs.keys()])
+      if (!known.has(id)) this.cluster.endJob(id, null);
+    for (const entry of byArrival(entries)) this.addLive(entry.key, entry.value, entry.version);
+  }
+
   private apply(e: StoreEvent): void {
     if (e.op === 'put') this.addLive(e.key, e.value, e.version);
     else this.cluster.endJob(e.key.slice(LIVE_PREFIX.length), null);
--- a/src/duties/mail.ts
+++ b/src/duties/mail.ts
@@ -1,4 +1,5 @@
 import { Priority } from '../clients/budget.js';
+import type { StoreEvent } from '../protocol/store.js';
 import { isObject } from '../protocol/wire.js';
 import { pause, Stopped } from './clock.js';
 import type { Context } from './context.js';
@@ -53,8 +54,7 @@
           const got = await ctx.state.watch(box, after, ctx.timing.watchMs, signal);
           if (!got) break;
           after = got.revision;
-          for (const e of got.events)
-            if (e.op === 'put' && isObject(e.value)) this.take(e.key.slice(box.length), e.value);
+          this.takeAll(got.events, box);
         }
       } catch (error) {
         if (signal.aborted || error instanceof Stopped) return;
@@ -91,6 +91,12 @@
     }
   }
 
+  private takeAll(events: StoreEvent[], box: string): void {
+    for (const event of events)
+      if (event.op === 'put' && isObject(event.value))
+        this.take(event.key.slice(box.length), event.value);
+  }
+
   private take(slot: string, value: Record<string, unknown>): void {
     const mail = value as unknown as Ask | Answer;
     if (mail.kind === 'answer') {
--- a/src/duties/reports.ts
+++ b/src/duties/reports.ts
@@ -112,18 +112,9 @@
     const now = ctx.clock.now();
     if (report.term < term && worker.fresh?.term !== term && (await this.unaware(report, term)))
       worker.fresh = { term, at: now };
-    // A start of that leader may be held back by the cut, and reach a session that is kept alive.
-    // Its time is counted from when the leader fell silent, so that several nodes can't add theirs
-    // up; a machine that learns of the term only here can have no such start on its way.
-    const from =
-      worker.fresh?.term === term ? worker.fresh.at : this.peers.heardLeading(worker.leader, term);
+    const from = this.mayHoldStartsFrom(worker, term);
     if (from === null || now - from > ctx.timing.deputyMs) return away;
-    if (this.keptTerm !== term)
-      ctx.log.info(
-        { term, leader: worker.leader, machine: report.machine },
-        'keeping cut-off machines',
-      );
-    this.keptTerm = term;
+    this.noteKeeping(term, worker.leader, report.machine);
     const orders: Order[] = [];
     try {
       // Whoever answers a worker answers for the cancellations too.
@@ -142,6 +133,23 @@
     return { status: 200, body: reportAnswer(tokenOf(term, fence), orders) };
   }
 
+  /**
+   * A start of that leader may be held back by the cut, and reach a session that is kept alive.
+   * Its time is counted from when the leader fell silent, so that several nodes can't add theirs
+   * up; a machine that learns of the term only here can have no such start on its way.
+   */
+  private mayHoldStartsFrom(worker: RedirectedWorker, term: number): number | null {
+    if (worker.fresh?.term === term) return worker.fresh.at;
+    return this.peers.heardLeading(worker.leader, term);
+  }
+
+  /** Logged once a term. */
+  private noteKeeping(term: number, leader: string, machine: string): void {
+    if (this.keptTerm !== term)
+      this.ctx.log.info({ term, leader, machine }, 'keeping cut-off machines');
+    this.keptTerm = term;
+  }
+
   /**
    * The machine does not know of the term. Its report alone does not show
    * that: a late copy carries an old token for as long as copies may last,
--- a/src/duties/upstream-snapshot.ts
+++ b/src/duties/upstream-snapshot.ts
@@ -88,12 +88,7 @@
   const ends: Ends = new Map();
   let open = neededBy(upstream.values());
   while (open.size > 0) {
-    const unknown: string[] = [];
-    for (const id of open) {
-      const end = known.get(id);
-      if (end) ends.set(id, end);
-      else if (!upstream.has(id) && !ends.has(id)) unknown.push(id);
-    }
+    const unknown = addKnownEnds(ends, open, known, upstream);
     const found = await store.findEnds(unknown, priority);
     for (const [id, job] of found) ends.set(id, job.record.state);
     const late = await store.findMany(
@@ -115,14 +110,25 @@
   return ends;
 }
 
+/** Adds the ends that are known already; returns the jobs that are neither live nor known to have ended. */
+function addKnownEnds(ends: Ends, ids: Iterable<string>, known: Ends, live: Lists): string[] {
+  const unknown: string[] = [];
+  for (const id of ids) {
+    const end = known.get(id);
+    if (end) ends.set(id, end);
+    else if (!live.has(id) && !ends.has(id)) unknown.push(id);
+  }
+  return unknown;
+}
+
 function neededBy(lists: Iterable<readonly string[]>): Set<string> {
   const ids = new Set<string>();
   for (const list of lists) for (const id of list) ids.add(id);
   return ids;
 }
 
-/** The live jobs that need a cancelled one, directly or through others. */
-function cancelledWith(upstream: Lists, ends: Ends): Set<string> {
+/** For each job those that need it directly. */
+function downstreamOf(upstream: Lists): Map<string, string[]> {
   const downstream = new Map<string, string[]>();
   for (const [id, list] of upstream)
     for (const needed of list) {
@@ -130,6 +136,12 @@
       if (others) others.push(id);
       else downstream.set(needed, [id]);
     }
+  return downstream;
+}
+
+/** The live jobs that need a cancelled one, directly or through others. */
+function cancelledWith(upstream: Lists, ends: Ends): Set<string> {
+  const downstream = downstreamOf(upstream);
   const cancelled = new Set<string>();
   const open: string[] = [];
   for (const [id, end] of ends) if (end === 'cancelled') open.push(id);
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -69,31 +69,32 @@
     let buf = this.pending.length > 0 ? Buffer.concat([this.pending, data]) : data;
     this.pending = EMPTY;
     for (;;) {
-      if (this.stage === 'body' || this.stage === 'chunkData') {
-        if (buf.length === 0) break;
-        const take = this.untilClose ? buf.length : Math.min(this.need, buf.length);
-        this.keep(buf.subarray(0, take));
-        buf = buf.subarray(take);
-        if (this.untilClose) continue;
-        this.need -= take;
-        if (this.need > 0) break;
-        if (this.stage === 'body') out.push(this.finish());
-        else this.stage = 'chunkEnd';
-        continue;
-      }
-      const end = buf.indexOf(10);
-      if (end < 0) {
-        if (buf.length > this.limits.line) throw this.tooLong();
-        // A copy: the bytes may sit in a large shared read buffer.
-        this.pending = Buffer.from(buf);
-        break;
-      }
-      if (end > this.limits.line) throw this.tooLong();
-      const line = buf.toString('latin1', 0, end > 0 && buf[end - 1] === 13 ? end - 1 : end);
-      buf = buf.subarray(end + 1);
-      if (this.line(line)) out.push(this.finish());
+      const isData = this.stage === 'body' || this.stage === 'chunkData';
+      const taken = isData ? this.takeData(buf, out) : this.takeLine(buf, out);
+      if (taken === 0) return out;
+      buf = buf.subarray(taken);
     }
-    return out;
+  }
+
+  /** Takes what belongs to the body off the front; returns how many bytes that are. */
+  private takeData(buf: Buffer, out: Message[]): number {
+    const size = this.untilClose ? buf.length : Math.min(this.need, buf.length);
+    if (size > 0 && this.data(buf.subarray(0, size))) out.push(this.finish());
+    return size;
+  }
+
+  /** Takes a line off the front; returns its bytes, or none while its end is missing. */
+  private takeLine(buf: Buffer, out: Message[]): number {
+    const end = buf.indexOf(10);
+    if ((end < 0 ? buf.length : end) > this.limits.line) throw this.tooLong();
+    if (end < 0) {
+      // A copy: the bytes may sit in a large shared read buffer.
+      this.pending = Buffer.from(buf);
+      return 0;
+    }
+    const line = buf.toString('latin1', 0, end > 0 && buf[end - 1] === 13 ? end - 1 : end);
+    if (this.line(line)) out.push(this.finish());
+    return end + 1;
   }
 
   /** The peer closed: a response without a length ends here. */
@@ -108,6 +109,17 @@
       : new HttpError(431, 'header line too long');
   }
 
+  /** Takes a part of the body; true when it completes the message. */
+  private data(part: Buffer): boolean {
+    this.keep(part);
+    if (this.untilClose) return false;
+    this.need -= part.length;
+    if (this.need > 0) return false;
+    if (this.stage === 'body') return true;
+    this.stage = 'chunkEnd';
+    return false;
+  }
+
   /** Takes one line; true when it completes the message. */
   private line(line: string): boolean {
     switch (this.stage) {
@@ -123,15 +135,9 @@
           return false;
         }
         return this.headersDone();
-      case 'chunkSize': {
-        const hex = (line.split(';', 1)[0] ?? '').trim();
-        if (!/^[0-9a-fA-F]{1,8}$/.test(hex)) throw new HttpError(400, 'bad chunk size');
-        this.need = Number.parseInt(hex, 16);
-        if (this.bodySize + this.need > this.limits.body) throw new BodyTooLarge();
-        this.headerCount = 0;
-        this.stage = this.need === 0 ? 'trailer' : 'chunkData';
+      case 'chunkSize':
+        this.chunkSize(line);
         return false;
-      }
       case 'chunkEnd':
         if (line !== '') throw new HttpError(400, 'bad chunk end');
         this.stage = 'chunkSize';
@@ -144,6 +150,15 @@
     }
   }
 
+  private chunkSize(line: string): void {
+    const hex = (line.split(';', 1)[0] ?? '').trim();
+    if (!/^[0-9a-fA-F]{1,8}$/.test(hex)) throw new HttpError(400, 'bad chunk size');
+    this.need = Number.parseInt(hex, 16);
+    if (this.bodySize + this.need > this.limits.body) throw new BodyTooLarge();
+    this.headerCount = 0;
+    this.stage = this.need === 0 ? 'trailer' : 'chunkData';
+  }
+
   private startLine(line: string): void {
     const m = this.message;
     if (this.kind === 'request') {
@@ -187,9 +202,7 @@
 
   private headersDone(): boolean {
     const m = this.message;
-    const connection = m.headers.get('connection')?.toLowerCase() ?? '';
-    if (connection.includes('close')) m.keepAlive = false;
-    else if (connection.includes('keep-alive')) m.keepAlive = true;
+    this.connectionHeader();
     const coding = m.headers.get('transfer-encoding');
     const length = m.headers.get('content-length');
     if (coding !== undefined) {
@@ -199,9 +212,7 @@
       return false;
     }
     if (length !== undefined) {
-      if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content length');
-      this.need = Number(length);
-      if (this.need > this.limits.body) throw new BodyTooLarge();
+      this.need = this.contentLength(length);
       if (this.need === 0) return true;
       this.stage = 'body';
       return false;
@@ -216,6 +227,19 @@
     return true;
   }
 
+  private connectionHeader(): void {
+    const connection = this.message.headers.get('connection')?.toLowerCase() ?? '';
+    if (connection.includes('close')) this.message.keepAlive = false;
+    else if (connection.includes('keep-alive')) this.message.keepAlive = true;
+  }
+
+  private contentLength(text: string): number {
+    if (!/^\d{1,15}$/.test(text)) throw new HttpError(400, 'bad content length');
+    const length = Number(text);
+    if (length > this.limits.body) throw new BodyTooLarge();
+    return length;
+  }
+
   private keep(part: Buffer): void {
     this.bodySize += part.length;
     if (this.bodySize > this.limits.body) throw new BodyTooLarge();
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -213,6 +213,43 @@
   });
 }
 
+/** The requests that the bytes complete, or the reply to bytes that are no request. */
+function parse(parser: Parser, data: Buffer): Message[] | Reply {
+  try {
+    return parser.push(data);
+  } catch (error) {
+    const status = error instanceof HttpError ? error.status : 400;
+    return { status, body: { error: (error as Error).message } };
+  }
+}
+
+/** Sends a reply; false: the connection ends with it. */
+function send(
+  socket: net.Socket,
+  open: Connections,
+  reply: Reply,
+  keepAlive: boolean,
+  isNew: boolean,
+): boolean {
+  if (!keepAlive || (isNew && open.isCrowded)) {
+    sendLast(socket, open, reply);
+    return false;
+  }
+  socket.write(encodeReply(reply, true));
+  // A peer that never reads must not make us hold its replies.
+  if (socket.writableLength > REQUEST_LIMITS.body * 2) {
+    socket.destroy();
+    return false;
+  }
+  open.rests(socket);
+  return true;
+}
+
+function sendLast(socket: net.Socket, open: Connections, reply: Reply): void {
+  socket.end(encodeReply(reply, false));
+  open.moves(socket);
+}
+
 /** The routine of one connection: one request at a time, in order. */
 async function connection(
   socket: net.Socket,
@@ -230,21 +267,12 @@
     open.leave(socket);
     signal.removeEventListener('abort', stop);
   });
-  const last = (reply: Reply) => {
-    socket.end(encodeReply(reply, false));
-    open.moves(socket);
-  };
   let arriving = false;
   let isNew = true;
   for (let data = await arrivals.next(); data; data = await arrivals.next()) {
     if (!arriving) open.moves(socket);
-    let messages: Message[];
-    try {
-      messages = parser.push(data);
-    } catch (error) {
-      const status = error instanceof HttpError ? error.status : 400;
-      return last({ status, body: { error: (error as Error).message } });
-    }
+    const messages = parse(parser, data);
+    if (!Array.isArray(messages)) return sendLast(socket, open, messages);
     arriving = parser.busy;
     for (const request of messages) {
       open.busy(socket);
@@ -255,13 +283,8 @@
         options.onError(error);
         reply = { status: 500, body: { error: 'internal error' } };
       }
-      if (socket.destroyed) return;
-      if (!request.keepAlive || (isNew && open.isCrowded)) return last(reply);
+      if (socket.destroyed || !send(socket, open, reply, request.keepAlive, isNew)) return;
       isNew = false;
-      socket.write(encodeReply(reply, true));
-      // A peer that never reads must not make us hold its replies.
-      if (socket.writableLength > REQUEST_LIMITS.body * 2) return void socket.destroy();
-      open.rests(socket);
     }
   }
   socket.end();
