--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -90,71 +90,89 @@
 
   step(): void {
     this.now += 100 + this.pick(400);
-    const w = this.one(this.workers);
-    switch (this.pick(16)) {
-      case 0:
-        this.live.set(`req-${++this.version}`, this.version);
-        this.c.addJob(spec({ id: `req-${this.version}`, tasks: 3 }), this.version, this.now, false);
-        break;
-      case 1: {
-        const id = this.one([...this.live.keys()]);
-        if (id && this.pick(6) === 0) {
-          this.live.delete(id);
-          this.c.endJob(id, { state: 'cancelled', at: null });
-        }
-        break;
-      }
+    const worker = this.one(this.workers);
+    const event = this.pick(16);
+    const common = this.commonEvents[event];
+    if (common) common();
+    else if (worker) this.workerEvent(event, worker);
+    this.check();
+  }
+
+  /** By draw: events that need no worker. Numbers that stand in neither list are reports with their answers. */
+  private readonly commonEvents: Record<number, () => void> = {
+    0: () => this.submit(),
+    1: () => this.cancel(),
+    4: () => this.takeOver(),
+    5: () => this.commandsOut(),
+    6: () => this.commandIn(),
+    7: () => this.flush(),
+    9: () => this.lateReportIn(),
+    14: () => this.commandIn(),
+  };
+
+  private workerEvent(event: number, worker: ScriptedWorker): void {
+    switch (event) {
       case 2:
-        if (this.pick(2) === 0) w?.lapse();
+        if (this.pick(2) === 0) worker.lapse();
         break;
       case 3:
-        if (w && this.pick(6) === 0) {
-          this.workers.splice(this.workers.indexOf(w), 1);
-          this.c.machineGone(w.id, 'died', this.now);
-          this.addWorker();
-        }
-        break;
-      case 4:
-        if (this.pick(9) > 0) break;
-        this.c = this.leader(this.c.term + 1);
-        // Of the commands of two leaders ago no machine takes one any more.
-        this.commands = this.commands.filter((x) => x.term.term >= this.c.term - 1);
-        break;
-      case 5:
-        this.commandsOut();
-        break;
-      case 6:
-      case 14:
-        this.commandIn();
-        break;
-      case 7:
-        this.flush();
+        if (this.pick(6) === 0) this.die(worker);
         break;
       case 8:
-        if (w) this.lateReports.push({ report: w.report(), term: this.c });
-        break;
-      case 9: {
-        const late = this.one(this.lateReports);
-        if (!late) break;
-        this.lateReports.splice(this.lateReports.indexOf(late), 1);
-        // Its worker has given it up, so the answer goes nowhere.
-        this.answer(late.report, late.term);
+        this.lateReports.push({ report: worker.report(), term: this.c });
         break;
-      }
       case 10:
-        for (const key of w?.tasks.keys() ?? [])
-          if (w?.tasks.get(key)?.state === 'running' && this.pick(2) === 0)
-            w.exit(key, this.pick(5) === 0 ? 'error' : 'done');
+        this.endTasks(worker);
         break;
       default:
-        if (w) {
-          const term = this.c;
-          const orders = this.answer(w.report(), term);
-          const fence = term.machines.get(w.id)?.fence ?? 0;
-          if (this.pick(4) > 0) w.execute(term.term, orders, fence);
-        }
+        this.reportIn(worker);
     }
-    this.check();
+  }
+
+  private submit(): void {
+    this.live.set(`req-${++this.version}`, this.version);
+    this.c.addJob(spec({ id: `req-${this.version}`, tasks: 3 }), this.version, this.now, false);
+  }
+
+  private cancel(): void {
+    const id = this.one([...this.live.keys()]);
+    if (!id || this.pick(6) > 0) return;
+    this.live.delete(id);
+    this.c.endJob(id, { state: 'cancelled', at: null });
+  }
+
+  private takeOver(): void {
+    if (this.pick(9) > 0) return;
+    this.c = this.leader(this.c.term + 1);
+    // Of the commands of two leaders ago no machine takes one any more.
+    this.commands = this.commands.filter((x) => x.term.term >= this.c.term - 1);
+  }
+
+  private die(worker: ScriptedWorker): void {
+    this.workers.splice(this.workers.indexOf(worker), 1);
+    this.c.machineGone(worker.id, 'died', this.now);
+    this.addWorker();
+  }
+
+  private endTasks(worker: ScriptedWorker): void {
+    for (const [key, task] of worker.tasks)
+      if (task.state === 'running' && this.pick(2) === 0)
+        worker.exit(key, this.pick(5) === 0 ? 'error' : 'done');
+  }
+
+  private lateReportIn(): void {
+    const late = this.one(this.lateReports);
+    if (!late) return;
+    this.lateReports.splice(this.lateReports.indexOf(late), 1);
+    // Its worker has given it up, so the answer goes nowhere.
+    this.answer(late.report, late.term);
+  }
+
+  private reportIn(worker: ScriptedWorker): void {
+    const term = this.c;
+    const orders = this.answer(worker.report(), term);
+    const fence = term.machines.get(worker.id)?.fence ?? 0;
+    if (this.pick(4) > 0) worker.execute(term.term, orders, fence);
   }
 
   private answer(report: MachineReport, c: Cluster): Order[] {
@@ -250,19 +268,21 @@
       else if (kind === 'over') {
         this.finished++;
         this.live.delete(id);
-      } else if (kind === 'bits' && change.op === 'put') {
-        const bits = Buffer.from(String(change.value), 'base64');
-        this.bits.set(id, this.revision);
-        for (let i = 0; i < 3; i++) {
-          const set = ((bits[0] ?? 0) >> i) & 1;
-          assert.ok(set || !this.done.has(`${id}/${i}`), 'a finished task was taken back');
-          if (set) this.done.add(`${id}/${i}`);
-        }
-      }
+      } else if (kind === 'bits' && change.op === 'put') this.putBits(id, String(change.value));
     }
     return true;
   }
 
+  private putBits(id: string, value: string): void {
+    const bits = Buffer.from(value, 'base64');
+    this.bits.set(id, this.revision);
+    for (let i = 0; i < 3; i++) {
+      const set = ((bits[0] ?? 0) >> i) & 1;
+      assert.ok(set || !this.done.has(`${id}/${i}`), 'a finished task was taken back');
+      if (set) this.done.add(`${id}/${i}`);
+    }
+  }
+
   private check(): void {
     const running = this.workers.flatMap((w) => w.running());
     assert.equal(new Set(running).size, running.length, 'a task runs on two machines');
--- a/test/job-graph.test.ts
+++ b/test/job-graph.test.ts
@@ -168,30 +168,38 @@
   return { rank, end };
 }
 
+/** What the job says of its rank, its latest end and its cancellation is what a look over all jobs says. */
+function checkAgainstAnew(c: Cluster, job: Job, seed: number): void {
+  const { rank, end } = anew(c, job);
+  const { goal } = job;
+  const latest = goal
+    ? goal.job.acceptedAt + ((goal.job.spec.deadlineS ?? 0) - goal.restS) * 1000
+    : Infinity;
+  assert.equal(job.rank, rank, `seed ${seed}, ${job.spec.id}: rank`);
+  assert.ok(latest === end || Math.abs(latest - end) < 1e-3, `seed ${seed}, ${job.spec.id}`);
+  const above = [...job.waitsFor].some((id) => c.jobs.get(id)?.upstreamCancelled);
+  if (above) assert.ok(job.upstreamCancelled, `seed ${seed}: ${job.spec.id} is left`);
+}
+
+/** One more job by draw, perhaps the end of another, and some of what stands to be written. */
+function grow(c: Cluster, n: number, pick: (n: number) => number): void {
+  const live = [...c.jobs.keys()];
+  const needs = live.filter(() => pick(6) === 0).map((x) => Number(x.slice(4)));
+  const deadlineS = pick(3) === 0 ? 50 + pick(500) : null;
+  add(c, n, needs, { rank: pick(4), deadlineS, estimateS: 1 + pick(60) });
+  const other = [...c.jobs.values()][pick(c.jobs.size)];
+  if (other && pick(4) === 0) c.endJob(other.spec.id, pick(3) === 0 ? CANCELLED : done(n));
+  for (const unit of flushUnits(c, { spare: 9, wallNow: n })) if (pick(2) === 0) unit.applied(n);
+}
+
 test('over random histories priority, goal and cancellations agree with those taken anew', () => {
   for (let seed = 1; seed <= 40; seed++) {
     const rng = xoroshiro128plus(seed);
     const pick = (n: number) => uniformInt(rng, 0, n - 1);
     const c = cluster();
     for (let n = 1; n <= 60; n++) {
-      const live = [...c.jobs.keys()];
-      const needs = live.filter(() => pick(6) === 0).map((x) => Number(x.slice(4)));
-      const deadlineS = pick(3) === 0 ? 50 + pick(500) : null;
-      add(c, n, needs, { rank: pick(4), deadlineS, estimateS: 1 + pick(60) });
-      const other = [...c.jobs.values()][pick(c.jobs.size)];
-      if (other && pick(4) === 0) c.endJob(other.spec.id, pick(3) === 0 ? CANCELLED : done(n));
-      for (const u of flushUnits(c, { spare: 9, wallNow: n })) if (pick(2) === 0) u.applied(n);
-      for (const job of c.jobs.values()) {
-        const { rank, end } = anew(c, job);
-        const goal = job.goal;
-        const latest = goal
-          ? goal.job.acceptedAt + ((goal.job.spec.deadlineS ?? 0) - goal.restS) * 1000
-          : Infinity;
-        assert.equal(job.rank, rank, `seed ${seed}, ${job.spec.id}: rank`);
-        assert.ok(latest === end || Math.abs(latest - end) < 1e-3, `seed ${seed}, ${job.spec.id}`);
-        const above = [...job.waitsFor].some((u) => c.jobs.get(u)?.upstreamCancelled);
-        if (above) assert.ok(job.upstreamCancelled, `seed ${seed}: ${job.spec.id} is left`);
-      }
+      grow(c, n, pick);
+      for (const job of c.jobs.values()) checkAgainstAnew(c, job, seed);
     }
   }
 });
--- a/test/meetings-history.test.ts
+++ b/test/meetings-history.test.ts
@@ -177,6 +177,22 @@
     this.carryOut();
   }
 
+  end(): void {
+    for (const c of this.world.controllers) c.crash();
+    for (const m of this.world.machines) m.gone = true;
+  }
+
+  /** What came of the jobs that users were told of. */
+  counts(): { downstream: number; cancelled: number; orphans: number } {
+    const { told, needs, calledOff } = this.world;
+    const cancelled = [...told].filter(([, { standing }]) => standing === 'cancelled');
+    return {
+      downstream: [...told.keys()].filter((id) => (needs.get(id) ?? []).length > 0).length,
+      cancelled: cancelled.length,
+      orphans: cancelled.filter(([id]) => !calledOff.has(id)).length,
+    };
+  }
+
   private one<T>(list: readonly T[]): T {
     return list[this.world.pick(list.length)] as T;
   }
@@ -199,16 +215,13 @@
       throw new Error(`seed ${seed}: ${(error as Error).message}`, { cause: error });
     } finally {
       jitter.mock.restore();
-      for (const c of play.world.controllers) c.crash();
-      for (const m of play.world.machines) m.gone = true;
+      play.end();
     }
     started += play.world.started;
-    for (const [id, told] of play.world.told) {
-      if ((play.world.needs.get(id) ?? []).length > 0) downstream++;
-      if (told.standing !== 'cancelled') continue;
-      cancelled++;
-      if (!play.world.calledOff.has(id)) orphans++;
-    }
+    const counts = play.counts();
+    downstream += counts.downstream;
+    cancelled += counts.cancelled;
+    orphans += counts.orphans;
   }
   assert.ok(started > SEEDS * 30, `only ${started} starts`);
   assert.ok(cancelled > SEEDS, `only ${cancelled} jobs cancelled`);
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -125,25 +125,21 @@
     if (term < this.term || (term === this.term && fence < this.fence)) return false;
     this.term = term;
     this.fence = fence;
-    for (const o of orders) {
-      const key = `${o.job}/${o.index}/${o.attempt}`;
-      const known = this.tasks.get(key);
-      if (o.op === 'start') {
-        if (!known)
-          this.tasks.set(key, {
-            job: o.job,
-            index: o.index,
-            attempt: o.attempt,
-            state: 'running',
-            cause: null,
-          });
-      } else if (o.op === 'stop') {
-        if (known && known.state !== 'exited') this.exit(key, 'stopped');
-      } else if (known?.state === 'exited') this.tasks.delete(key);
-    }
+    for (const order of orders) this.carryOut(order);
     return true;
   }
 
+  private carryOut(order: Order): void {
+    const { op, job, index, attempt } = order;
+    const key = `${job}/${index}/${attempt}`;
+    const known = this.tasks.get(key);
+    if (op === 'start') {
+      if (!known) this.tasks.set(key, { job, index, attempt, state: 'running', cause: null });
+    } else if (op === 'stop') {
+      if (known && known.state !== 'exited') this.exit(key, 'stopped');
+    } else if (known?.state === 'exited') this.tasks.delete(key);
+  }
+
   exit(key: string, cause: ExitCause): void {
     const t = this.tasks.get(key);
     if (!t) throw new Error(`no task ${key}`);
--- a/test/support/played-machine.ts
+++ b/test/support/played-machine.ts
@@ -111,6 +111,23 @@
     }
   }
 
+  /** Goes to another controller that the reply names, if it does. */
+  private follow(reply: Reply | null): boolean {
+    const steward = (reply?.body as { steward?: string } | undefined)?.steward;
+    const named = this.world.controllers.findIndex((c) => c.name === steward);
+    if (reply?.status !== 421 || named < 0 || named === this.at) return false;
+    this.at = named;
+    return true;
+  }
+
+  /** A copy of the report arrives at any controller, long after it. */
+  private sendCopyLater(body: Buffer): void {
+    this.world.later(2000 + this.world.random() * 30_000, () => {
+      const to = this.world.controllers[this.world.pick(3)] as Controller;
+      if (!to.dead) void to.reports.handle(body);
+    });
+  }
+
   private async report(): Promise<void> {
     const { clock, controllers } = this.world;
     const sentAt = clock.now();
@@ -119,11 +136,7 @@
     const body = onWire(this.worker.report());
     let reply: Reply | null = null;
     if (!this.mute && !node.dead && !node.cutFromWorkers) {
-      if (this.world.random() < this.world.copyShare)
-        this.world.later(2000 + this.world.random() * 30_000, () => {
-          const to = controllers[this.world.pick(3)] as Controller;
-          if (!to.dead) void to.reports.handle(body);
-        });
+      if (this.world.random() < this.world.copyShare) this.sendCopyLater(body);
       const answer = node.reports.handle(body).catch(() => null);
       const late = clock.sleep(REPORT_TIMEOUT_MS).then(() => null);
       reply = await Promise.race([answer, late]);
@@ -139,10 +152,7 @@
       this.leaseFrom = Math.max(this.leaseFrom, sentAt);
       return;
     }
-    const steward = (reply?.body as { steward?: string } | undefined)?.steward;
-    const named = controllers.findIndex((c) => c.name === steward);
-    if (reply?.status === 421 && named >= 0 && named !== this.at) this.at = named;
-    else {
+    if (!this.follow(reply)) {
       await clock.sleep(1000);
       this.at = (this.at + 1) % controllers.length;
     }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -281,13 +281,17 @@
     }
   }
 
+  /** The controllers that this leader reaches hear it. */
+  private noteHeard(leading: Controller, now: number): void {
+    const { term } = leading.leadership.current ?? {};
+    for (const other of this.controllers)
+      if (!other.cutFromPeers) this.heardAt.set(`${other.name} ${leading.name} ${term}`, now);
+  }
+
   private check(): void {
     const now = this.clock.now();
     for (const c of this.controllers)
-      if (c.leader && !c.dead)
-        for (const other of this.controllers)
-          if (!c.cutFromPeers && !other.cutFromPeers)
-            this.heardAt.set(`${other.name} ${c.name} ${c.leadership.current?.term}`, now);
+      if (c.leader && !c.dead && !c.cutFromPeers) this.noteHeard(c, now);
     const running: string[] = [];
     for (const m of this.machines) {
       m.sync();
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -126,6 +126,41 @@
   assert.ok(JSON.stringify(value).length <= NEXT.value_kb * KIB);
 });
 
+/** A leader of the version before reads all bitmaps, and writes those of what finishes under it. */
+function leadEarlier(
+  store: Map<string, Uint8Array>,
+  done: ReadonlySet<number>,
+  finished: readonly number[],
+  tasks: number,
+): void {
+  const earlier = new EarlierBitmaps();
+  for (const [key, bytes] of store) earlier.read(key, bytes);
+  assert.deepEqual(earlier.done, done);
+  for (const i of finished) earlier.done.add(i);
+  for (const n of new Set(finished.map((i) => Math.floor(i / EARLIER_CHUNK))))
+    store.set(`bits/req-1/${String(n).padStart(4, '0')}`, earlier.chunk(n, tasks));
+}
+
+/** A leader of this version does the same, in values of at most so many bytes. */
+function leadNow(
+  store: Map<string, Uint8Array>,
+  done: ReadonlySet<number>,
+  finished: readonly number[],
+  tasks: number,
+  layout: BitmapLayout,
+  valueBytes: number,
+): void {
+  const job = new Job(spec({ id: 'req-1', tasks }), 1, 0, true);
+  for (const [key, bytes] of store) load(job, layout, key, bytes);
+  assert.equal(job.done, done.size);
+  for (const i of finished) job.finish(i);
+  for (const chunk of new Set(finished.map((i) => layout.chunkOf(i)))) {
+    const bytes = job.chunkBits(chunk, layout.tasksPerChunk);
+    assert.ok(Buffer.from(bytes).toString('base64').length + 2 <= valueBytes);
+    store.set(layout.key('req-1', chunk), bytes);
+  }
+}
+
 test('no bit is lost while versions lead in turn, whatever each of them has touched', () => {
   const tasks = 100_000;
   for (const lowest of [0.7, 2, 3, 8]) {
@@ -134,24 +169,8 @@
     const done = new Set<number>();
     for (let turn = 0; turn < 24; turn++) {
       const finished = Array.from({ length: 20 }, (_, i) => (turn * 7919 + i * 104_729) % tasks);
-      if (turn % 3 === 1) {
-        const earlier = new EarlierBitmaps();
-        for (const [key, bytes] of store) earlier.read(key, bytes);
-        assert.deepEqual(earlier.done, done);
-        for (const i of finished) earlier.done.add(i);
-        for (const n of new Set(finished.map((i) => Math.floor(i / EARLIER_CHUNK))))
-          store.set(`bits/req-1/${String(n).padStart(4, '0')}`, earlier.chunk(n, tasks));
-      } else {
-        const job = new Job(spec({ id: 'req-1', tasks }), 1, 0, true);
-        for (const [key, bytes] of store) load(job, layout, key, bytes);
-        assert.equal(job.done, done.size);
-        for (const i of finished) job.finish(i);
-        for (const chunk of new Set(finished.map((i) => layout.chunkOf(i)))) {
-          const bytes = job.chunkBits(chunk, layout.tasksPerChunk);
-          assert.ok(Buffer.from(bytes).toString('base64').length + 2 <= lowest * KIB);
-          store.set(layout.key('req-1', chunk), bytes);
-        }
-      }
+      if (turn % 3 === 1) leadEarlier(store, done, finished, tasks);
+      else leadNow(store, done, finished, tasks, layout, lowest * KIB);
       for (const i of finished) done.add(i);
     }
   }
