--- a/test/lint.test.ts
+++ b/test/lint.test.ts
@@ -41,12 +41,22 @@
 
 const LATER = 'export async function later(): Promise<number> {\n  return 1;\n}\n';
 
+/** Branches one in the other, seven deep. */
+const NESTED = [1, 2, 3, 4, 5, 6, 7].reduceRight(
+  (inner, level) => {
+    const indent = '  '.repeat(level);
+    return `${indent}if (value > ${level}) {\n${inner}${indent}}\n`;
+  },
+  `${'  '.repeat(8)}return 1;\n`,
+);
+
 /** Each rule with a file that only it finds fault with, in a folder that no exception is made for. */
 const FAULTS: Record<string, string> = {
   'lint/suspicious/noDebugger': 'export function stop(): void {\n  debugger;\n}\n',
   'lint/suspicious/noVar': 'export var count = 1;\n',
   'lint/suspicious/noDoubleEquals':
     'export function same(a: unknown, b: unknown): boolean {\n  return a == b;\n}\n',
+  'lint/complexity/noExcessiveCognitiveComplexity': `export function depth(value: number): number {\n${NESTED}  return 0;\n}\n`,
   'lint/correctness/noUnusedImports':
     "import { join } from 'node:path';\n\nexport const value = 1;\n",
   'lint/correctness/noUnusedVariables': 'const value = 1;\n',
@@ -78,6 +88,22 @@
   assert.deepEqual(lint({ 'src/core/later.ts': LATER }), { code: 0, found: [] });
 });
 
+test('modules that import each other in a circle are found, types alone may', () => {
+  const first = "import { second } from './second.js';\n\nexport const first = () => second;\n";
+  const second = "import { first } from './first.js';\n\nexport const second = () => first;\n";
+  const circle = lint({ 'src/core/first.ts': first, 'src/core/second.ts': second });
+  assert.deepEqual(circle, {
+    code: 1,
+    found: [
+      'error: lint/suspicious/noImportCycles in src/core/first.ts',
+      'error: lint/suspicious/noImportCycles in src/core/second.ts',
+    ],
+  });
+  const types = "import type { First } from './first.js';\n\nexport type Second = First | null;\n";
+  const half = "import type { Second } from './second.js';\n\nexport type First = Second[];\n";
+  assert.equal(lint({ 'src/core/first.ts': half, 'src/core/second.ts': types }).code, 0);
+});
+
 test('the scripts of the checks are linted too', () => {
   const { code, found } = lint({ '.ci/check.mjs': 'const value = 1;\n' });
   assert.deepEqual(found, ['error: lint/correctness/noUnusedVariables in .ci/check.mjs']);
