--- a/test/support/trace/cloud.ts
+++ b/test/support/trace/cloud.ts
@@ -82,16 +82,23 @@
   private handle({ method, target, body }: PlayedRequest, respond: Parameters<Service>[1]): void {
     if (this.silent) return;
     const url = new URL(target, 'http://cloud');
-    if (url.pathname === '/flavors') return respond(200, { rigs: RIGS });
-    if (method === 'GET') return respond(200, this.list(url.searchParams.get('after') ?? ''));
+    if (url.pathname === '/flavors') {
+      respond(200, { rigs: RIGS });
+      return;
+    }
+    if (method === 'GET') {
+      respond(200, this.list(url.searchParams.get('after') ?? ''));
+      return;
+    }
     const what = JSON.stringify(body);
     const lost = draw(this.seed, 'cloud', this.net.time.now(), what) < this.lostAnswers;
     if (url.pathname === '/machines/return') {
-      for (const id of body.carts as string[]) this.take(id, true);
+      for (const id of (body as { carts: string[] }).carts) this.take(id, true);
       if (!lost) respond(200, {});
       return;
     }
-    const carts = this.hired.get(body.hire) ?? this.hire(body);
+    const hire = body as Hire;
+    const carts = this.hired.get(hire.hire) ?? this.hire(hire);
     if (lost) return;
     if (carts.length === 0) {
       this.refusals++;
--- a/test/support/trace/machine.ts
+++ b/test/support/trace/machine.ts
@@ -20,6 +20,13 @@
   windDownS?: number;
 }
 
+/** What a controller sends to a machine by itself. */
+interface Commands {
+  baton: number;
+  shift: number;
+  orders: Order[];
+}
+
 /** Intervals of the protocol, in milliseconds. */
 const REPORT_MS = 3000;
 const REPORT_TIMEOUT_MS = 4000;
@@ -91,27 +98,27 @@
   private serve({ method, body }: PlayedRequest, respond: Parameters<Service>[1]): void {
     if (this.gone) return;
     if (this.hangs) {
-      this.held.push(() => this.command(body, () => {}));
+      this.held.push(() => this.command(body as Commands, () => {}));
       return;
     }
     if (this.deaf) return;
-    if (method === 'GET') return respond(200, this.report());
+    if (method === 'GET') {
+      respond(200, this.report());
+      return;
+    }
     const { world } = this;
     const luck = draw(world.seed, 'command', this.cart.id, world.time.now());
     if (luck < world.lateCommands) {
       world.notes.add('late commands');
-      world.time.later(2000 + luck * 30_000, () => this.command(body, () => {}));
+      world.time.later(2000 + luck * 30_000, () => this.command(body as Commands, () => {}));
       return;
     }
     const lost = luck > 1 - world.lostAnswers;
     if (lost) world.notes.add('lost answers to commands');
-    this.command(body, lost ? () => {} : respond);
+    this.command(body as Commands, lost ? () => {} : respond);
   }
 
-  private command(
-    { baton, shift, orders }: { baton: number; shift: number; orders: Order[] },
-    respond: Parameters<Service>[1],
-  ): void {
+  private command({ baton, shift, orders }: Commands, respond: Parameters<Service>[1]): void {
     this.sync();
     const fit = shift === this.shift && this.execute(baton, orders);
     respond(fit ? 200 : 409, this.report());
@@ -137,8 +144,14 @@
     const hand: Hand = { hand: order.hand, try: order.try, standing: 'running', until: 0 };
     this.hands.set(key, hand);
     world.notes.add(job.awaits.length > 0 ? 'starts of jobs that needed others' : 'starts');
-    if (this.coresInUse() > coresOf(this.cart.rig)) return this.exit(hand, 'full');
-    if (this.images.has(job.deck)) return this.begin(hand);
+    if (this.coresInUse() > coresOf(this.cart.rig)) {
+      this.exit(hand, 'full');
+      return;
+    }
+    if (this.images.has(job.deck)) {
+      this.begin(hand);
+      return;
+    }
     this.images.add(job.deck);
     hand.standing = 'pulling';
     hand.until = world.time.now() + (job.pullGb / PULL_GB_PER_S) * 1000;
@@ -174,7 +187,10 @@
     if (wanted) world.notes.add(this.recallS === null ? 'preemptions' : 'stops for a spot notice');
     else world.notes.add('stops of cancelled work');
     if (windDownS > 0) world.notes.add('checkpoints saved');
-    if (windDownS === 0 || hand.standing === 'pulling') return this.exit(hand, 'halted');
+    if (windDownS === 0 || hand.standing === 'pulling') {
+      this.exit(hand, 'halted');
+      return;
+    }
     hand.standing = 'saving';
     hand.until = world.time.now() + windDownS * 1000;
   }
@@ -248,7 +264,10 @@
   }
 
   private async goElsewhere(answer: PlayedAnswer | null): Promise<void> {
-    const named = Number(String(answer?.body?.steward ?? '').slice(2) || Number.NaN);
+    const named = Number(
+      String((answer?.body as { steward?: string } | undefined)?.steward ?? '').slice(2) ||
+        Number.NaN,
+    );
     if (answer?.status === 421 && named >= 0 && named !== this.at) this.at = named;
     else {
       await this.world.time.sleep(1000);
--- a/test/support/trace/net.ts
+++ b/test/support/trace/net.ts
@@ -12,12 +12,12 @@
   from: string;
   method: string;
   target: string;
-  body: any;
+  body: unknown;
 }
 
 export interface PlayedAnswer {
   status: number;
-  body: any;
+  body: unknown;
 }
 
 type Respond = (status: number, body: unknown) => void;
--- a/test/support/trace/state-service.ts
+++ b/test/support/trace/state-service.ts
@@ -91,7 +91,10 @@
     const trouble = this.troubles.get(request.from) ?? NO_TROUBLE;
     const { time } = this.net;
     const refusal = this.outage ? 503 : trouble.refusal;
-    if (refusal !== null) return this.refuse(refusal, respond);
+    if (refusal !== null) {
+      this.refuse(refusal, respond);
+      return;
+    }
     this.expire();
     const luck = draw(this.seed, 'state', request.from, time.now(), JSON.stringify(request.body));
     const writes = request.target === '/multi';
@@ -115,18 +118,36 @@
     const url = new URL(request.target, 'http://state');
     const [, kind = '', ...rest] = url.pathname.split('/');
     const query = (name: string) => url.searchParams.get(name) ?? '';
-    if (kind === 'multi') return this.transact(body, respond);
-    if (kind === 'follow')
-      return this.watch(query('starts'), Number(query('after')), Number(query('waitMs')), respond);
-    if (kind === 'store' && rest.length > 0)
-      return this.read(rest.map(decodeURIComponent).join('/'), respond);
-    if (kind === 'store')
-      return this.list(query('starts'), query('after'), Number(query('limit')), respond);
+    if (kind === 'multi') {
+      this.transact(body as Transaction, respond);
+      return;
+    }
+    if (kind === 'follow') {
+      this.watch(query('starts'), Number(query('after')), Number(query('waitMs')), respond);
+      return;
+    }
+    if (kind === 'store' && rest.length > 0) {
+      this.read(rest.map(decodeURIComponent).join('/'), respond);
+      return;
+    }
+    if (kind === 'store') {
+      this.list(query('starts'), query('after'), Number(query('limit')), respond);
+      return;
+    }
     const lease = Number(rest[0]);
-    if (kind !== 'grants') return respond(404, {});
-    if (rest.length === 0) return this.grant(body.lifeMs, respond);
+    if (kind !== 'grants') {
+      respond(404, {});
+      return;
+    }
+    if (rest.length === 0) {
+      this.grant((body as { lifeMs: number }).lifeMs, respond);
+      return;
+    }
     if (method === 'DELETE') this.end(lease);
-    else if (!this.touch(lease)) return respond(404, {});
+    else if (!this.touch(lease)) {
+      respond(404, {});
+      return;
+    }
     respond(200, {});
   }
 
@@ -147,16 +168,25 @@
 
   private transact({ when, writes }: Transaction, respond: Respond): void {
     this.expire();
-    if (writes.some((w) => w.ticket !== undefined && !this.leases.has(w.ticket)))
-      return respond(400, { error: 'no such ticket' });
-    if (this.isTooLarge(when, writes)) return this.refuse(400, respond);
-    if (this.isTooFast(writes)) return this.refuse(429, respond);
+    if (writes.some((w) => w.ticket !== undefined && !this.leases.has(w.ticket))) {
+      respond(400, { error: 'no such ticket' });
+      return;
+    }
+    if (this.isTooLarge(when, writes)) {
+      this.refuse(400, respond);
+      return;
+    }
+    if (this.isTooFast(writes)) {
+      this.refuse(429, respond);
+      return;
+    }
     const failed = when
       .filter((c) => (this.rows.get(c.path)?.stamp ?? 0) !== c.stamp)
       .map((c) => c.path);
     if (failed.length > 0) {
       this.notes.add('transactions in conflict');
-      return respond(409, { ledgerRev: this.revision, failed });
+      respond(409, { ledgerRev: this.revision, failed });
+      return;
     }
     this.write(writes);
     respond(200, { ledgerRev: this.revision });
