--- /dev/null
+++ b/test/records-read.test.ts
@@ -0,0 +1,312 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { pino } from 'pino';
+import { Priority } from '../src/clients/budget.js';
+import { DEFAULT_POLICY } from '../src/config/policy.js';
+import { Renting } from '../src/core/renting.js';
+import type { Context } from '../src/duties/context.js';
+import { JobStore } from '../src/duties/job-store.js';
+import { corePolicy, Leader } from '../src/duties/leader.js';
+import { Leadership } from '../src/duties/leadership.js';
+import { Loads } from '../src/duties/loads.js';
+import { Mail } from '../src/duties/mail.js';
+import { readTypes, storeTypes } from '../src/duties/types.js';
+import { UpstreamListCleaner } from '../src/duties/upstream-list-cleaner.js';
+import { Users } from '../src/duties/users.js';
+import { FakeClock, settle } from './support/clock.js';
+import { cluster, spec, TYPE } from './support/cluster.js';
+import { recordingNode } from './support/recording.js';
+import { LONG_IDS, WRITTEN } from './support/records.js';
+import type { FakeStore } from './support/state.js';
+
+const never = new AbortController().signal;
+
+/** Puts the literal texts into the store, as another version has left them. */
+function seed(store: FakeStore, ...texts: readonly (readonly [key: string, text: string])[]): void {
+  for (const [key, text] of texts)
+    store.transact([], [{ op: 'put', key, value: JSON.parse(text) }]);
+}
+
+function textOf(records: readonly (readonly [string, string])[], key: string): string {
+  const found = records.find(([written]) => written === key);
+  assert.ok(found, key);
+  return found[1];
+}
+
+const PLAIN = textOf(WRITTEN.liveJobs, 'live/req-000001');
+const FULL = textOf(WRITTEN.liveJobs, 'live/req-000002');
+const LOADS = textOf(WRITTEN.loads, 'loads');
+
+/** A leader that takes over what the store holds, and what it logs. */
+async function takeover(ctx: Context) {
+  const logged: { level: number; msg: string; key?: string }[] = [];
+  const log = pino({ level: 'info' }, { write: (line: string) => logged.push(JSON.parse(line)) });
+  const stop = new AbortController();
+  const term = {
+    term: 4,
+    version: 1000,
+    signal: stop.signal,
+    proven: () => true,
+    mayStart: () => true,
+    mayAnswer: () => true,
+    informed: () => {},
+    resign: () => {},
+  };
+  const cloud = {
+    types: async () => [TYPE],
+    list: async () => ({ machines: [], more: false }),
+    rent: async () => null,
+    giveBack: async () => {},
+  };
+  const workers = { command: () => Promise.reject(new Error()), keep: () => {}, close: () => {} };
+  const leader = new Leader({ ...ctx, log }, cloud, term, corePolicy(DEFAULT_POLICY), workers);
+  const ended = leader.run().catch(() => {});
+  await settle();
+  assert.ok(leader.ready);
+  return {
+    leader,
+    logged,
+    end: async () => {
+      stop.abort();
+      await ended;
+    },
+  };
+}
+
+test('a leader takes over jobs, finished tasks, machines and expected work', async () => {
+  const { ctx, store } = recordingNode(new FakeClock());
+  seed(store, ...WRITTEN.liveJobs, ...WRITTEN.upstreamPages, ...WRITTEN.upstreamList);
+  seed(store, ...WRITTEN.progress, ...WRITTEN.loads, ...WRITTEN.types);
+  seed(store, ['bits/req-000002/0000', '"Ag=="']);
+  const { leader, end } = await takeover(ctx);
+  const { jobs, machines } = leader.cluster;
+  assert.deepEqual(
+    [...jobs.keys()],
+    ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'],
+  );
+  assert.deepEqual(jobs.get('req-000002')?.spec, {
+    ...spec(),
+    id: 'req-000002',
+    rank: 0,
+    tasks: 2,
+    cpus: 2,
+    gpus: 1,
+    memoryGb: 4,
+    types: ['m16', 'g8'],
+    zone: 'b',
+    oneZone: true,
+    spread: true,
+    estimateS: 10.5,
+    checkpointS: 60,
+    saveS: 2,
+    deadlineS: 300,
+  });
+  const acceptedAt = [...jobs.values()].map((job) => job.acceptedAt);
+  assert.deepEqual(acceptedAt, Array(5).fill(1_800_000_001_000));
+  assert.deepEqual([...(jobs.get('req-000003')?.waitsFor ?? [])], ['req-000001', 'req-000002']);
+  assert.deepEqual([...(jobs.get('req-000004')?.waitsFor ?? [])], LONG_IDS);
+  assert.deepEqual([...(jobs.get('req-000005')?.waitsFor ?? [])], LONG_IDS);
+  assert.equal(jobs.get('req-000001')?.done, 1);
+  assert.equal(jobs.get('req-000002')?.isDone(1), true);
+  assert.deepEqual(
+    [...machines.values()].map((m) => [m.id, m.typeName, m.zone, m.spot, m.address]),
+    [
+      ['n-1', 'm16', 'a', true, '10.0.0.1:9001'],
+      ['n-2', 'm16', 'b', false, '10.0.0.1:9002'],
+    ],
+  );
+  await end();
+});
+
+test('machines in keys of their own and jobs without times, of earlier versions, are taken over', async () => {
+  const { ctx, store } = recordingNode(new FakeClock());
+  const job = JSON.parse(PLAIN) as { spec: object };
+  seed(
+    store,
+    ['roster/n-7', '{"type":"m16","zone":"a","spot":true}'],
+    ['roster/odd', '[]'],
+    ['live/req-000001', JSON.stringify({ spec: job.spec })],
+  );
+  const { leader, end } = await takeover(ctx);
+  const { machines, jobs } = leader.cluster;
+  const read = [...machines.values()].map((m) => [m.id, m.typeName, m.zone, m.spot, m.address]);
+  assert.deepEqual(read, [
+    ['n-7', 'm16', 'a', true, ''],
+    ['odd', 'undefined', 'undefined', false, ''],
+  ]);
+  assert.deepEqual([...jobs.keys()], ['req-000001']);
+  await end();
+});
+
+test('jobs and bitmaps that are not readable are said once, and hold up nothing', async () => {
+  const { ctx, store } = recordingNode(new FakeClock());
+  seed(
+    store,
+    ...WRITTEN.liveJobs,
+    ['live/a', '5'],
+    ['live/b', '{}'],
+    ['live/c', '{"spec":null}'],
+    ['live/d', '[]'],
+    ['bits/req-000001/0000', '{"odd":1}'],
+    ['bits/req-000002/odd', '"Ag=="'],
+  );
+  const { leader, logged, end } = await takeover(ctx);
+  assert.deepEqual([...leader.cluster.jobs.keys()], ['req-000001', 'req-000002', 'req-000003']);
+  const errors = logged.filter((line) => line.level >= 50).map((line) => [line.msg, line.key]);
+  assert.deepEqual(
+    errors,
+    ['live/a', 'live/b', 'live/c', 'live/d'].map((key) => ['live job is not readable', key]),
+  );
+  assert.equal(leader.cluster.jobs.get('req-000001')?.done, 0);
+  await end();
+});
+
+test('what users ask is answered from the records', async () => {
+  const { ctx, store } = recordingNode(new FakeClock());
+  seed(store, ...WRITTEN.upstreamPages, ...WRITTEN.upstreamList, ...WRITTEN.ends.slice(0, 2));
+  seed(store, ['live/odd', 'null'], ['live/req-000009', FULL]);
+  const jobs = new JobStore(ctx);
+  for (const id of ['req-000004', 'req-000005']) {
+    const found = await jobs.find(id, Priority.users);
+    assert.ok(found?.live);
+    assert.deepEqual(await jobs.upstreamOf(id, found.record, Priority.users), LONG_IDS);
+  }
+  const done = await jobs.find('req-000001', Priority.users);
+  assert.deepEqual(done?.record, { state: 'done', tasks: 3, at: 1_800_000_001_000 });
+  const cancelled = await jobs.findEnd('req-000002', Priority.users);
+  assert.deepEqual(cancelled?.record, { state: 'cancelled', tasks: 3 });
+  const users = new Users(
+    ctx,
+    () => null,
+    async () => {},
+  );
+  const standings = [];
+  for (const id of ['req-000001', 'req-000002', 'req-000009'])
+    standings.push((await users.query(id)).body);
+  assert.deepEqual(standings, [
+    { id: 'req-000001', standing: 'done', done: 3, running: 0 },
+    { id: 'req-000002', standing: 'cancelled', done: 0, running: 0 },
+    { id: 'req-000009', standing: 'queued', done: 0, running: 0 },
+  ]);
+});
+
+test('a record that is none is not believed, and ends nothing', async () => {
+  const { ctx, store } = recordingNode(new FakeClock());
+  seed(store, ['live/req-000001', 'null'], ['live/req-000002', '5'], ['over/req-000003', 'null']);
+  const users = new Users(
+    ctx,
+    () => null,
+    async () => {},
+  );
+  for (const id of ['req-000001', 'req-000002', 'req-000003'])
+    assert.equal((await users.query(id)).status, 503);
+});
+
+test('what a later version added goes on in what is written again', async () => {
+  const clock = new FakeClock();
+  const { ctx, store, state } = recordingNode(clock);
+  const loads = LOADS.replace('"spec":{', '"spec":{"later":[1],')
+    .replace('"shape":{', '"hint":"x","shape":{"disks":2,')
+    .replace(',"holdS":20.6', '');
+  const live = PLAIN.replace('"oneZone"', '"region":"r","oneZone"');
+  seed(store, ['loads', loads], ['live/req-000001', live]);
+  const stop = new AbortController();
+  const term = { term: 1, version: 0, signal: stop.signal } as never;
+  const first = new Renting(cluster());
+  const kept = new Loads(ctx, term, first);
+  await kept.read();
+  const found = await new JobStore(ctx).find('req-000001', Priority.users);
+  assert.ok(found?.live);
+  kept.arrived(found.record.spec, 99);
+  void kept.run(stop.signal).catch(() => {});
+  await clock.advance(ctx.timing.loadsMs + 1);
+  stop.abort();
+  await settle();
+  const { spec } = JSON.parse(live) as { spec: object };
+  const large = loads
+    .slice(loads.indexOf('{"spec"'), loads.indexOf('],"upTo"'))
+    .replace('"quietMs":0', '"quietMs":0,"holdS":20.6');
+  const shape = '"shape":{"cpus":2,"gpus":0,"memoryGb":4}';
+  const small = `{"spec":${JSON.stringify(spec)},"mean":0.212,"variance":0.424,${shape},"holdS":10.6,"gapMs":50000,"quietMs":0}`;
+  assert.equal(state.text('loads'), `{"loads":[${large},${small}],"upTo":99,"more":0}`);
+});
+
+test('machine types are read, and kept as they stand unless more than a price differs', async () => {
+  const { ctx, store, state } = recordingNode(new FakeClock());
+  const cloud = { types: async () => [TYPE] };
+  const g8 = { ...TYPE, name: 'g8', gpus: 8 };
+  seed(store, ...WRITTEN.types);
+  assert.deepEqual(await readTypes(ctx, cloud, never), [TYPE, g8]);
+  await storeTypes(ctx, [TYPE, g8], never);
+  assert.deepEqual(state.written, []);
+  // A later version's field is no longer there once this one has written.
+  seed(store, ['types', textOf(WRITTEN.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1')]);
+  assert.deepEqual(
+    (await readTypes(ctx, cloud, never)).map((t) => t.gpus),
+    [0, 8],
+  );
+  await storeTypes(ctx, [TYPE, g8], never);
+  assert.deepEqual(state.written, WRITTEN.types);
+  for (const odd of ['{}', '[]', 'null', '"x"']) {
+    seed(store, ['types', odd]);
+    assert.deepEqual(await readTypes(ctx, cloud, never), [TYPE]);
+  }
+});
+
+test('a list whose job never came is removed, with what a later version has put into its header', async () => {
+  const clock = new FakeClock();
+  const { ctx, store, state } = recordingNode(clock);
+  seed(store, ...WRITTEN.upstreamList.slice(0, -1));
+  const [[key] = ['']] = WRITTEN.upstreamList;
+  seed(store, [key, '{"by":"n-1","pages":2}']);
+  const stop = new AbortController();
+  void new UpstreamListCleaner(ctx, new Map()).run(stop.signal);
+  await clock.advance(ctx.timing.orphanListMs + ctx.timing.workerLeaseMs * 3);
+  stop.abort();
+  assert.deepEqual(state.written, [[key, '{"by":"n-1","pages":2,"removing":true}']]);
+  assert.deepEqual([...store.entries.keys()], []);
+});
+
+test('the leader is read from its record; one that is not readable is none', async () => {
+  const clock = new FakeClock();
+  const { ctx, store } = recordingNode(clock);
+  seed(store, ['leader', '{"node":"n-1","incarnation":"n-1-1","term":6,"lease":3}'], ['term', '6']);
+  const stop = new AbortController();
+  const leadership = new Leadership(ctx, () => new Promise(() => {}));
+  void leadership.run(stop.signal);
+  await settle();
+  assert.deepEqual([leadership.leader, leadership.knownTerm], ['n-1', 6]);
+  store.transact([], [{ op: 'delete', key: 'leader' }]);
+  await clock.advance(5000);
+  assert.equal(leadership.current?.term, 7);
+  stop.abort();
+});
+
+test('mail that is none, or for an earlier process, is let be', async () => {
+  const clock = new FakeClock();
+  const { ctx, store, state } = recordingNode(clock);
+  const stop = new AbortController();
+  const texts: string[] = [];
+  const mail = new Mail(ctx, async (text) => texts.push(text));
+  void mail.run(stop.signal);
+  await settle();
+  const late = assert.rejects(mail.ask('n-1', 'm-7', 'x', 1000), /not answered/);
+  await settle();
+  seed(
+    store,
+    ['mail/n-0/n-1/m-7', '{"kind":"answer","n":1,"incarnation":"n-0-0","value":1}'],
+    ['mail/n-0/n-1/m-7', '{"kind":"answer","n":2,"incarnation":"n-0-1","value":1}'],
+    ['mail/n-0/n-1/m-8', '{"kind":"ask","n":1,"from":"n-1","incarnation":"n-1-1"}'],
+    ['mail/n-0/n-1/m-8', '{"kind":"odd"}'],
+    ['mail/n-0/n-1/m-8', '[]'],
+    ['mail/n-0/n-1/m-9', '{"kind":"ask","n":"seven","from":"n-1","incarnation":null,"text":"t"}'],
+  );
+  await clock.advance(1000);
+  await late;
+  assert.deepEqual(texts, ['t']);
+  assert.equal(
+    state.text('mail/n-1/n-0/m-9'),
+    '{"kind":"answer","n":"seven","incarnation":null,"value":1}',
+  );
+  stop.abort();
+});
--- /dev/null
+++ b/test/support/recording.ts
@@ -0,0 +1,34 @@
+import type { StateLimits } from '../../src/config/state-limits.js';
+import type { Context } from '../../src/duties/context.js';
+import type { Change } from '../../src/protocol/store.js';
+import type { FakeClock } from './clock.js';
+import { context } from './context.js';
+import { FakeState, FakeStore } from './state.js';
+
+/** A state service that keeps the text of every value that is written to it, in order. */
+export class RecordingState extends FakeState {
+  /** Key and JSON text of each value, as they leave the writer. */
+  readonly written: [key: string, text: string][] = [];
+
+  constructor(store: FakeStore) {
+    super(store);
+    this.onTransact = (changes: Change[]) => {
+      for (const c of changes)
+        if (c.op === 'put') this.written.push([c.key, JSON.stringify(c.value)]);
+    };
+  }
+
+  /** The text last written under the key. */
+  text(key: string): string | undefined {
+    return this.written.findLast(([written]) => written === key)?.[1];
+  }
+}
+
+/** One node with a store of its own; low limits make little data take several pages. */
+export function recordingNode(clock: FakeClock, limits: Partial<StateLimits> = {}) {
+  const store = new FakeStore(clock);
+  const state = new RecordingState(store);
+  const base = context('n-0', state, clock);
+  const ctx: Context = { ...base, limits: { ...base.limits, ...limits } };
+  return { store, state, ctx };
+}
