--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -90,6 +90,15 @@
   ageS: number;
 }
 
+/** A machine that may have been given tasks, as the durable roster keeps it. */
+export interface RosterEntry {
+  id: string;
+  type: string;
+  zone: string;
+  spot: boolean;
+  address: string;
+}
+
 /** Whether one task of the job can ever run on a machine of the type. */
 export function typeFits(job: JobSpec, type: MachineType): boolean {
   return (
--- a/src/core/roster.ts
+++ b/src/core/roster.ts
@@ -1,11 +1,7 @@
-/** A machine as the durable roster holds it. */
-export interface RosterEntry {
-  id: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  address: string;
-}
+import { encodeRosterEntry } from '../records/roster-record.js';
+import type { RosterEntry } from './model.js';
+
+export type { RosterEntry } from './model.js';
 
 interface Page {
   key: string;
@@ -201,5 +197,5 @@
 
 /** What an entry takes in a page's value, with the comma behind it. */
 function entryBytes(e: RosterEntry): number {
-  return Buffer.byteLength(JSON.stringify(e)) + 1;
+  return Buffer.byteLength(JSON.stringify(encodeRosterEntry(e))) + 1;
 }
--- /dev/null
+++ b/src/records/machine-type-record.ts
@@ -0,0 +1,69 @@
+import type { MachineType } from '../core/model.js';
+import { isObject } from '../protocol/wire.js';
+import { mapObject } from './stored-form.js';
+
+/**
+ * The cloud's machine types, `types`: a list. The leader writes it when more
+ * than prices has changed; nodes read it that start while the cloud is away.
+ */
+
+/** A machine type as it is stored. All versions write all fields. */
+export interface StoredMachineType {
+  name: string;
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+  cacheGb: number;
+  fetchGbPerS: number;
+  price: number;
+  spotPrice: number;
+  bootS: number;
+  zones: string[];
+}
+
+export function encodeMachineType(type: MachineType): StoredMachineType {
+  return {
+    name: type.name,
+    cpus: type.cpus,
+    gpus: type.gpus,
+    memoryGb: type.memoryGb,
+    cacheGb: type.cacheGb,
+    fetchGbPerS: type.fetchGbPerS,
+    price: type.price,
+    spotPrice: type.spotPrice,
+    bootS: type.bootS,
+    zones: type.zones,
+  };
+}
+
+/** Null: it is no object. */
+export function decodeMachineType(value: unknown): MachineType | null {
+  if (!isObject(value)) return null;
+  const stored = value as unknown as StoredMachineType;
+  return {
+    name: stored.name,
+    cpus: stored.cpus,
+    gpus: stored.gpus,
+    memoryGb: stored.memoryGb,
+    cacheGb: stored.cacheGb,
+    fetchGbPerS: stored.fetchGbPerS,
+    price: stored.price,
+    spotPrice: stored.spotPrice,
+    bootS: stored.bootS,
+    zones: stored.zones,
+  };
+}
+
+export function encodeMachineTypes(types: readonly MachineType[]): StoredMachineType[] {
+  return types.map(encodeMachineType);
+}
+
+/** The list as it stands, with whatever another version has put into it; null: it is no list. */
+export function storedMachineTypes(value: unknown): StoredMachineType[] | null {
+  return Array.isArray(value) ? value : null;
+}
+
+/** Null: it is no list. */
+export function decodeMachineTypes(value: unknown): MachineType[] | null {
+  return storedMachineTypes(value)?.map((type) => mapObject(type, decodeMachineType)) ?? null;
+}
--- /dev/null
+++ b/test/records-codecs.test.ts
@@ -0,0 +1,231 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { FrameReader, frame } from '../src/peer/frames.js';
+import {
+  decodeFirstPage,
+  decodeLoad,
+  decodeLoads,
+  encodeFirstPage,
+  encodeFurtherPage,
+  encodeLoad,
+} from '../src/records/demand-record.js';
+import {
+  decodeJobIds,
+  decodeListHeader,
+  encodeJobIds,
+  encodeListHeader,
+  encodeRemoval,
+} from '../src/records/dependency-list-record.js';
+import { decodeFinishedTasks, encodeFinishedTasks } from '../src/records/finished-tasks-record.js';
+import { decodeJobEnd, encodeJobEnd } from '../src/records/job-end-record.js';
+import {
+  decodeJobSpec,
+  decodeLiveRecord,
+  encodeJobSpec,
+  encodeLiveRecord,
+} from '../src/records/job-record.js';
+import {
+  decodeLeaderRecord,
+  decodeTerm,
+  encodeLeaderRecord,
+  encodeTerm,
+} from '../src/records/leader-record.js';
+import {
+  decodeMachineType,
+  decodeMachineTypes,
+  encodeMachineTypes,
+} from '../src/records/machine-type-record.js';
+import { decodeMail, encodeMailAnswer, encodeMailQuestion } from '../src/records/mailbox-record.js';
+import { decodeFrame, encodeFrame } from '../src/records/peer-frames.js';
+import {
+  decodeCancellation,
+  decodeReply,
+  decodeRequest,
+  encodeCancellation,
+  encodeReply,
+  encodeRequest,
+} from '../src/records/peer-questions.js';
+import {
+  decodeRosterEntry,
+  decodeRosterPage,
+  encodeRosterPage,
+} from '../src/records/roster-record.js';
+import { mapObject } from '../src/records/stored-form.js';
+import { spec, TYPE } from './support/cluster.js';
+import { PEER_FRAMES, WRITTEN } from './support/records.js';
+
+/** Reads a stored value into the model and writes the model again; throws when it is not readable. */
+type RoundTrip = (value: unknown, key: string) => unknown;
+
+function readable<T>(model: T | null): T {
+  assert.notEqual(model, null, 'readable');
+  return model as T;
+}
+
+/** The codec of each key by the first part of its name. */
+const ROUND_TRIPS: Record<string, RoundTrip> = {
+  live: (value) => encodeLiveRecord(readable(decodeLiveRecord(value))),
+  upstream: (value) => encodeJobIds(decodeJobIds(value)),
+  needs: (value) => encodeJobIds(decodeJobIds(value)),
+  lists: (value) => {
+    const header = readable(decodeListHeader(value));
+    return header.removing ? encodeRemoval(header) : encodeListHeader(header);
+  },
+  over: (value) => {
+    const { state, at, tasks } = readable(decodeJobEnd(value));
+    return encodeJobEnd({ state, at: at ?? null }, tasks);
+  },
+  bits: (value) => encodeFinishedTasks(readable(decodeFinishedTasks(value))),
+  roster: (value, key) => encodeRosterPage(decodeRosterPage(key, value)),
+  loads: (value, key) => {
+    if (key !== 'loads') return encodeFurtherPage(readable(decodeLoads(value)).map(encodeLoad));
+    const { loads, upTo, more } = readable(decodeFirstPage(value));
+    return encodeFirstPage(loads.map(encodeLoad), upTo, more);
+  },
+  types: (value) => encodeMachineTypes(readable(decodeMachineTypes(value))),
+  mail: (value) => {
+    const mail = readable(decodeMail(value));
+    return mail.kind === 'ask' ? encodeMailQuestion(mail) : encodeMailAnswer(mail);
+  },
+  leader: (value) => encodeLeaderRecord(readable(decodeLeaderRecord(value))),
+  term: (value) => encodeTerm(readable(decodeTerm(value))),
+};
+
+test('whatever the models are called, each record that is read is written as it was, byte for byte', () => {
+  const covered = new Set<string>();
+  for (const [key, text] of Object.values(WRITTEN).flat()) {
+    const [name = ''] = key.split('/');
+    const roundTrip = ROUND_TRIPS[name];
+    assert.ok(roundTrip, `a codec for ${key}`);
+    assert.equal(JSON.stringify(roundTrip(JSON.parse(text), key)), text, key);
+    covered.add(name);
+  }
+  assert.deepEqual([...covered].sort(), Object.keys(ROUND_TRIPS).sort());
+});
+
+test('frames that are read are sent as they were, byte for byte', () => {
+  for (const [name, hex] of Object.entries(PEER_FRAMES)) {
+    const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
+    const read = readable(decodeFrame(value));
+    assert.equal(frame(encodeFrame(read)).toString('hex'), hex, name);
+  }
+  const payloads: [string, (value: unknown) => unknown][] = [
+    [PEER_FRAMES.user, (v) => encodeRequest(readable(decodeRequest(v)))],
+    [PEER_FRAMES.cancelled, (v) => encodeCancellation(readable(decodeCancellation(v)))],
+    [PEER_FRAMES.userReply, (v) => encodeReply(readable(decodeReply(v)))],
+    [PEER_FRAMES.reportReply, (v) => encodeReply(readable(decodeReply(v)))],
+  ];
+  for (const [hex, roundTrip] of payloads) {
+    const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
+    const read = readable(decodeFrame(value));
+    assert.ok(read.kind !== 'status');
+    const again = encodeFrame({ ...read, payload: roundTrip(read.payload) });
+    assert.equal(frame(again).toString('hex'), hex);
+  }
+});
+
+test('a model that is written is read as it was', () => {
+  const job = spec({ types: ['m16'], zone: 'b', deadlineS: 30 });
+  const throughText = (stored: unknown): unknown => JSON.parse(JSON.stringify(stored));
+  assert.deepEqual(decodeJobSpec(throughText(encodeJobSpec(job))), job);
+  for (const record of [
+    { spec: job, at: 7 },
+    { spec: job, at: 7, upstream: ['req-1'], upstreamPages: 2 },
+    { spec: job, at: 7, upstream: ['req-1/list'], upstreamList: { token: 'ab', pages: 3 } },
+  ])
+    assert.deepEqual(decodeLiveRecord(throughText(encodeLiveRecord(record))), record);
+  const load = {
+    spec: job,
+    mean: 0.5,
+    variance: 2,
+    shape: { cpus: 1.5, gpus: 0, memoryGb: 3 },
+    holdS: 20.6,
+    gapMs: null,
+    quietMs: 9,
+  };
+  assert.deepEqual(decodeLoad(throughText(encodeLoad(load))), load);
+  assert.deepEqual(decodeMachineTypes(throughText(encodeMachineTypes([TYPE]))), [TYPE]);
+  const machine = { id: 'n-1', type: 'm16', zone: 'a', spot: true, address: '10.0.0.1:9001' };
+  assert.deepEqual(decodeRosterPage('3-1', throughText(encodeRosterPage([machine]))), [machine]);
+});
+
+/** What the state service or a peer might hold instead of an object. */
+const NO_OBJECTS = [undefined, null, 5, 'text', true, [], [{}]];
+
+test('what is no object is no record, and is left to its reader as it stands', () => {
+  const decoders: Record<string, (value: unknown) => unknown> = {
+    decodeJobSpec,
+    decodeLiveRecord,
+    decodeJobEnd,
+    decodeListHeader,
+    decodeRosterEntry,
+    decodeLoad,
+    decodeLoads,
+    decodeFirstPage,
+    decodeMachineType,
+    decodeMail,
+    decodeLeaderRecord,
+    decodeFrame,
+    decodeRequest,
+    decodeCancellation,
+    decodeReply,
+  };
+  for (const [name, decode] of Object.entries(decoders))
+    for (const value of NO_OBJECTS) {
+      assert.equal(decode(value), null, `${name} of ${JSON.stringify(value)}`);
+      assert.equal(mapObject(value, decode), value);
+    }
+  assert.equal(decodeMachineTypes({}), null);
+  assert.deepEqual(decodeMachineTypes([null, 5]), [null, 5]);
+  assert.equal(decodeFinishedTasks({}), null);
+  assert.equal(decodeTerm('7'), null);
+});
+
+test('records that lack fields are read without them, and those that must be whole are not', () => {
+  for (const decode of [decodeJobSpec, decodeMachineType, decodeLoad]) {
+    const model = readable<object>(decode({}));
+    assert.ok(Object.values(model).every((value) => value === undefined));
+  }
+  const live = readable(decodeLiveRecord({ spec: null, at: 'x' }));
+  assert.deepEqual(live, { spec: null, at: 'x' });
+  // Null is not the same as absent to those who ask whether there is a list.
+  assert.deepEqual(Object.keys(readable(decodeLiveRecord({ upstreamList: null }))), [
+    'spec',
+    'at',
+    'upstreamList',
+  ]);
+  assert.deepEqual(decodeJobEnd({}), { state: undefined, tasks: undefined });
+  assert.deepEqual(decodeRosterPage('n-7', { type: 'm16', zone: 'a' }), [
+    { id: 'n-7', type: 'm16', zone: 'a', spot: false, address: '' },
+  ]);
+  assert.deepEqual(decodeRosterPage('p', { machines: [null, 5] }), []);
+  assert.deepEqual(decodeFirstPage({ loads: [], upTo: 3 }), { loads: [], upTo: 3, more: 0 });
+  for (const odd of [{}, { kind: 'ask' }, { kind: 'ask', text: 5 }, { kind: 'status' }])
+    assert.equal(decodeMail(odd), null);
+  for (const odd of [{}, { kind: 'odd' }, { kind: 'status' }, { kind: 'status', status: [] }])
+    assert.equal(decodeFrame(odd), null);
+  const leader = { node: 'n-0', incarnation: 'i', term: 1, lease: 2 };
+  for (const field of Object.keys(leader))
+    assert.equal(decodeLeaderRecord({ ...leader, [field]: null }), null, field);
+});
+
+test('in what is read and written again, fields of a later version stay where they are', () => {
+  const stored = {
+    later: 1,
+    spec: { region: 'r', ...spec() },
+    mean: 1,
+    variance: 2,
+    shape: { disks: 2, cpus: 1, gpus: 0, memoryGb: 1 },
+    gapMs: 5,
+    quietMs: 6,
+  };
+  const load = readable(decodeLoad(stored));
+  load.mean = 4;
+  load.holdS = 9;
+  assert.equal(JSON.stringify(encodeLoad(load)), JSON.stringify({ ...stored, mean: 4, holdS: 9 }));
+  // What is made anew has nothing of it.
+  load.shape = { cpus: 2, gpus: 0, memoryGb: 2 };
+  assert.deepEqual(encodeLoad(load).shape, { cpus: 2, gpus: 0, memoryGb: 2 });
+  const header = readable(decodeListHeader({ by: 'n-1', pages: 2, removing: false }));
+  assert.equal(JSON.stringify(encodeRemoval(header)), '{"by":"n-1","pages":2,"removing":true}');
+});
