--- a/src/core/flush.ts
+++ b/src/core/flush.ts
@@ -1,4 +1,7 @@
 import type { Change, Condition } from '../protocol/store.js';
+import { encodeFinishedTasks } from '../records/finished-tasks-record.js';
+import { encodeJobEnd } from '../records/job-end-record.js';
+import { encodeRosterPage } from '../records/roster-record.js';
 import type { Cluster } from './cluster.js';
 import type { Job } from './job.js';
 import type { JobEnd } from './job-graph.js';
@@ -94,7 +97,7 @@
   return {
     conditions: [{ key: liveKey(id), version: job.version }],
     changes: [
-      { op: 'put', key: overKey(id), value: overRecord(end, tasks) },
+      { op: 'put', key: overKey(id), value: encodeJobEnd(end, tasks) },
       { op: 'delete', key: liveKey(id) },
     ],
     size: 400 + 2 * id.length,
@@ -103,18 +106,6 @@
   };
 }
 
-/** An ended job as its key holds it. Earlier versions read no more than state and tasks. */
-export interface OverRecord {
-  state: JobEnd['state'];
-  tasks: number;
-  /** Time of day of the end. */
-  at?: number;
-}
-
-export function overRecord(end: JobEnd, tasks: number): OverRecord {
-  return { state: end.state, tasks, ...(end.at === null ? {} : { at: end.at }) };
-}
-
 /**
  * A write of a bitmap, over the version that is known of it: without that a
  * late copy of an older write would take finished tasks back that their
@@ -130,7 +121,7 @@
   const { id } = job.spec;
   const key = cluster.bitmaps.key(id, chunk);
   const bits = job.chunkBits(chunk, cluster.bitmaps.tasksPerChunk);
-  const value = Buffer.from(bits).toString('base64');
+  const value = encodeFinishedTasks(bits);
   job.dirty.delete(chunk);
   // A first write that gets no answer may still leave a key behind.
   job.chunks.set(chunk, version);
@@ -173,6 +164,7 @@
 
 function pageUnit(cluster: Cluster, w: PageWrite): Unit {
   const key = rosterKey(w.key);
+  const value = encodeRosterPage(w.entries);
   const settle = (done: boolean) => {
     for (const e of w.added) {
       const m = cluster.machines.get(e.id);
@@ -185,12 +177,8 @@
   };
   return {
     conditions: w.version === null ? [] : [{ key, version: w.version }],
-    changes: [
-      w.entries.length > 0
-        ? { op: 'put', key, value: { machines: w.entries } }
-        : { op: 'delete', key },
-    ],
-    size: 400 + JSON.stringify(w.entries).length,
+    changes: [w.entries.length > 0 ? { op: 'put', key, value } : { op: 'delete', key }],
+    size: 400 + JSON.stringify(value.machines).length,
     applied: (revision) => {
       w.applied(revision);
       settle(true);
--- a/src/duties/job-store.ts
+++ b/src/duties/job-store.ts
@@ -1,30 +1,18 @@
 import { Priority } from '../clients/budget.js';
 import type { Transaction } from '../clients/state.js';
-import { type OverRecord, overRecord } from '../core/flush.js';
 import { LIVE_PREFIX, liveKey, OVER_PREFIX, overKey, upstreamKey } from '../core/keys.js';
 import type { JobSpec } from '../core/model.js';
 import type { Change, Condition, Entry } from '../protocol/store.js';
+import { decodeJobIds, encodeJobIds } from '../records/dependency-list-record.js';
+import { decodeJobEnd, encodeJobEnd, type OverRecord } from '../records/job-end-record.js';
+import { decodeLiveRecord, encodeLiveRecord, type LiveRecord } from '../records/job-record.js';
+import { mapObject } from '../records/stored-form.js';
 import type { Context } from './context.js';
 import { readKeys } from './key-ranges.js';
-import { type UpstreamListRef, UpstreamLists } from './upstream-lists.js';
+import { UpstreamLists } from './upstream-lists.js';
 import { bytesOf, paged, TRANSACTION_BYTES, valueRoom } from './value-sizes.js';
 
-/** A job as its live key holds it. Earlier versions read spec and time alone. */
-export interface LiveRecord {
-  spec: JobSpec;
-  /** Time of day of its acceptance. */
-  at: number;
-  /** Jobs that it needs and that were not done when it was accepted. */
-  upstream?: string[];
-  /** Further ids of such jobs stand in this many pages, written together with the record. */
-  upstreamPages?: number;
-  /**
-   * All ids of such jobs stand in a list that was written before the record.
-   * `upstream` then holds a name that no job has: a version that does not know
-   * of lists waits for it, so that it starts nothing too early.
-   */
-  upstreamList?: UpstreamListRef;
-}
+export type { LiveRecord } from '../records/job-record.js';
 
 export interface LiveJob {
   live: true;
@@ -124,7 +112,7 @@
     for (let page = 0; page < (record.upstreamPages ?? 0); page++) {
       const entry = await this.ctx.state.get(upstreamKey(id, page), priority, signal);
       if (!entry) return null;
-      ids.push(...(entry.value as string[]));
+      ids.push(...decodeJobIds(entry.value));
     }
     return ids;
   }
@@ -149,14 +137,14 @@
     const value: LiveRecord = { ...record, upstream: [placeholder(id)], upstreamList: ref };
     return this.ctx.state.transact(
       [...absent(id), condition],
-      [{ op: 'put', key: liveKey(id), value }],
+      [{ op: 'put', key: liveKey(id), value: encodeLiveRecord(value) }],
       priority,
     );
   }
 
   /** Accepts the job as already cancelled unless its id is known. */
   createCancelled(spec: JobSpec, priority: Priority): Promise<Transaction> {
-    const value = overRecord({ state: 'cancelled', at: null }, spec.tasks);
+    const value = encodeJobEnd({ state: 'cancelled', at: null }, spec.tasks);
     return this.ctx.state.transact(
       absent(spec.id),
       [{ op: 'put', key: overKey(spec.id), value }],
@@ -173,7 +161,11 @@
         { key: overKey(id), version: 0 },
       ],
       [
-        { op: 'put', key: overKey(id), value: overRecord({ state: 'cancelled', at: null }, tasks) },
+        {
+          op: 'put',
+          key: overKey(id),
+          value: encodeJobEnd({ state: 'cancelled', at: null }, tasks),
+        },
         { op: 'delete', key: liveKey(id) },
       ],
       priority,
@@ -189,7 +181,7 @@
       upstream.length === 0
         ? record
         : { ...record, upstream: [placeholder(id)], upstreamPages: limits.changes };
-    const baseBytes = bytesOf(base);
+    const baseBytes = bytesOf(encodeLiveRecord(base));
     if (baseBytes > room) throw new TooLarge('the description of the job is too large');
     const [first = [], ...further] = paged(upstream, room - baseBytes, room);
     if (further.length + 1 > limits.changes) return null;
@@ -200,20 +192,24 @@
       ...(further.length > 0 ? { upstreamPages: further.length } : {}),
     };
     return [
-      { op: 'put', key: liveKey(id), value },
+      { op: 'put', key: liveKey(id), value: encodeLiveRecord(value) },
       ...further.map(
-        (ids, page): Change => ({ op: 'put', key: upstreamKey(id, page), value: ids }),
+        (ids, page): Change => ({
+          op: 'put',
+          key: upstreamKey(id, page),
+          value: encodeJobIds(ids),
+        }),
       ),
     ];
   }
 }
 
 function liveJob(entry: Entry): LiveJob {
-  return { live: true, record: entry.value as LiveRecord, version: entry.version };
+  return { live: true, record: mapObject(entry.value, decodeLiveRecord), version: entry.version };
 }
 
 function endedJob(entry: Entry): EndedJob {
-  return { live: false, record: entry.value as OverRecord, version: entry.version };
+  return { live: false, record: mapObject(entry.value, decodeJobEnd), version: entry.version };
 }
 
 function absent(id: string): Condition[] {
--- a/src/duties/leader.ts
+++ b/src/duties/leader.ts
@@ -17,15 +17,17 @@
 import { fill, round } from '../core/placement.js';
 import type { Aims, CorePolicy } from '../core/policy.js';
 import { Renting } from '../core/renting.js';
-import type { RosterEntry } from '../core/roster.js';
 import type { Entry, StoreEvent } from '../protocol/store.js';
 import { isObject } from '../protocol/wire.js';
+import { decodeFinishedTasks } from '../records/finished-tasks-record.js';
+import { decodeLiveRecord } from '../records/job-record.js';
+import { decodeRosterPage } from '../records/roster-record.js';
 import { Stopped } from './clock.js';
 import { Commands } from './commands.js';
 import type { Context } from './context.js';
 import { Fleet } from './fleet.js';
 import { Flusher } from './flusher.js';
-import { isListedInRecord, JobStore, type LiveRecord } from './job-store.js';
+import { isListedInRecord, JobStore } from './job-store.js';
 import type { Term } from './leadership.js';
 import { Loads } from './loads.js';
 import { retry } from './retry.js';
@@ -57,19 +59,6 @@
   };
 }
 
-/** A page of the roster; one machine stood in a key of its own in earlier versions. */
-function rosterEntries(key: string, value: unknown): RosterEntry[] {
-  const v = isObject(value) ? value : {};
-  const list = Array.isArray(v.machines) ? v.machines : [{ ...v, id: key }];
-  return list.filter(isObject).map((m) => ({
-    id: String(m.id),
-    type: String(m.type),
-    zone: String(m.zone),
-    spot: m.spot === true,
-    address: typeof m.address === 'string' ? m.address : '',
-  }));
-}
-
 type Page = Awaited<ReturnType<Context['state']['listPage']>>;
 
 /** A round's own time is followed by this many times as much for everything else. */
@@ -236,7 +225,7 @@
     const roster = await this.readAll(ROSTER_PREFIX);
     for (const e of roster.entries) {
       const key = e.key.slice(ROSTER_PREFIX.length);
-      const entries = rosterEntries(key, e.value);
+      const entries = decodeRosterPage(key, e.value);
       cluster.roster.restore(key, e.version, entries);
       for (const m of entries)
         cluster.inheritMachine(m.id, m.type, m.zone, m.spot, m.address, ctx.clock.now());
@@ -250,11 +239,12 @@
     for (const e of bits.entries) {
       const key = cluster.bitmaps.parse(e.key);
       const job = key && cluster.jobs.get(key.job);
-      if (!job || typeof e.value !== 'string') {
+      const done = decodeFinishedTasks(e.value);
+      if (!job || !done) {
         cluster.cleanup.add(e.key);
         continue;
       }
-      job.loadBits(key.firstTask, Buffer.from(e.value, 'base64'));
+      job.loadBits(key.firstTask, done);
       if (key.chunk === null) job.otherKeys.push(e.key);
       else job.chunks.set(key.chunk, e.version);
     }
@@ -268,8 +258,8 @@
   }
 
   private addLive(key: string, value: unknown, version: number): void {
-    const record = value as LiveRecord;
-    if (!isObject(value) || !isObject(record.spec)) {
+    const record = decodeLiveRecord(value);
+    if (!record || !isObject(record.spec)) {
       this.ctx.log.error({ key }, 'live job is not readable');
       return;
     }
--- a/src/duties/leadership.ts
+++ b/src/duties/leadership.ts
@@ -1,18 +1,17 @@
 import { Priority } from '../clients/budget.js';
-import { isObject } from '../protocol/wire.js';
+import {
+  decodeLeaderRecord,
+  decodeTerm,
+  encodeLeaderRecord,
+  encodeTerm,
+  type LeaderRecord,
+} from '../records/leader-record.js';
 import { pause, Stopped } from './clock.js';
 import type { Context } from './context.js';
 
 export const LEADER_KEY = 'leader';
 const TERM_KEY = 'term';
 
-interface LeaderRecord {
-  node: string;
-  incarnation: string;
-  term: number;
-  lease: number;
-}
-
 /** One term that this node won. */
 export interface Term {
   term: number;
@@ -30,19 +29,6 @@
   resign(why: string): void;
 }
 
-function parseRecord(value: unknown): LeaderRecord | null {
-  if (!isObject(value)) return null;
-  const { node, incarnation, term, lease } = value;
-  if (
-    typeof node !== 'string' ||
-    typeof incarnation !== 'string' ||
-    typeof term !== 'number' ||
-    typeof lease !== 'number'
-  )
-    return null;
-  return { node, incarnation, term, lease };
-}
-
 /**
  * The routine that stands for election, renews a won lease and follows who
  * leads. It rests on the state service's fencing; clocks only bound how long
@@ -92,7 +78,7 @@
     const { ctx } = this;
     const page = await ctx.state.listPage(LEADER_KEY, null, signal);
     const entry = page.entries.find((e) => e.key === LEADER_KEY);
-    const record = entry ? parseRecord(entry.value) : null;
+    const record = entry ? decodeLeaderRecord(entry.value) : null;
     if (entry && record) {
       if (record.node === ctx.node && record.incarnation !== ctx.incarnation) {
         // This node's former process is dead; its lease need not be waited for.
@@ -118,7 +104,7 @@
   private async stand(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const old = await ctx.state.get(TERM_KEY, Priority.lead, signal);
-    const term = (typeof old?.value === 'number' ? old.value : 0) + 1;
+    const term = (decodeTerm(old?.value) ?? 0) + 1;
     const grantedAt = ctx.clock.now();
     const lease = await ctx.state.grant(ctx.timing.leaseMs, signal);
     const record: LeaderRecord = { node: ctx.node, incarnation: ctx.incarnation, term, lease };
@@ -130,8 +116,8 @@
           { key: TERM_KEY, version: old?.version ?? 0 },
         ],
         [
-          { op: 'put', key: LEADER_KEY, value: record, lease },
-          { op: 'put', key: TERM_KEY, value: term },
+          { op: 'put', key: LEADER_KEY, value: encodeLeaderRecord(record), lease },
+          { op: 'put', key: TERM_KEY, value: encodeTerm(term) },
         ],
         Priority.lead,
         signal,
@@ -145,7 +131,7 @@
       // Neither outcome may be believed before it is read back; the next turn does so.
       await ctx.clock.sleep(ctx.timing.renewMs * 0.2, signal);
       const entry = await ctx.state.get(LEADER_KEY, Priority.lead, signal);
-      const found = entry ? parseRecord(entry.value) : null;
+      const found = entry ? decodeLeaderRecord(entry.value) : null;
       if (!entry || found?.incarnation !== ctx.incarnation || found.term !== term) {
         await ctx.state.revoke(lease, signal);
         return;
--- a/src/duties/loads.ts
+++ b/src/duties/loads.ts
@@ -1,7 +1,14 @@
 import { Priority } from '../clients/budget.js';
 import type { Load, Renting } from '../core/renting.js';
 import type { Change } from '../protocol/store.js';
-import { isObject } from '../protocol/wire.js';
+import {
+  decodeFirstPage,
+  decodeLoads,
+  encodeFirstPage,
+  encodeFurtherPage,
+  encodeLoad,
+  type StoredLoad,
+} from '../records/demand-record.js';
 import type { Context } from './context.js';
 import { LEADER_KEY, type Term } from './leadership.js';
 import { retry } from './retry.js';
@@ -12,27 +19,10 @@
 /** What a page takes beside its loads. */
 const FRAME_BYTES = 100;
 
-/** What work is expected, as the state service keeps it. Earlier versions have the first page alone. */
-interface FirstPage {
-  loads: Load[];
-  /** The version of the newest job that is counted in it. */
-  upTo: number;
-  /** Further pages, each under a key of its own. */
-  more?: number;
-}
-
-interface FurtherPage {
-  loads: Load[];
-}
-
 function pageKey(page: number): string {
   return page === 0 ? LOADS_KEY : `${LOADS_KEY}/${page}`;
 }
 
-function loadsOf(value: unknown): Load[] {
-  return isObject(value) && Array.isArray(value.loads) ? (value.loads as Load[]) : [];
-}
-
 /** Keeps what work is expected for the next leader, which would rent too little otherwise. */
 export class Loads {
   /** Jobs up to this version are counted in what is expected. */
@@ -53,11 +43,11 @@
 
   /** Takes over what the leader before expected. */
   async read(): Promise<void> {
-    const first = await this.page(0);
-    if (!isObject(first) || !Array.isArray(first.loads)) return;
-    const { upTo, more = 0 } = first as unknown as FirstPage;
-    const loads = [...loadsOf(first)];
-    for (let page = 1; page <= more; page++) loads.push(...loadsOf(await this.page(page)));
+    const first = decodeFirstPage(await this.page(0));
+    if (!first) return;
+    const { loads, upTo, more } = first;
+    for (let page = 1; page <= more; page++)
+      loads.push(...(decodeLoads(await this.page(page)) ?? []));
     this.renting.restore(loads);
     this.counted = upTo;
   }
@@ -92,10 +82,11 @@
   private changes(): Change[] {
     const { valueBytes, changes: most } = this.ctx.limits;
     const room = valueBytes * PAGE_SHARE - FRAME_BYTES;
-    const pages: Load[][] = [[]];
+    const pages: StoredLoad[][] = [[]];
     let left = room;
     for (const load of this.renting.snapshot().sort((a, b) => b.mean - a.mean)) {
-      const bytes = Buffer.byteLength(JSON.stringify(load)) + 1;
+      const stored = encodeLoad(load);
+      const bytes = Buffer.byteLength(JSON.stringify(stored)) + 1;
       if (bytes > room) continue;
       if (bytes > left) {
         if (pages.length === most) break;
@@ -103,11 +94,11 @@
         left = room;
       }
       left -= bytes;
-      pages.at(-1)?.push(load);
+      pages.at(-1)?.push(stored);
     }
     return pages.map((loads, page) => {
-      const first: FirstPage = { loads, upTo: this.counted, more: pages.length - 1 };
-      const further: FurtherPage = { loads };
+      const first = encodeFirstPage(loads, this.counted, pages.length - 1);
+      const further = encodeFurtherPage(loads);
       return { op: 'put', key: pageKey(page), value: page === 0 ? first : further };
     });
   }
--- a/src/duties/mail.ts
+++ b/src/duties/mail.ts
@@ -1,25 +1,16 @@
 import { Priority } from '../clients/budget.js';
-import { isObject } from '../protocol/wire.js';
+import {
+  decodeMail,
+  encodeMailAnswer,
+  encodeMailQuestion,
+  type MailQuestion,
+  type StoredMail,
+} from '../records/mailbox-record.js';
 import { pause, Stopped } from './clock.js';
 import type { Context } from './context.js';
 
 const MAIL = 'mail/';
 
-interface Ask {
-  kind: 'ask';
-  n: number;
-  from: string;
-  incarnation: string;
-  text: string;
-}
-
-interface Answer {
-  kind: 'answer';
-  n: number;
-  incarnation: string;
-  value: unknown;
-}
-
 interface Waiting {
   n: number;
   resolve: (value: unknown) => void;
@@ -54,7 +45,7 @@
           if (!got) break;
           after = got.revision;
           for (const e of got.events)
-            if (e.op === 'put' && isObject(e.value)) this.take(e.key.slice(box.length), e.value);
+            if (e.op === 'put') this.take(e.key.slice(box.length), e.value);
         }
       } catch (error) {
         if (signal.aborted || error instanceof Stopped) return;
@@ -74,14 +65,14 @@
       this.waiting.set(key, { n, resolve });
     });
     try {
-      const question: Ask = {
+      const question: MailQuestion = {
         kind: 'ask',
         n,
         from: ctx.node,
         incarnation: ctx.incarnation,
         text,
       };
-      await this.put(`${MAIL}${node}/${ctx.node}/${slot}`, question);
+      await this.put(`${MAIL}${node}/${ctx.node}/${slot}`, encodeMailQuestion(question));
       const late = ctx.clock.sleep(Math.max(1, deadline - ctx.clock.now())).then(() => {
         throw new Error('mail not answered');
       });
@@ -91,22 +82,23 @@
     }
   }
 
-  private take(slot: string, value: Record<string, unknown>): void {
-    const mail = value as unknown as Ask | Answer;
-    if (mail.kind === 'answer') {
+  private take(slot: string, value: unknown): void {
+    const mail = decodeMail(value);
+    if (mail?.kind === 'answer') {
       const waiting = this.waiting.get(slot);
       if (waiting && mail.n === waiting.n && mail.incarnation === this.ctx.incarnation)
         waiting.resolve(mail.value);
-    } else if (mail.kind === 'ask' && typeof mail.text === 'string')
+    } else if (mail?.kind === 'ask')
       void this.reply(slot, mail).catch((error) =>
         this.ctx.log.debug({ error: String((error as Error).message) }, 'mail not answered'),
       );
   }
 
-  private async reply(slot: string, ask: Ask): Promise<void> {
+  private async reply(slot: string, ask: MailQuestion): Promise<void> {
     const { ctx } = this;
     const value = await this.onAsk(ask.text);
-    const answer: Answer = { kind: 'answer', n: ask.n, incarnation: ask.incarnation, value };
+    const { n, incarnation } = ask;
+    const answer = encodeMailAnswer({ kind: 'answer', n, incarnation, value });
     if (Buffer.byteLength(JSON.stringify(answer)) > ctx.limits.valueBytes)
       throw new Error('too large for mail');
     // The asker's box, at our own place in it.
@@ -114,7 +106,7 @@
     await this.put(`${MAIL}${ask.from}/${ctx.node}/${rest}`, answer);
   }
 
-  private async put(key: string, value: Ask | Answer): Promise<void> {
+  private async put(key: string, value: StoredMail): Promise<void> {
     const lease = await this.hold();
     await this.ctx.state.transact([], [{ op: 'put', key, value, lease }], Priority.ends);
   }
--- a/src/duties/peers.ts
+++ b/src/duties/peers.ts
@@ -2,6 +2,17 @@
 import type { Reply } from '../http/server.js';
 import { PeerNet, type Status } from '../peer/net.js';
 import { fitOrders } from '../protocol/wire.js';
+import {
+  type CancellationNews,
+  decodeCancellation,
+  decodeReply,
+  decodeRequest,
+  encodeCancellation,
+  encodeReply,
+  encodeRequest,
+  type PassedRequest,
+} from '../records/peer-questions.js';
+import { mapObject } from '../records/stored-form.js';
 import { pause } from './clock.js';
 import type { Context } from './context.js';
 import { Mail } from './mail.js';
@@ -27,17 +38,6 @@
   cancelled: (job: string, revision: number) => void;
 }
 
-interface Passed {
-  method: string;
-  target: string;
-  body: Uint8Array;
-}
-
-interface Cancelled {
-  job: string;
-  revision: number;
-}
-
 /** What passes between the controllers: status all the time, requests passed on when a cut asks for it. */
 export class Peers {
   private readonly net: PeerNet;
@@ -64,7 +64,8 @@
     // An answer leaves out the orders that a value has no room for: to its worker they are lost like a late answer's.
     this.mail = new Mail(ctx, async (text) => {
       const reply = await duties.takeReport(Buffer.from(text));
-      return { ...reply, body: fitOrders(reply.body, ctx.limits.valueBytes * MAIL_SHARE) };
+      const body = fitOrders(reply.body, ctx.limits.valueBytes * MAIL_SHARE);
+      return encodeReply({ ...reply, body });
     });
   }
 
@@ -117,7 +118,7 @@
   }
 
   async passUser(node: string, method: string, target: string, body: Buffer): Promise<Reply> {
-    const payload: Passed = { method, target, body };
+    const payload = encodeRequest({ method, target, body });
     return this.reply(
       await this.net.ask(node, 'user', payload, this.ctx.timing.stateTimeoutMs * 1.5),
     );
@@ -131,7 +132,7 @@
    */
   async announce(job: string, revision: number): Promise<void> {
     const { platform, timing } = this.ctx;
-    const news: Cancelled = { job, revision };
+    const news = encodeCancellation({ job, revision });
     const peers = platform.peers.filter((p) => this.hears(p.node));
     await Promise.allSettled(
       peers.map((p) => this.net.ask(p.node, 'cancelled', news, timing.stateTimeoutMs * 0.25)),
@@ -160,7 +161,7 @@
   }
 
   private reply(answer: unknown): Reply {
-    const reply = answer as Reply;
+    const reply: Reply = mapObject(answer, decodeReply);
     if (typeof reply?.status !== 'number') throw new Error('peer gave no reply');
     return reply;
   }
@@ -188,14 +189,15 @@
   }
 
   private async serve(op: string, payload: unknown): Promise<unknown> {
-    if (op === 'report') return this.duties.takeReport(Buffer.from(payload as Uint8Array));
+    if (op === 'report')
+      return encodeReply(await this.duties.takeReport(Buffer.from(payload as Uint8Array)));
     if (op === 'cancelled') {
-      const { job, revision } = payload as Cancelled;
+      const { job, revision }: CancellationNews = mapObject(payload, decodeCancellation);
       this.duties.cancelled(job, revision);
       return null;
     }
     if (op !== 'user') throw new Error(`unknown question ${op}`);
-    const { method, target, body } = payload as Passed;
-    return this.duties.serveUser(method, target, Buffer.from(body));
+    const { method, target, body }: PassedRequest = mapObject(payload, decodeRequest);
+    return encodeReply(await this.duties.serveUser(method, target, Buffer.from(body)));
   }
 }
--- a/src/duties/types.ts
+++ b/src/duties/types.ts
@@ -1,6 +1,12 @@
 import { Priority } from '../clients/budget.js';
 import type { CloudClient } from '../clients/cloud.js';
 import type { MachineType } from '../core/model.js';
+import {
+  decodeMachineTypes,
+  encodeMachineTypes,
+  type StoredMachineType,
+  storedMachineTypes,
+} from '../records/machine-type-record.js';
 import type { Context } from './context.js';
 
 const TYPES_KEY = 'types';
@@ -13,8 +19,8 @@
 ): Promise<MachineType[]> {
   try {
     const entry = await ctx.state.get(TYPES_KEY, Priority.lead, signal);
-    if (entry && Array.isArray(entry.value) && entry.value.length > 0)
-      return entry.value as MachineType[];
+    const types = entry && decodeMachineTypes(entry.value);
+    if (types && types.length > 0) return types;
   } catch (error) {
     // A node that starts in an outage is to be healthy by the time that it is over.
     if (signal.aborted) throw error;
@@ -29,19 +35,20 @@
   signal: AbortSignal,
 ): Promise<void> {
   if (types.length === 0) return;
-  const shape = (list: MachineType[] | null) =>
+  const shape = (list: StoredMachineType[] | null) =>
     JSON.stringify(list?.map(({ price: _p, spotPrice: _s, ...rest }) => rest));
   const entry = await ctx.state.get(TYPES_KEY, Priority.progress, signal);
-  const kept = entry && Array.isArray(entry.value) ? (entry.value as MachineType[]) : null;
+  const kept = entry && storedMachineTypes(entry.value);
+  const value = encodeMachineTypes(types);
   // Too many for a value: nodes that start then have only the cloud to ask.
-  if (Buffer.byteLength(JSON.stringify(types)) > ctx.limits.valueBytes) {
+  if (Buffer.byteLength(JSON.stringify(value)) > ctx.limits.valueBytes) {
     ctx.types = types;
     return;
   }
-  if (shape(kept) !== shape(types))
+  if (shape(kept) !== shape(value))
     await ctx.state.transact(
       [{ key: TYPES_KEY, version: entry?.version ?? 0 }],
-      [{ op: 'put', key: TYPES_KEY, value: types }],
+      [{ op: 'put', key: TYPES_KEY, value }],
       Priority.progress,
       signal,
     );
--- a/src/duties/upstream-list-cleaner.ts
+++ b/src/duties/upstream-list-cleaner.ts
@@ -1,9 +1,11 @@
 import { Priority } from '../clients/budget.js';
 import { LIST_HEADER_PREFIX, liveKey } from '../core/keys.js';
+import { decodeListHeader } from '../records/dependency-list-record.js';
+import { mapObject } from '../records/stored-form.js';
 import { pause } from './clock.js';
 import type { Context } from './context.js';
 import { readPrefix } from './key-ranges.js';
-import { type ListHeader, UpstreamLists } from './upstream-lists.js';
+import { UpstreamLists } from './upstream-lists.js';
 
 /**
  * Removes lists of upstream jobs whose job has ended or was never accepted. A
@@ -50,7 +52,7 @@
       const since = this.orphanSince.get(key);
       if (since === undefined) this.orphanSince.set(key, now);
       else if (now - since >= timing.orphanListMs) {
-        const header = { version, value: value as ListHeader };
+        const header = { version, value: mapObject(value, decodeListHeader) };
         await this.lists.remove(job, token, header, liveKey(job), Priority.progress, signal);
       }
     }
--- a/src/duties/upstream-lists.ts
+++ b/src/duties/upstream-lists.ts
@@ -2,23 +2,20 @@
 import type { Priority } from '../clients/budget.js';
 import { listHeaderKey, listPageKey, listPagesPrefix } from '../core/keys.js';
 import type { Change, Condition } from '../protocol/store.js';
+import {
+  decodeJobIds,
+  decodeListHeader,
+  encodeJobIds,
+  encodeListHeader,
+  encodeRemoval,
+  type ListHeader,
+} from '../records/dependency-list-record.js';
+import type { UpstreamListRef } from '../records/job-record.js';
+import { mapObject } from '../records/stored-form.js';
 import type { Context } from './context.js';
 import { readPrefix } from './key-ranges.js';
 import { paged, TRANSACTION_BYTES, valueRoom } from './value-sizes.js';
 
-/** Where a job's record says that its list of upstream jobs stands. */
-export interface UpstreamListRef {
-  /** Names the content, so that a repeated submission of the same list continues the first one. */
-  token: string;
-  pages: number;
-}
-
-/** The header of a list. While it is being removed, no page may be added and no record may name it. */
-export interface ListHeader {
-  pages: number;
-  removing?: boolean;
-}
-
 /** A list of which every page stands, for as long as the condition holds. */
 export interface StoredList {
   ref: UpstreamListRef;
@@ -56,7 +53,10 @@
       (await readPrefix(this.ctx.state, prefix, priority)).map((e) => e.key),
     );
     const missing = pages
-      .map((value, page): Change => ({ op: 'put', key: listPageKey(job, token, page), value }))
+      .map((page, number): Change => {
+        const key = listPageKey(job, token, number);
+        return { op: 'put', key, value: encodeJobIds(page) };
+      })
       .filter((change) => !standing.has(change.key));
     const perTransaction = Math.min(
       this.ctx.limits.changes,
@@ -80,7 +80,7 @@
     const prefix = listPagesPrefix(job, ref.token);
     const entries = await readPrefix(this.ctx.state, prefix, priority, signal);
     if (entries.length < ref.pages) return null;
-    return entries.flatMap((e) => e.value as string[]);
+    return entries.flatMap((e) => decodeJobIds(e.value));
   }
 
   /** Removes a list whose job is not live, as far as the header still has this version. */
@@ -96,7 +96,7 @@
     const key = listHeaderKey(job, token);
     let { version } = header;
     if (!header.value.removing) {
-      const value: ListHeader = { ...header.value, removing: true };
+      const value = encodeRemoval(header.value);
       const marked = await state.transact(
         [
           { key, version },
@@ -130,8 +130,9 @@
     const { state } = this.ctx;
     const key = listHeaderKey(job, token);
     const found = await state.get(key, priority);
-    if (found && !(found.value as ListHeader).removing) return { key, version: found.version };
-    const value: ListHeader = { pages };
+    if (found && !mapObject(found.value, decodeListHeader).removing)
+      return { key, version: found.version };
+    const value = encodeListHeader({ pages });
     const written = await state.transact(
       [{ key, version: found?.version ?? 0 }],
       [{ op: 'put', key, value }],
--- a/src/duties/upstream-snapshot.ts
+++ b/src/duties/upstream-snapshot.ts
@@ -1,6 +1,8 @@
 import type { Priority } from '../clients/budget.js';
-import type { OverRecord } from '../core/flush.js';
 import { LIVE_PREFIX } from '../core/keys.js';
+import type { OverRecord } from '../records/job-end-record.js';
+import { decodeLiveRecord } from '../records/job-record.js';
+import { mapObject } from '../records/stored-form.js';
 import type { Context } from './context.js';
 import { isListedInRecord, type JobStore, type LiveRecord } from './job-store.js';
 import { readPrefix, SINGLE_READS } from './key-ranges.js';
@@ -43,7 +45,8 @@
     const askedAt = ctx.clock.now();
     const entries = await readPrefix(ctx.state, LIVE_PREFIX, priority);
     const records = new Map<string, LiveRecord>();
-    for (const e of entries) records.set(e.key.slice(LIVE_PREFIX.length), e.value as LiveRecord);
+    for (const e of entries)
+      records.set(e.key.slice(LIVE_PREFIX.length), mapObject(e.value, decodeLiveRecord));
     const lists = await readLists(store, records, before?.lists ?? new Map(), priority);
     const upstream: Lists = new Map();
     for (const [id, record] of records) upstream.set(id, lists.get(id) ?? record.upstream ?? []);
--- a/src/peer/net.ts
+++ b/src/peer/net.ts
@@ -1,29 +1,10 @@
 import net from 'node:net';
 import { type Clock, pause } from '../duties/clock.js';
 import type { Address } from '../http/client.js';
+import { decodeFrame, encodeFrame, type Status } from '../records/peer-frames.js';
 import { FrameReader, frame } from './frames.js';
 
-/** What one controller tells the others about itself, again and again. */
-export interface Status {
-  node: string;
-  incarnation: string;
-  /** Time of day at which it was sent: a cut may hold it back. */
-  sentAt: number;
-  /** Highest term known. */
-  term: number;
-  leading: boolean;
-  /** The state service serves this node. */
-  stateOk: boolean;
-  /** It has no memory for further jobs. Earlier versions do not say. */
-  memoryShort?: boolean;
-  /** Done and running tasks of live jobs, from the leader, for display only. */
-  counts: [job: string, done: number, running: number][];
-}
-
-type Frame =
-  | { kind: 'status'; status: Status }
-  | { kind: 'ask'; n: number; op: string; payload: unknown }
-  | { kind: 'answer'; n: number; payload: unknown };
+export type { Status } from '../records/peer-frames.js';
 
 export interface PeerOptions {
   host: string;
@@ -71,7 +52,7 @@
 
   /** Sends the status to every peer that is connected. */
   tell(status: Status): void {
-    const data = frame({ kind: 'status', status } satisfies Frame);
+    const data = frame(encodeFrame({ kind: 'status', status }));
     for (const link of this.links.values()) this.write(link.socket, data);
   }
 
@@ -99,7 +80,7 @@
         resolve(answer);
       });
       link.socket.once('close', closed);
-      this.write(link.socket, frame({ kind: 'ask', n, op, payload } satisfies Frame));
+      this.write(link.socket, frame(encodeFrame({ kind: 'ask', n, op, payload })));
     });
   }
 
@@ -132,8 +113,10 @@
       });
       socket.on('data', (data) => {
         try {
-          for (const f of reader.push(data) as Frame[])
+          for (const value of reader.push(data)) {
+            const f = decodeFrame(value);
             if (f?.kind === 'answer') link.waiting.get(f.n)?.(f.payload);
+          }
         } catch {
           socket.destroy();
         }
@@ -158,7 +141,8 @@
     socket.once('close', () => signal.removeEventListener('abort', stop));
     socket.on('data', (data) => {
       try {
-        for (const f of reader.push(data) as Frame[]) {
+        for (const value of reader.push(data)) {
+          const f = decodeFrame(value);
           if (f?.kind === 'status') this.options.onStatus(f.status);
           else if (f?.kind === 'ask') void this.answer(socket, f.n, f.op, f.payload);
         }
@@ -173,7 +157,7 @@
     try {
       const answer = await this.options.onAsk(op, payload);
       if (!socket.destroyed)
-        this.write(socket, frame({ kind: 'answer', n, payload: answer } satisfies Frame));
+        this.write(socket, frame(encodeFrame({ kind: 'answer', n, payload: answer })));
     } catch (error) {
       // The asker's time runs out.
       this.options.onError(error);
