--- a/src/duties/leader.ts
+++ b/src/duties/leader.ts
@@ -17,15 +17,17 @@
 import { fill, round } from '../core/placement.js';
 import type { Aims, ClassAims, CorePolicy } from '../core/policy.js';
 import { Renting } from '../core/renting.js';
-import type { RosterEntry } from '../core/roster.js';
 import type { Entry, StoreEvent } from '../protocol/store.js';
 import { isObject } from '../protocol/wire.js';
+import { decodeFinishedTasks } from '../records/finished-tasks-record.js';
+import { decodeLiveRecord } from '../records/job-record.js';
+import { decodeRosterPage } from '../records/roster-record.js';
 import { Stopped } from './clock.js';
 import { Commands } from './commands.js';
 import type { Context } from './context.js';
 import { Fleet } from './fleet.js';
 import { Flusher } from './flusher.js';
-import { isListedInRecord, JobStore, type LiveRecord } from './job-store.js';
+import { isListedInRecord, JobStore } from './job-store.js';
 import type { Term } from './leadership.js';
 import { Loads } from './loads.js';
 import { retry } from './retry.js';
@@ -57,19 +59,6 @@
   };
 }
 
-/** A page of the roster; one machine stood in a key of its own in earlier versions. */
-function rosterEntries(key: string, value: unknown): RosterEntry[] {
-  const v = isObject(value) ? value : {};
-  const list = Array.isArray(v.machines) ? v.machines : [{ ...v, id: key }];
-  return list.filter(isObject).map((m) => ({
-    id: String(m.id),
-    type: String(m.type),
-    zone: String(m.zone),
-    spot: m.spot === true,
-    address: typeof m.address === 'string' ? m.address : '',
-  }));
-}
-
 type Page = Awaited<ReturnType<Context['state']['listPage']>>;
 
 /** A round's own time is followed by this many times as much for everything else. */
@@ -261,7 +250,7 @@
   private restoreRoster(pages: Entry[]): void {
     for (const page of pages) {
       const key = page.key.slice(ROSTER_PREFIX.length);
-      const machines = rosterEntries(key, page.value);
+      const machines = decodeRosterPage(key, page.value);
       this.cluster.roster.restore(key, page.version, machines);
       for (const { id, type, zone, spot, address } of machines)
         this.cluster.inheritMachine(id, type, zone, spot, address, this.ctx.clock.now());
@@ -274,19 +263,20 @@
     for (const { key, value, version } of entries) {
       const place = cluster.bitmaps.parse(key);
       const job = place && cluster.jobs.get(place.job);
-      if (!job || typeof value !== 'string') {
+      const done = decodeFinishedTasks(value);
+      if (!job || !done) {
         cluster.cleanup.add(key);
         continue;
       }
-      job.loadBits(place.firstTask, Buffer.from(value, 'base64'));
+      job.loadBits(place.firstTask, done);
       if (place.chunk === null) job.otherKeys.push(key);
       else job.chunks.set(place.chunk, version);
     }
   }
 
   private addLive(key: string, value: unknown, version: number): void {
-    const record = value as LiveRecord;
-    if (!isObject(value) || !isObject(record.spec)) {
+    const record = decodeLiveRecord(value);
+    if (!record || !isObject(record.spec)) {
       this.ctx.log.error({ key }, 'live job is not readable');
       return;
     }
