--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -5,8 +5,8 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY, parsePolicy } from '../config/policy.js';
 import { parsePlatform, SettingsError } from '../config/settings.js';
-import { systemClock } from '../duties/clock.js';
-import { Node } from '../duties/node.js';
+import { Node } from '../controller/controller.js';
+import { systemClock } from '../runtime/clock.js';
 import { VERSION } from '../version.js';
 
 const LEVELS = ['error', 'info', 'debug'];
--- a/src/clients/worker.ts
+++ b/src/clients/agent-client.ts
@@ -1,6 +1,6 @@
 import { splitAddress } from '../config/settings.js';
-import type { MachineReport, Order } from '../core/model.js';
 import { HttpClient, NotTried } from '../http/client.js';
+import type { MachineReport, Order } from '../model/model.js';
 import { commandsBody, PATHS, parseReport } from '../protocol/wire.js';
 
 export interface CommandAnswer {
--- a/src/clients/cloud.ts
+++ b/src/clients/cloud-client.ts
@@ -1,4 +1,3 @@
-import type { Clock } from '../duties/clock.js';
 import { HttpClient, NoAnswer } from '../http/client.js';
 import {
   machineListTarget,
@@ -10,7 +9,8 @@
   rentBody,
   returnBody,
 } from '../protocol/wire.js';
-import { Budget, Priority } from './budget.js';
+import type { Clock } from '../runtime/clock.js';
+import { Budget, Priority } from '../runtime/request-budget.js';
 
 /** The protocol's bound on names in one return. */
 export const RETURN_LIMIT = 100;
--- a/src/duties/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -1,6 +1,6 @@
-import type { Priority } from '../clients/budget.js';
-import type { StateService } from '../clients/state.js';
 import type { Entry } from '../protocol/store.js';
+import type { Priority } from '../runtime/request-budget.js';
+import type { StateService } from './state-client.js';
 
 /** Up to this many keys are read one by one, at the same time; more of them in ranges. */
 export const SINGLE_READS = 8;
--- a/src/clients/state.ts
+++ b/src/clients/state-client.ts
@@ -1,4 +1,3 @@
-import type { Clock } from '../duties/clock.js';
 import { type Answer, AnswerTooLarge, HttpClient, NoAnswer } from '../http/client.js';
 import {
   type Change,
@@ -19,7 +18,8 @@
   watchTarget,
 } from '../protocol/store.js';
 import { PATHS } from '../protocol/wire.js';
-import { Budget, Priority } from './budget.js';
+import type { Clock } from '../runtime/clock.js';
+import { Budget, Priority } from '../runtime/request-budget.js';
 
 /** The state service did not serve the request, and it was not carried out. */
 export class Refused extends Error {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import type { Team } from '../core/model.js';
+import type { Team } from '../model/model.js';
 
 /** The platform hands over a file that cannot be used; the message names file and field. */
 export class SettingsError extends Error {}
--- a/src/duties/upstream-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -1,7 +1,6 @@
 import { createHash } from 'node:crypto';
-import type { Priority } from '../clients/budget.js';
-import { listHeaderKey, listPageKey, listPagesPrefix } from '../core/keys.js';
-import type { Change, Condition } from '../protocol/store.js';
+import { readPrefix } from '../../clients/key-ranges.js';
+import type { Change, Condition } from '../../protocol/store.js';
 import {
   decodeJobIds,
   decodeListHeader,
@@ -9,12 +8,13 @@
   encodeListHeader,
   encodeRemoval,
   type ListHeader,
-} from '../records/dependency-list-record.js';
-import type { UpstreamListRef } from '../records/job-record.js';
-import { mapObject } from '../records/stored-form.js';
-import type { Context } from './context.js';
-import { readPrefix } from './key-ranges.js';
-import { paged, TRANSACTION_BYTES, valueRoom } from './value-sizes.js';
+} from '../../records/dependency-list-record.js';
+import type { UpstreamListRef } from '../../records/job-record.js';
+import { listHeaderKey, listPageKey, listPagesPrefix } from '../../records/keys.js';
+import { mapObject } from '../../records/stored-form.js';
+import { paged, TRANSACTION_BYTES, valueRoom } from '../../records/value-sizes.js';
+import type { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
 
 /** A list of which every page stands, for as long as the condition holds. */
 export interface StoredList {
--- a/src/duties/upstream-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -1,11 +1,11 @@
-import type { Priority } from '../clients/budget.js';
-import { LIVE_PREFIX } from '../core/keys.js';
-import type { OverRecord } from '../records/job-end-record.js';
-import { decodeLiveRecord } from '../records/job-record.js';
-import { mapObject } from '../records/stored-form.js';
-import type { Context } from './context.js';
+import { readPrefix, SINGLE_READS } from '../../clients/key-ranges.js';
+import type { OverRecord } from '../../records/job-end-record.js';
+import { decodeLiveRecord } from '../../records/job-record.js';
+import { LIVE_PREFIX } from '../../records/keys.js';
+import { mapObject } from '../../records/stored-form.js';
+import type { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
 import { isListedInRecord, type JobStore, type LiveRecord } from './job-store.js';
-import { readPrefix, SINGLE_READS } from './key-ranges.js';
 
 type Ends = Map<string, OverRecord['state']>;
 type Lists = Map<string, readonly string[]>;
--- a/src/duties/upstream.ts
+++ b/src/controller/api/dependency-status.ts
@@ -1,8 +1,8 @@
-import type { Priority } from '../clients/budget.js';
-import type { Context } from './context.js';
+import { SINGLE_READS } from '../../clients/key-ranges.js';
+import type { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
+import { UpstreamSnapshot } from './dependency-snapshot.js';
 import { isListedInRecord, type JobStore, type LiveRecord, type StoredJob } from './job-store.js';
-import { SINGLE_READS } from './key-ranges.js';
-import { UpstreamSnapshot } from './upstream-snapshot.js';
 
 /** What was seen of a job. Ends are final; that it is live counts for a while only. */
 type Seen =
--- a/src/duties/users.ts
+++ b/src/controller/api/job-api.ts
@@ -1,6 +1,5 @@
-import { Priority } from '../clients/budget.js';
-import { type JobSpec, neverRuns } from '../core/model.js';
-import type { Reply } from '../http/server.js';
+import type { Reply } from '../../http/server.js';
+import { type JobSpec, neverRuns } from '../../model/model.js';
 import {
   acceptedAnswer,
   JOB_ID,
@@ -10,8 +9,11 @@
   parseUpstream,
   type Standing,
   submissionId,
-} from '../protocol/wire.js';
-import type { Context } from './context.js';
+} from '../../protocol/wire.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
+import { ListContended } from './dependency-lists.js';
+import { Upstream } from './dependency-status.js';
 import { JobLookups } from './job-lookups.js';
 import {
   type EndedJob,
@@ -22,8 +24,6 @@
   type StoredJob,
   TooLarge,
 } from './job-store.js';
-import { Upstream } from './upstream.js';
-import { ListContended } from './upstream-lists.js';
 
 /** Counts of a live job's tasks, for display only. */
 interface Counts {
--- a/src/duties/job-lookups.ts
+++ b/src/controller/api/job-lookups.ts
@@ -1,6 +1,6 @@
-import type { Priority } from '../clients/budget.js';
+import { SINGLE_READS } from '../../clients/key-ranges.js';
+import type { Priority } from '../../runtime/request-budget.js';
 import type { JobStore, StoredJob } from './job-store.js';
-import { SINGLE_READS } from './key-ranges.js';
 
 interface Waiting {
   resolve(job: StoredJob | null): void;
--- a/src/duties/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -1,18 +1,18 @@
-import { Priority } from '../clients/budget.js';
-import type { Transaction } from '../clients/state.js';
-import { LIVE_PREFIX, liveKey, OVER_PREFIX, overKey, upstreamKey } from '../core/keys.js';
-import type { JobSpec } from '../core/model.js';
-import type { Change, Condition, Entry } from '../protocol/store.js';
-import { decodeJobIds, encodeJobIds } from '../records/dependency-list-record.js';
-import { decodeJobEnd, encodeJobEnd, type OverRecord } from '../records/job-end-record.js';
-import { decodeLiveRecord, encodeLiveRecord, type LiveRecord } from '../records/job-record.js';
-import { mapObject } from '../records/stored-form.js';
-import type { Context } from './context.js';
-import { readKeys } from './key-ranges.js';
-import { UpstreamLists } from './upstream-lists.js';
-import { bytesOf, paged, TRANSACTION_BYTES, valueRoom } from './value-sizes.js';
-
-export type { LiveRecord } from '../records/job-record.js';
+import { readKeys } from '../../clients/key-ranges.js';
+import type { Transaction } from '../../clients/state-client.js';
+import type { JobSpec } from '../../model/model.js';
+import type { Change, Condition, Entry } from '../../protocol/store.js';
+import { decodeJobIds, encodeJobIds } from '../../records/dependency-list-record.js';
+import { decodeJobEnd, encodeJobEnd, type OverRecord } from '../../records/job-end-record.js';
+import { decodeLiveRecord, encodeLiveRecord, type LiveRecord } from '../../records/job-record.js';
+import { LIVE_PREFIX, liveKey, OVER_PREFIX, overKey, upstreamKey } from '../../records/keys.js';
+import { mapObject } from '../../records/stored-form.js';
+import { bytesOf, paged, TRANSACTION_BYTES, valueRoom } from '../../records/value-sizes.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
+import { UpstreamLists } from './dependency-lists.js';
+
+export type { LiveRecord } from '../../records/job-record.js';
 
 export interface LiveJob {
   live: true;
--- a/src/duties/context.ts
+++ b/src/controller/context.ts
@@ -1,10 +1,10 @@
 import type { Logger } from 'pino';
-import type { StateService } from '../clients/state.js';
+import type { StateService } from '../clients/state-client.js';
 import type { Platform } from '../config/settings.js';
 import type { StateLimits } from '../config/state-limits.js';
 import type { Timing } from '../config/timing.js';
-import type { MachineType, Team } from '../core/model.js';
-import type { Clock } from './clock.js';
+import type { MachineType, Team } from '../model/model.js';
+import type { Clock } from '../runtime/clock.js';
 
 /** What every duty of one node shares. */
 export interface Context {
--- a/src/duties/node.ts
+++ b/src/controller/controller.ts
@@ -1,7 +1,7 @@
 import type { Logger } from 'pino';
-import { CloudClient } from '../clients/cloud.js';
-import { StateClient } from '../clients/state.js';
-import { WorkerClient } from '../clients/worker.js';
+import { WorkerClient } from '../clients/agent-client.js';
+import { CloudClient } from '../clients/cloud-client.js';
+import { StateClient } from '../clients/state-client.js';
 import type { Policy } from '../config/policy.js';
 import { type Platform, splitAddress, teamsOf } from '../config/settings.js';
 import { stateLimitsOf } from '../config/state-limits.js';
@@ -9,16 +9,16 @@
 import type { Message } from '../http/parser.js';
 import { type Reply, serve } from '../http/server.js';
 import { CANCEL, PATHS, parseReport } from '../protocol/wire.js';
-import { type Clock, pause } from './clock.js';
+import { type Clock, pause } from '../runtime/clock.js';
+import { Users, unavailable } from './api/job-api.js';
 import type { Context } from './context.js';
+import { Leadership } from './election/leader-election.js';
 import { Health } from './health.js';
-import { commandSockets, corePolicy, Leader } from './leader.js';
-import { Leadership } from './leadership.js';
-import { MemoryGuard, processMemory } from './memory.js';
-import { COUNTS_PER_STATUS, Peers } from './peers.js';
-import { Reports } from './reports.js';
-import { readTypes } from './types.js';
-import { Users, unavailable } from './users.js';
+import { Reports } from './heartbeats/heartbeat-handler.js';
+import { commandSockets, corePolicy, Leader } from './leader/leader.js';
+import { readTypes } from './machine-types.js';
+import { COUNTS_PER_STATUS, Peers } from './membership/peers.js';
+import { MemoryGuard, processMemory } from './memory-guard.js';
 
 /** Sockets kept free for the state service, the cloud, peers and workers' addresses, as a part of the limit. */
 const OWN_SOCKETS = 0.2;
--- a/src/duties/leadership.ts
+++ b/src/controller/election/leader-election.ts
@@ -1,13 +1,13 @@
-import { Priority } from '../clients/budget.js';
 import {
   decodeLeaderRecord,
   decodeTerm,
   encodeLeaderRecord,
   encodeTerm,
   type LeaderRecord,
-} from '../records/leader-record.js';
-import { pause, Stopped } from './clock.js';
-import type { Context } from './context.js';
+} from '../../records/leader-record.js';
+import { pause, Stopped } from '../../runtime/clock.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
 
 export const LEADER_KEY = 'leader';
 const TERM_KEY = 'term';
--- a/src/duties/health.ts
+++ b/src/controller/health.ts
@@ -1,6 +1,6 @@
-import type { StateClient } from '../clients/state.js';
+import type { StateClient } from '../clients/state-client.js';
 import type { Context } from './context.js';
-import type { Peers } from './peers.js';
+import type { Peers } from './membership/peers.js';
 
 /** What this node can still do for users, by what it hears of the state service and its peers. */
 export class Health {
--- a/src/duties/reports.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -1,12 +1,12 @@
-import { Priority } from '../clients/budget.js';
-import { liveKey } from '../core/keys.js';
-import type { MachineReport, Order } from '../core/model.js';
-import type { Reply } from '../http/server.js';
-import { notLeaderAnswer, parseReport, reportAnswer, tokenOf } from '../protocol/wire.js';
-import type { Context } from './context.js';
-import type { Leader } from './leader.js';
-import type { Leadership } from './leadership.js';
-import type { Peers } from './peers.js';
+import type { Reply } from '../../http/server.js';
+import type { MachineReport, Order } from '../../model/model.js';
+import { notLeaderAnswer, parseReport, reportAnswer, tokenOf } from '../../protocol/wire.js';
+import { liveKey } from '../../records/keys.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
+import type { Leadership } from '../election/leader-election.js';
+import type { Leader } from '../leader/leader.js';
+import type { Peers } from '../membership/peers.js';
 
 interface RedirectedWorker {
   /** The leader that it was told of. */
--- a/src/duties/mail.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -1,14 +1,14 @@
-import { Priority } from '../clients/budget.js';
-import type { StoreEvent } from '../protocol/store.js';
+import type { StoreEvent } from '../../protocol/store.js';
 import {
   decodeMail,
   encodeMailAnswer,
   encodeMailQuestion,
   type MailQuestion,
   type StoredMail,
-} from '../records/mailbox-record.js';
-import { pause, Stopped } from './clock.js';
-import type { Context } from './context.js';
+} from '../../records/mailbox-record.js';
+import { pause, Stopped } from '../../runtime/clock.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Context } from '../context.js';
 
 const MAIL = 'mail/';
 
--- a/src/duties/commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -1,13 +1,13 @@
-import type { WorkerClient } from '../clients/worker.js';
-import type { Cluster } from '../core/cluster.js';
-import type { Binding, Machine } from '../core/machine.js';
-import { pendingOrders } from '../core/machine-orders.js';
-import type { MachineReport, Order } from '../core/model.js';
-import { NotSent, NotTried } from '../http/client.js';
-import { tokenOf } from '../protocol/wire.js';
-import { inTime } from './clock.js';
-import type { Context } from './context.js';
-import type { Term } from './leadership.js';
+import type { WorkerClient } from '../../clients/agent-client.js';
+import { NotSent, NotTried } from '../../http/client.js';
+import type { MachineReport, Order } from '../../model/model.js';
+import { tokenOf } from '../../protocol/wire.js';
+import { inTime } from '../../runtime/clock.js';
+import { pendingOrders } from '../../scheduler/reconcile/task-commands.js';
+import type { Cluster } from '../../scheduler/state/cluster-state.js';
+import type { Binding, Machine } from '../../scheduler/state/machine.js';
+import type { Context } from '../context.js';
+import type { Term } from '../election/leader-election.js';
 
 /** Asking machines after a takeover is followed by this many times as much for their own reports. */
 const CONFIRM_REST = 2;
--- a/src/duties/loads.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,6 +1,4 @@
-import { Priority } from '../clients/budget.js';
-import type { Load, Renting } from '../core/renting.js';
-import type { Change } from '../protocol/store.js';
+import type { Change } from '../../protocol/store.js';
 import {
   decodeFirstPage,
   decodeLoads,
@@ -8,10 +6,12 @@
   encodeFurtherPage,
   encodeLoad,
   type StoredLoad,
-} from '../records/demand-record.js';
-import type { Context } from './context.js';
-import { LEADER_KEY, type Term } from './leadership.js';
-import { retry } from './retry.js';
+} from '../../records/demand-record.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Load, Renting } from '../../scheduler/scaling/scale-out.js';
+import type { Context } from '../context.js';
+import { LEADER_KEY, type Term } from '../election/leader-election.js';
+import { retry } from '../retry.js';
 
 const LOADS_KEY = 'loads';
 /** The part of a value that a page may fill. */
--- a/src/duties/upstream-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -1,11 +1,11 @@
-import { Priority } from '../clients/budget.js';
-import { LIST_HEADER_PREFIX, liveKey } from '../core/keys.js';
-import { decodeListHeader } from '../records/dependency-list-record.js';
-import { mapObject } from '../records/stored-form.js';
-import { pause } from './clock.js';
-import type { Context } from './context.js';
-import { readPrefix } from './key-ranges.js';
-import { UpstreamLists } from './upstream-lists.js';
+import { readPrefix } from '../../clients/key-ranges.js';
+import { decodeListHeader } from '../../records/dependency-list-record.js';
+import { LIST_HEADER_PREFIX, liveKey } from '../../records/keys.js';
+import { mapObject } from '../../records/stored-form.js';
+import { pause } from '../../runtime/clock.js';
+import { Priority } from '../../runtime/request-budget.js';
+import { UpstreamLists } from '../api/dependency-lists.js';
+import type { Context } from '../context.js';
 
 /**
  * Removes lists of upstream jobs whose job has ended or was never accepted. A
--- a/src/duties/upstream-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -1,8 +1,8 @@
-import { Priority } from '../clients/budget.js';
-import type { Cluster } from '../core/cluster.js';
-import type { Job } from '../core/job.js';
-import type { Context } from './context.js';
-import type { JobStore } from './job-store.js';
+import { Priority } from '../../runtime/request-budget.js';
+import type { Cluster } from '../../scheduler/state/cluster-state.js';
+import type { Job } from '../../scheduler/state/job.js';
+import type { JobStore } from '../api/job-store.js';
+import type { Context } from '../context.js';
 
 /** Lists read at the same time. */
 const READS_AT_ONCE = 8;
--- a/src/duties/fleet.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -1,12 +1,12 @@
-import { type CloudClient, RETURN_LIMIT } from '../clients/cloud.js';
-import type { Cluster } from '../core/cluster.js';
-import type { Machine } from '../core/machine.js';
-import type { ListedMachine } from '../core/model.js';
-import type { Renting, RentPlan } from '../core/renting.js';
-import { inTime } from './clock.js';
-import type { Context } from './context.js';
-import type { Term } from './leadership.js';
-import { storeTypes } from './types.js';
+import { type CloudClient, RETURN_LIMIT } from '../../clients/cloud-client.js';
+import type { ListedMachine } from '../../model/model.js';
+import { inTime } from '../../runtime/clock.js';
+import type { Renting, RentPlan } from '../../scheduler/scaling/scale-out.js';
+import type { Cluster } from '../../scheduler/state/cluster-state.js';
+import type { Machine } from '../../scheduler/state/machine.js';
+import type { Context } from '../context.js';
+import type { Term } from '../election/leader-election.js';
+import { storeTypes } from '../machine-types.js';
 
 type MachinePage = Awaited<ReturnType<CloudClient['list']>>;
 
--- a/src/duties/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -1,39 +1,39 @@
 import { setMaxListeners } from 'node:events';
-import type { CloudClient } from '../clients/cloud.js';
-import type { WorkerClient } from '../clients/worker.js';
-import type { Policy } from '../config/policy.js';
-import type { Platform } from '../config/settings.js';
-import { BitmapLayout } from '../core/bitmap-layout.js';
-import { Cluster } from '../core/cluster.js';
+import type { WorkerClient } from '../../clients/agent-client.js';
+import type { CloudClient } from '../../clients/cloud-client.js';
+import type { Policy } from '../../config/policy.js';
+import type { Platform } from '../../config/settings.js';
+import type { MachineReport, Order } from '../../model/model.js';
+import type { Aims, ClassAims, CorePolicy } from '../../model/policy.js';
+import type { Entry, StoreEvent } from '../../protocol/store.js';
+import { isObject } from '../../protocol/wire.js';
+import { BitmapLayout } from '../../records/bitmap-layout.js';
+import { decodeFinishedTasks } from '../../records/finished-tasks-record.js';
+import { decodeLiveRecord } from '../../records/job-record.js';
 import {
   BITS_PREFIX,
   LIVE_PREFIX,
   ROSTER_PREFIX,
   UPSTREAM_PREFIX,
   upstreamKey,
-} from '../core/keys.js';
-import { raiseFence } from '../core/machine-orders.js';
-import type { MachineReport, Order } from '../core/model.js';
-import { fill, round } from '../core/placement.js';
-import type { Aims, ClassAims, CorePolicy } from '../core/policy.js';
-import { Renting } from '../core/renting.js';
-import type { Entry, StoreEvent } from '../protocol/store.js';
-import { isObject } from '../protocol/wire.js';
-import { decodeFinishedTasks } from '../records/finished-tasks-record.js';
-import { decodeLiveRecord } from '../records/job-record.js';
-import { decodeRosterPage } from '../records/roster-record.js';
-import { Stopped } from './clock.js';
-import { Commands } from './commands.js';
-import type { Context } from './context.js';
-import { Fleet } from './fleet.js';
-import { Flusher } from './flusher.js';
-import { isListedInRecord, JobStore } from './job-store.js';
-import type { Term } from './leadership.js';
-import { Loads } from './loads.js';
-import { retry } from './retry.js';
-import { readTypes } from './types.js';
-import { UpstreamListCleaner } from './upstream-list-cleaner.js';
-import { UpstreamResolver } from './upstream-resolver.js';
+} from '../../records/keys.js';
+import { decodeRosterPage } from '../../records/roster-record.js';
+import { Stopped } from '../../runtime/clock.js';
+import { fill, round } from '../../scheduler/placement/placement-round.js';
+import { raiseFence } from '../../scheduler/reconcile/task-commands.js';
+import { Renting } from '../../scheduler/scaling/scale-out.js';
+import { Cluster } from '../../scheduler/state/cluster-state.js';
+import { isListedInRecord, JobStore } from '../api/job-store.js';
+import type { Context } from '../context.js';
+import type { Term } from '../election/leader-election.js';
+import { readTypes } from '../machine-types.js';
+import { retry } from '../retry.js';
+import { Commands } from './agent-commands.js';
+import { Loads } from './demand-store.js';
+import { UpstreamListCleaner } from './dependency-list-cleaner.js';
+import { UpstreamResolver } from './dependency-resolver.js';
+import { Fleet } from './fleet-controller.js';
+import { Flusher } from './progress-writer.js';
 
 /** The part of a value that a page of the roster may fill. */
 const ROSTER_PAGE_SHARE = 0.9;
--- a/src/duties/flusher.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -1,10 +1,14 @@
-import { Priority } from '../clients/budget.js';
-import { Refused, Rejected } from '../clients/state.js';
-import type { Cluster } from '../core/cluster.js';
-import { flushUnits, type Unit, unknownChunks } from '../core/flush.js';
-import { Stopped } from './clock.js';
-import type { Context } from './context.js';
-import { LEADER_KEY, type Term } from './leadership.js';
+import { Refused, Rejected } from '../../clients/state-client.js';
+import { Stopped } from '../../runtime/clock.js';
+import { Priority } from '../../runtime/request-budget.js';
+import {
+  flushUnits,
+  type Unit,
+  unknownChunks,
+} from '../../scheduler/persistence/durable-writes.js';
+import type { Cluster } from '../../scheduler/state/cluster-state.js';
+import type { Context } from '../context.js';
+import { LEADER_KEY, type Term } from '../election/leader-election.js';
 
 /** A transaction's own limit in the protocol, with room for its frame. */
 const TRANSACTION_BYTES = 56 * 1024;
--- a/src/duties/types.ts
+++ b/src/controller/machine-types.ts
@@ -1,12 +1,12 @@
-import { Priority } from '../clients/budget.js';
-import type { CloudClient } from '../clients/cloud.js';
-import type { MachineType } from '../core/model.js';
+import type { CloudClient } from '../clients/cloud-client.js';
+import type { MachineType } from '../model/model.js';
 import {
   decodeMachineTypes,
   encodeMachineTypes,
   type StoredMachineType,
   storedMachineTypes,
 } from '../records/machine-type-record.js';
+import { Priority } from '../runtime/request-budget.js';
 import type { Context } from './context.js';
 
 const TYPES_KEY = 'types';
--- a/src/duties/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,7 +1,7 @@
-import { splitAddress } from '../config/settings.js';
-import type { Reply } from '../http/server.js';
-import { PeerNet, type Status } from '../peer/net.js';
-import { fitOrders } from '../protocol/wire.js';
+import { splitAddress } from '../../config/settings.js';
+import type { Reply } from '../../http/server.js';
+import { PeerNet, type Status } from '../../peer/peer-network.js';
+import { fitOrders } from '../../protocol/wire.js';
 import {
   type CancellationNews,
   decodeCancellation,
@@ -11,11 +11,11 @@
   encodeReply,
   encodeRequest,
   type PassedRequest,
-} from '../records/peer-questions.js';
-import { mapObject } from '../records/stored-form.js';
-import { pause } from './clock.js';
-import type { Context } from './context.js';
-import { Mail } from './mail.js';
+} from '../../records/peer-requests.js';
+import { mapObject } from '../../records/stored-form.js';
+import { pause } from '../../runtime/clock.js';
+import type { Context } from '../context.js';
+import { Mail } from '../heartbeats/mailbox.js';
 
 /** The part of a value that a report or its answer may take in a mail; the frame and its quotes need the rest. */
 const MAIL_SHARE = 0.7;
--- a/src/duties/memory.ts
+++ b/src/controller/memory-guard.ts
@@ -1,5 +1,5 @@
 import { getHeapStatistics } from 'node:v8';
-import { pause } from './clock.js';
+import { pause } from '../runtime/clock.js';
 import type { Context } from './context.js';
 
 /** A part of the memory that is in use, of the platform's limit or the engine's, whichever is nearer. */
--- a/src/duties/retry.ts
+++ b/src/controller/retry.ts
@@ -1,5 +1,5 @@
-import { Refused } from '../clients/state.js';
-import { Stopped } from './clock.js';
+import { Refused } from '../clients/state-client.js';
+import { Stopped } from '../runtime/clock.js';
 import type { Context } from './context.js';
 
 /** The first pause after a failed call, in renewal intervals; it doubles up to the longest one. */
--- a/src/peer/net.ts
+++ b/src/peer/peer-network.ts
@@ -1,7 +1,7 @@
 import net from 'node:net';
-import { type Clock, pause } from '../duties/clock.js';
 import type { Address } from '../http/client.js';
 import { decodeFrame, encodeFrame, type Status } from '../records/peer-frames.js';
+import { type Clock, pause } from '../runtime/clock.js';
 import { FrameReader, frame } from './frames.js';
 
 export type { Status } from '../records/peer-frames.js';
--- a/src/protocol/wire.ts
+++ b/src/protocol/wire.ts
@@ -12,7 +12,7 @@
   RANKS,
   type TaskReport,
   type TaskState,
-} from '../core/model.js';
+} from '../model/model.js';
 
 export const PATHS = {
   jobs: '/v1/jobs',
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -1,5 +1,5 @@
-import type { Load } from '../core/renting.js';
 import { isObject } from '../protocol/wire.js';
+import type { Load } from '../scheduler/scaling/scale-out.js';
 import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from './job-record.js';
 import { mapObject, overForm, rememberForm } from './stored-form.js';
 
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from '../core/model.js';
+import type { JobSpec } from '../model/model.js';
 import { isObject } from '../protocol/wire.js';
 import { mapObject, overForm, rememberForm } from './stored-form.js';
 
--- a/src/records/roster-record.ts
+++ b/src/records/roster-record.ts
@@ -1,4 +1,4 @@
-import type { RosterEntry } from '../core/model.js';
+import type { RosterEntry } from '../model/model.js';
 import { isObject } from '../protocol/wire.js';
 
 /**
--- a/src/core/flush.ts
+++ b/src/scheduler/persistence/durable-writes.ts
@@ -1,12 +1,12 @@
-import type { Change, Condition } from '../protocol/store.js';
-import { encodeFinishedTasks } from '../records/finished-tasks-record.js';
-import { encodeJobEnd } from '../records/job-end-record.js';
-import { encodeRosterPage } from '../records/roster-record.js';
-import type { Cluster } from './cluster.js';
-import type { Job } from './job.js';
-import type { JobEnd } from './job-graph.js';
-import { liveKey, overKey, rosterKey } from './keys.js';
-import type { Binding, Machine } from './machine.js';
+import type { Change, Condition } from '../../protocol/store.js';
+import { encodeFinishedTasks } from '../../records/finished-tasks-record.js';
+import { encodeJobEnd } from '../../records/job-end-record.js';
+import { liveKey, overKey, rosterKey } from '../../records/keys.js';
+import { encodeRosterPage } from '../../records/roster-record.js';
+import type { Cluster } from '../state/cluster-state.js';
+import type { JobEnd } from '../state/dependency-graph.js';
+import type { Job } from '../state/job.js';
+import type { Binding, Machine } from '../state/machine.js';
 import type { PageWrite, RosterEntry } from './roster.js';
 
 /** A piece of durable work; several share a transaction. */
--- a/src/core/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -1,7 +1,7 @@
-import { encodeRosterEntry } from '../records/roster-record.js';
-import type { RosterEntry } from './model.js';
+import type { RosterEntry } from '../../model/model.js';
+import { encodeRosterEntry } from '../../records/roster-record.js';
 
-export type { RosterEntry } from './model.js';
+export type { RosterEntry } from '../../model/model.js';
 
 interface Page {
   key: string;
--- a/src/core/machine-rules.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -1,7 +1,7 @@
-import type { Cluster } from './cluster.js';
-import type { Machine } from './machine.js';
-import type { JobSpec } from './model.js';
-import type { Batch } from './ready-list.js';
+import type { JobSpec } from '../../model/model.js';
+import type { Cluster } from '../state/cluster-state.js';
+import type { Machine } from '../state/machine.js';
+import type { Batch } from './ready-queue.js';
 
 /** What the rules of a job look at in a machine. */
 export type Placed = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
--- a/src/core/placement.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -1,11 +1,11 @@
-import type { Cluster } from './cluster.js';
-import type { Job } from './job.js';
-import { type Binding, fitsType, type Machine } from './machine.js';
-import { allowed, mayUse, open, useReservation } from './machine-rules.js';
-import { EPSILON } from './model.js';
-import type { Use } from './policy.js';
+import { EPSILON } from '../../model/model.js';
+import type { Use } from '../../model/policy.js';
+import type { Cluster } from '../state/cluster-state.js';
+import type { Job } from '../state/job.js';
+import { type Binding, fitsType, type Machine } from '../state/machine.js';
+import { allowed, mayUse, open, useReservation } from './feasibility.js';
 import { preempt, type Room } from './preemption.js';
-import { type Batch, isReady, readyBatches } from './ready-list.js';
+import { type Batch, isReady, readyBatches } from './ready-queue.js';
 
 /** About this part of the machines may be held free for such tasks at a time. */
 const HELD_SHARE = 0.1;
--- a/src/core/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -1,8 +1,8 @@
-import type { Cluster } from './cluster.js';
-import type { Binding, Machine } from './machine.js';
-import { allowed, reserve } from './machine-rules.js';
-import { EPSILON, type JobSpec, type MachineType } from './model.js';
-import type { Batch } from './ready-list.js';
+import { EPSILON, type JobSpec, type MachineType } from '../../model/model.js';
+import type { Cluster } from '../state/cluster-state.js';
+import type { Binding, Machine } from '../state/machine.js';
+import { allowed, reserve } from './feasibility.js';
+import type { Batch } from './ready-queue.js';
 
 /** A part of the aim on waiting, or on guarantees, that passes before others are stopped. */
 const RANK_PATIENCE = 0.2;
--- a/src/core/ready-list.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -1,7 +1,7 @@
-import type { Cluster } from './cluster.js';
-import type { Job } from './job.js';
-import { EPSILON, type JobSpec } from './model.js';
-import type { Use } from './policy.js';
+import { EPSILON, type JobSpec } from '../../model/model.js';
+import type { Use } from '../../model/policy.js';
+import type { Cluster } from '../state/cluster-state.js';
+import type { Job } from '../state/job.js';
 
 /** Every accepted job, the largest ones too, begins within this, whatever fresher work could still meet (protocol). */
 const BEGIN_WITHIN_MS = 240_000;
--- a/src/core/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -1,7 +1,7 @@
-import { kindKey, type Machine } from './machine.js';
-import { allowed, type Placed } from './machine-rules.js';
-import type { JobSpec, MachineType } from './model.js';
-import type { Use } from './policy.js';
+import type { JobSpec, MachineType } from '../../model/model.js';
+import type { Use } from '../../model/policy.js';
+import { allowed, type Placed } from '../placement/feasibility.js';
+import { kindKey, type Machine } from '../state/machine.js';
 
 interface InheritedKind {
   like: Placed;
--- a/src/core/machine-orders.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -1,7 +1,7 @@
-import type { Job } from './job.js';
-import type { Binding, Machine } from './machine.js';
-import type { MachineReport, Order, TaskReport } from './model.js';
-import type { CoreTiming } from './policy.js';
+import type { MachineReport, Order, TaskReport } from '../../model/model.js';
+import type { CoreTiming } from '../../model/policy.js';
+import type { Job } from '../state/job.js';
+import type { Binding, Machine } from '../state/machine.js';
 
 /** Keeps an answer's one line well below the protocol's 64 KiB. */
 const ORDERS_PER_ANSWER = 250;
--- a/src/core/returns.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -1,7 +1,7 @@
-import type { Cluster } from './cluster.js';
-import { type Drain, kindKey, type Machine } from './machine.js';
-import { allowed } from './machine-rules.js';
-import { wantsRoom } from './ready-list.js';
+import { allowed } from '../placement/feasibility.js';
+import { wantsRoom } from '../placement/ready-queue.js';
+import type { Cluster } from '../state/cluster-state.js';
+import { type Drain, kindKey, type Machine } from '../state/machine.js';
 
 /** A machine that should go back to the cloud. */
 export interface MachineReturn {
--- a/src/core/renting.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -1,8 +1,8 @@
-import type { Cluster } from './cluster.js';
-import { fitsType, kindKey, type Machine } from './machine.js';
-import { type JobSpec, type MachineType, typeFits } from './model.js';
-import { wantsRoom } from './ready-list.js';
-import { type MachineReturn, Returns } from './returns.js';
+import { type JobSpec, type MachineType, typeFits } from '../../model/model.js';
+import { wantsRoom } from '../placement/ready-queue.js';
+import type { Cluster } from '../state/cluster-state.js';
+import { fitsType, kindKey, type Machine } from '../state/machine.js';
+import { type MachineReturn, Returns } from './scale-in.js';
 
 export interface RentPlan {
   type: string;
--- a/src/core/cluster.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -1,10 +1,3 @@
-import type { BitmapLayout } from './bitmap-layout.js';
-import { GoneMachines } from './gone-machines.js';
-import { InheritedMachines } from './inherited-machines.js';
-import { Job } from './job.js';
-import { type JobEnd, JobGraph } from './job-graph.js';
-import { type Binding, bindingKey, type Drain, Machine } from './machine.js';
-import { neverSent, reportOrders, stopsOfEndedJobs } from './machine-orders.js';
 import type {
   JobSpec,
   ListedMachine,
@@ -13,10 +6,17 @@
   Order,
   TaskReport,
   Team,
-} from './model.js';
-import type { Aims, CorePolicy, CoreTiming, Use } from './policy.js';
-import type { Batch } from './ready-list.js';
-import { Roster } from './roster.js';
+} from '../../model/model.js';
+import type { Aims, CorePolicy, CoreTiming, Use } from '../../model/policy.js';
+import type { BitmapLayout } from '../../records/bitmap-layout.js';
+import { Roster } from '../persistence/roster.js';
+import type { Batch } from '../placement/ready-queue.js';
+import { InheritedMachines } from '../reconcile/inherited-machines.js';
+import { GoneMachines } from '../reconcile/machine-tombstones.js';
+import { neverSent, reportOrders, stopsOfEndedJobs } from '../reconcile/task-commands.js';
+import { type JobEnd, JobGraph } from './dependency-graph.js';
+import { Job } from './job.js';
+import { type Binding, bindingKey, type Drain, Machine } from './machine.js';
 import { WorkEstimates } from './work-estimates.js';
 
 /** Tells why a larger decision was made; the duties write it to the log. */
--- a/src/core/job.ts
+++ b/src/scheduler/state/job.ts
@@ -1,6 +1,6 @@
-import type { Goal } from './job-graph.js';
+import type { JobSpec } from '../../model/model.js';
+import type { Goal } from './dependency-graph.js';
 import type { Binding } from './machine.js';
-import type { JobSpec } from './model.js';
 
 const READY = 0;
 const BOUND = 1;
--- a/src/core/machine.ts
+++ b/src/scheduler/state/machine.ts
@@ -1,5 +1,5 @@
+import { EPSILON, type JobSpec, type MachineType, type TaskState } from '../../model/model.js';
 import type { Job } from './job.js';
-import { EPSILON, type JobSpec, type MachineType, type TaskState } from './model.js';
 
 export interface Binding {
   job: Job;
--- a/src/core/work-estimates.ts
+++ b/src/scheduler/state/work-estimates.ts
@@ -1,7 +1,7 @@
+import { EPSILON, type JobSpec } from '../../model/model.js';
+import type { Aims } from '../../model/policy.js';
 import type { Job } from './job.js';
 import type { Binding } from './machine.js';
-import { EPSILON, type JobSpec } from './model.js';
-import type { Aims } from './policy.js';
 
 /** How near its latest start makes work pressing, in lengths of its tasks: in that time most of all room comes free. */
 const LOOK_AHEAD = 1.5;
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -2,15 +2,19 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { Cluster } from '../src/core/cluster.js';
-import { flushUnits, type Unit, unknownChunks } from '../src/core/flush.js';
-import type { Binding, Machine } from '../src/core/machine.js';
-import { pendingOrders, raiseFence } from '../src/core/machine-orders.js';
-import { allowed } from '../src/core/machine-rules.js';
-import type { MachineReport, Order } from '../src/core/model.js';
-import { round } from '../src/core/placement.js';
-import type { RosterEntry } from '../src/core/roster.js';
-import { cluster, ScriptedWorker, spec, team } from './support/cluster.js';
+import type { MachineReport, Order } from '../src/model/model.js';
+import {
+  flushUnits,
+  type Unit,
+  unknownChunks,
+} from '../src/scheduler/persistence/durable-writes.js';
+import type { RosterEntry } from '../src/scheduler/persistence/roster.js';
+import { allowed } from '../src/scheduler/placement/feasibility.js';
+import { round } from '../src/scheduler/placement/placement-round.js';
+import { pendingOrders, raiseFence } from '../src/scheduler/reconcile/task-commands.js';
+import type { Cluster } from '../src/scheduler/state/cluster-state.js';
+import type { Binding, Machine } from '../src/scheduler/state/machine.js';
+import { cluster, ScriptedWorker, spec, team } from './support/scheduler.js';
 
 const LIMIT = 24;
 const STEPS = 500;
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -2,11 +2,11 @@
 import type { AddressInfo } from 'node:net';
 import net from 'node:net';
 import { mock, test } from 'node:test';
-import { Budget, Priority } from '../src/clients/budget.js';
-import { StateClient } from '../src/clients/state.js';
-import { WorkerClient } from '../src/clients/worker.js';
+import { WorkerClient } from '../src/clients/agent-client.js';
+import { StateClient } from '../src/clients/state-client.js';
 import { HttpClient, NotSent } from '../src/http/client.js';
 import { type Handler, serve } from '../src/http/server.js';
+import { Budget, Priority } from '../src/runtime/request-budget.js';
 import { FakeClock, settle } from './support/clock.js';
 
 async function serving(
--- a/test/job-graph.test.ts
+++ b/test/job-graph.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { Cluster } from '../src/core/cluster.js';
-import { flushUnits } from '../src/core/flush.js';
-import type { Job } from '../src/core/job.js';
-import { pendingOrders } from '../src/core/machine-orders.js';
-import { round } from '../src/core/placement.js';
-import { Renting } from '../src/core/renting.js';
-import { cluster, joined, ScriptedWorker, spec } from './support/cluster.js';
+import { flushUnits } from '../src/scheduler/persistence/durable-writes.js';
+import { round } from '../src/scheduler/placement/placement-round.js';
+import { pendingOrders } from '../src/scheduler/reconcile/task-commands.js';
+import { Renting } from '../src/scheduler/scaling/scale-out.js';
+import type { Cluster } from '../src/scheduler/state/cluster-state.js';
+import type { Job } from '../src/scheduler/state/job.js';
+import { cluster, joined, ScriptedWorker, spec } from './support/scheduler.js';
 
 function id(n: number): string {
   return `req-${String(n).padStart(6, '0')}`;
--- a/test/leadership.test.ts
+++ b/test/leadership.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { inTime } from '../src/duties/clock.js';
-import { LEADER_KEY, Leadership, type Term } from '../src/duties/leadership.js';
+import { LEADER_KEY, Leadership, type Term } from '../src/controller/election/leader-election.js';
+import { inTime } from '../src/runtime/clock.js';
 import { FakeClock } from './support/clock.js';
 import { context } from './support/context.js';
 import { FakeState, FakeStore } from './support/state.js';
--- a/test/lint.test.ts
+++ b/test/lint.test.ts
@@ -73,35 +73,35 @@
 
 test('each planted fault is found, and nothing else', () => {
   const rules = Object.keys(FAULTS);
-  const files = Object.values(FAULTS).map((text, i) => [`src/core/fault-${i}.ts`, text]);
-  const { code, found } = lint({ 'src/core/later.ts': LATER, ...Object.fromEntries(files) });
-  const expected = rules.map((rule, i) => `error: ${rule} in src/core/fault-${i}.ts`);
+  const files = Object.values(FAULTS).map((text, i) => [`src/scheduler/fault-${i}.ts`, text]);
+  const { code, found } = lint({ 'src/scheduler/later.ts': LATER, ...Object.fromEntries(files) });
+  const expected = rules.map((rule, i) => `error: ${rule} in src/scheduler/fault-${i}.ts`);
   assert.deepEqual(found, expected.sort());
   assert.equal(code, 1);
 });
 
 test('a warning alone fails the run, and sources without a fault pass', () => {
-  assert.deepEqual(lint({ 'src/core/any.ts': 'export const value: any = 1;\n' }), {
+  assert.deepEqual(lint({ 'src/scheduler/any.ts': 'export const value: any = 1;\n' }), {
     code: 1,
-    found: ['warning: lint/suspicious/noExplicitAny in src/core/any.ts'],
+    found: ['warning: lint/suspicious/noExplicitAny in src/scheduler/any.ts'],
   });
-  assert.deepEqual(lint({ 'src/core/later.ts': LATER }), { code: 0, found: [] });
+  assert.deepEqual(lint({ 'src/scheduler/later.ts': LATER }), { code: 0, found: [] });
 });
 
 test('modules that import each other in a circle are found, types alone may', () => {
   const first = "import { second } from './second.js';\n\nexport const first = () => second;\n";
   const second = "import { first } from './first.js';\n\nexport const second = () => first;\n";
-  const circle = lint({ 'src/core/first.ts': first, 'src/core/second.ts': second });
+  const circle = lint({ 'src/scheduler/first.ts': first, 'src/scheduler/second.ts': second });
   assert.deepEqual(circle, {
     code: 1,
     found: [
-      'error: lint/suspicious/noImportCycles in src/core/first.ts',
-      'error: lint/suspicious/noImportCycles in src/core/second.ts',
+      'error: lint/suspicious/noImportCycles in src/scheduler/first.ts',
+      'error: lint/suspicious/noImportCycles in src/scheduler/second.ts',
     ],
   });
   const types = "import type { First } from './first.js';\n\nexport type Second = First | null;\n";
   const half = "import type { Second } from './second.js';\n\nexport type First = Second[];\n";
-  assert.equal(lint({ 'src/core/first.ts': half, 'src/core/second.ts': types }).code, 0);
+  assert.equal(lint({ 'src/scheduler/first.ts': half, 'src/scheduler/second.ts': types }).code, 0);
 });
 
 test('the scripts of the checks are linted too', () => {
--- a/test/mail.test.ts
+++ b/test/mail.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Mail } from '../src/duties/mail.js';
+import { Mail } from '../src/controller/heartbeats/mailbox.js';
 import { FakeClock, settle } from './support/clock.js';
 import { context } from './support/context.js';
 import { FakeState, FakeStore } from './support/state.js';
--- a/test/meetings-history.test.ts
+++ b/test/meetings-history.test.ts
@@ -3,7 +3,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Controller } from './support/controller.js';
-import type { PlayedMachine } from './support/played-machine.js';
+import type { PlayedMachine } from './support/scripted-machine.js';
 import { World } from './support/world.js';
 
 const SEEDS = 12;
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ScriptedWorker } from './support/cluster.js';
+import { ScriptedWorker } from './support/scheduler.js';
 import { onWire } from './support/wire.js';
 import { World } from './support/world.js';
 
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { fill, round } from '../src/core/placement.js';
-import { beat, cluster, joined, ScriptedWorker, spec, TYPE, team } from './support/cluster.js';
+import { fill, round } from '../src/scheduler/placement/placement-round.js';
+import { beat, cluster, joined, ScriptedWorker, spec, TYPE, team } from './support/scheduler.js';
 
 const names = (r: ReturnType<typeof round>) => r.started.map((b) => b.job.spec.id);
 
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -1,7 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { RosterEntry } from '../src/core/model.js';
-import type { Load } from '../src/core/renting.js';
+import type { RosterEntry } from '../src/model/model.js';
 import { FrameReader, frame } from '../src/peer/frames.js';
 import {
   decodeFirstPage,
@@ -48,15 +47,16 @@
   encodeCancellation,
   encodeReply,
   encodeRequest,
-} from '../src/records/peer-questions.js';
+} from '../src/records/peer-requests.js';
 import {
   decodeRosterEntry,
   decodeRosterPage,
   encodeRosterPage,
 } from '../src/records/roster-record.js';
 import { mapObject } from '../src/records/stored-form.js';
-import { spec, TYPE } from './support/cluster.js';
+import type { Load } from '../src/scheduler/scaling/scale-out.js';
 import { PEER_FRAMES, WRITTEN } from './support/records.js';
+import { spec, TYPE } from './support/scheduler.js';
 
 /** Reads a stored value into the model and writes the model again; throws when it is not readable. */
 type RoundTrip = (value: unknown, key: string) => unknown;
--- a/test/records.test.ts
+++ b/test/records-written.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Priority } from '../src/clients/budget.js';
-import { flushUnits } from '../src/core/flush.js';
-import { liveKey } from '../src/core/keys.js';
-import { Renting } from '../src/core/renting.js';
-import { JobStore, type LiveRecord } from '../src/duties/job-store.js';
-import { Leadership } from '../src/duties/leadership.js';
-import { Loads } from '../src/duties/loads.js';
-import { Mail } from '../src/duties/mail.js';
-import { storeTypes } from '../src/duties/types.js';
-import { UpstreamLists } from '../src/duties/upstream-lists.js';
-import { Users } from '../src/duties/users.js';
+import { UpstreamLists } from '../src/controller/api/dependency-lists.js';
+import { Users } from '../src/controller/api/job-api.js';
+import { JobStore, type LiveRecord } from '../src/controller/api/job-store.js';
+import { Leadership } from '../src/controller/election/leader-election.js';
+import { Mail } from '../src/controller/heartbeats/mailbox.js';
+import { Loads } from '../src/controller/leader/demand-store.js';
+import { storeTypes } from '../src/controller/machine-types.js';
 import type { ListHeader } from '../src/records/dependency-list-record.js';
+import { liveKey } from '../src/records/keys.js';
+import { Priority } from '../src/runtime/request-budget.js';
+import { flushUnits } from '../src/scheduler/persistence/durable-writes.js';
+import { Renting } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
-import { cluster, ScriptedWorker, spec, TYPE } from './support/cluster.js';
 import { recordingNode } from './support/recording.js';
 import { FULL_SUBMISSION, LONG_IDS, WRITTEN } from './support/records.js';
+import { cluster, ScriptedWorker, spec, TYPE } from './support/scheduler.js';
 import { SUBMISSION } from './support/submission.js';
 
 /** Values of this size hold a job's record and few ids. */
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { round } from '../src/core/placement.js';
-import { Renting } from '../src/core/renting.js';
-import { beat, cluster, joined, ScriptedWorker, spec } from './support/cluster.js';
+import { round } from '../src/scheduler/placement/placement-round.js';
+import { Renting } from '../src/scheduler/scaling/scale-out.js';
+import { beat, cluster, joined, ScriptedWorker, spec } from './support/scheduler.js';
 
 const sum = (plans: { count: number }[]) => plans.reduce((n, p) => n + p.count, 0);
 
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reports } from '../src/duties/reports.js';
+import { Reports } from '../src/controller/heartbeats/heartbeat-handler.js';
 import type { Reply } from '../src/http/server.js';
 import { tokenOf } from '../src/protocol/wire.js';
 import { FakeClock } from './support/clock.js';
-import { ScriptedWorker } from './support/cluster.js';
 import { context } from './support/context.js';
+import { ScriptedWorker } from './support/scheduler.js';
 import { FakeState, FakeStore } from './support/state.js';
 
 function world() {
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { flushUnits, unknownChunks } from '../src/core/flush.js';
-import { pendingOrders } from '../src/core/machine-orders.js';
-import { round } from '../src/core/placement.js';
-import { beat, cluster, joined, ScriptedWorker, spec, team } from './support/cluster.js';
+import { flushUnits, unknownChunks } from '../src/scheduler/persistence/durable-writes.js';
+import { round } from '../src/scheduler/placement/placement-round.js';
+import { pendingOrders } from '../src/scheduler/reconcile/task-commands.js';
+import { beat, cluster, joined, ScriptedWorker, spec, team } from './support/scheduler.js';
 
 test('a task starts once, and its loss on the way makes it ready again', () => {
   const c = cluster();
--- a/test/support/clock.ts
+++ b/test/support/clock.ts
@@ -1,4 +1,4 @@
-import { type Clock, Stopped } from '../../src/duties/clock.js';
+import { type Clock, Stopped } from '../../src/runtime/clock.js';
 
 interface Sleeper {
   at: number;
--- a/test/support/context.ts
+++ b/test/support/context.ts
@@ -2,9 +2,9 @@
 import { parsePlatform, teamsOf } from '../../src/config/settings.js';
 import { stateLimitsOf } from '../../src/config/state-limits.js';
 import { timingOf } from '../../src/config/timing.js';
-import type { Context } from '../../src/duties/context.js';
+import type { Context } from '../../src/controller/context.js';
 import type { FakeClock } from './clock.js';
-import { TYPE } from './cluster.js';
+import { TYPE } from './scheduler.js';
 import type { FakeState } from './state.js';
 
 const SETTINGS = {
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -1,10 +1,10 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../../src/config/policy.js';
-import type { Context } from '../../src/duties/context.js';
-import { corePolicy, Leader } from '../../src/duties/leader.js';
-import { Leadership } from '../../src/duties/leadership.js';
-import { Reports } from '../../src/duties/reports.js';
-import { Users } from '../../src/duties/users.js';
+import { Users } from '../../src/controller/api/job-api.js';
+import type { Context } from '../../src/controller/context.js';
+import { Leadership } from '../../src/controller/election/leader-election.js';
+import { Reports } from '../../src/controller/heartbeats/heartbeat-handler.js';
+import { corePolicy, Leader } from '../../src/controller/leader/leader.js';
 import { NoAnswer } from '../../src/http/client.js';
 import { context, type NextLimits } from './context.js';
 import { FakeState } from './state.js';
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -1,5 +1,5 @@
 import type { StateLimits } from '../../src/config/state-limits.js';
-import type { Context } from '../../src/duties/context.js';
+import type { Context } from '../../src/controller/context.js';
 import type { Change } from '../../src/protocol/store.js';
 import type { FakeClock } from './clock.js';
 import { context } from './context.js';
--- a/test/support/cluster.ts
+++ b/test/support/scheduler.ts
@@ -1,6 +1,3 @@
-import { BitmapLayout } from '../../src/core/bitmap-layout.js';
-import { Cluster } from '../../src/core/cluster.js';
-import { raiseFence } from '../../src/core/machine-orders.js';
 import type {
   ExitCause,
   JobSpec,
@@ -9,7 +6,10 @@
   Order,
   TaskState,
   Team,
-} from '../../src/core/model.js';
+} from '../../src/model/model.js';
+import { BitmapLayout } from '../../src/records/bitmap-layout.js';
+import { raiseFence } from '../../src/scheduler/reconcile/task-commands.js';
+import { Cluster } from '../../src/scheduler/state/cluster-state.js';
 
 export const TYPE: MachineType = {
   name: 'm16',
--- a/test/support/played-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -1,8 +1,8 @@
-import type { Order } from '../../src/core/model.js';
 import type { Reply } from '../../src/http/server.js';
+import type { Order } from '../../src/model/model.js';
 import { tokenOf } from '../../src/protocol/wire.js';
-import { ScriptedWorker } from './cluster.js';
 import type { Controller } from './controller.js';
+import { ScriptedWorker } from './scheduler.js';
 import { fromWire, onWire, type WireOrder } from './wire.js';
 import type { World } from './world.js';
 
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -1,4 +1,9 @@
-import { Refused, Rejected, type StateService, type Transaction } from '../../src/clients/state.js';
+import {
+  Refused,
+  Rejected,
+  type StateService,
+  type Transaction,
+} from '../../src/clients/state-client.js';
 import { NoAnswer } from '../../src/http/client.js';
 import type { Change, Condition, Entry, StoreEvent } from '../../src/protocol/store.js';
 import type { FakeClock } from './clock.js';
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -2,7 +2,7 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../../../src/config/policy.js';
 import { parsePlatform } from '../../../src/config/settings.js';
-import { Node } from '../../../src/duties/node.js';
+import { Node } from '../../../src/controller/controller.js';
 import { type Cart, PlayedCloud } from './cloud.js';
 import { draw } from './draw.js';
 import { PlayedMachine } from './machine.js';
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -1,5 +1,5 @@
 /** Workers' messages in the wire's words. */
-import type { MachineReport, Order } from '../../src/core/model.js';
+import type { MachineReport, Order } from '../../src/model/model.js';
 import { tokenOf } from '../../src/protocol/wire.js';
 
 const STANDINGS = { fetching: 'pulling', running: 'running', saving: 'saving', exited: 'exited' };
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
-import type { ListedMachine, Order } from '../../src/core/model.js';
 import { NoAnswer, NotTried } from '../../src/http/client.js';
+import type { ListedMachine, Order } from '../../src/model/model.js';
 import { FakeClock } from './clock.js';
-import { TYPE } from './cluster.js';
 import { Controller, NEXT } from './controller.js';
-import { PlayedMachine, TICK_MS } from './played-machine.js';
+import { TYPE } from './scheduler.js';
+import { PlayedMachine, TICK_MS } from './scripted-machine.js';
 import { FakeStore } from './state.js';
 
 interface Told {
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { round } from '../src/core/placement.js';
-import { Renting } from '../src/core/renting.js';
-import { Roster } from '../src/core/roster.js';
-import { Commands } from '../src/duties/commands.js';
-import { Health } from '../src/duties/health.js';
-import { Peers } from '../src/duties/peers.js';
+import { Health } from '../src/controller/health.js';
+import { Commands } from '../src/controller/leader/agent-commands.js';
+import { Peers } from '../src/controller/membership/peers.js';
 import { NoAnswer, NotTried } from '../src/http/client.js';
-import type { Status } from '../src/peer/net.js';
+import type { Status } from '../src/peer/peer-network.js';
+import { Roster } from '../src/scheduler/persistence/roster.js';
+import { round } from '../src/scheduler/placement/placement-round.js';
+import { Renting } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock } from './support/clock.js';
-import { beat, cluster, joined, ScriptedWorker, spec, team } from './support/cluster.js';
 import { context } from './support/context.js';
+import { beat, cluster, joined, ScriptedWorker, spec, team } from './support/scheduler.js';
 import { FakeState, FakeStore } from './support/state.js';
 
 test('a late copy under an old token proves neither a machine nor its life to a new leader', () => {
--- a/test/upstream-lists.test.ts
+++ b/test/upstream-lists.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { round } from '../src/core/placement.js';
-import { JobStore, type LiveRecord } from '../src/duties/job-store.js';
-import { UpstreamListCleaner } from '../src/duties/upstream-list-cleaner.js';
-import { UpstreamResolver } from '../src/duties/upstream-resolver.js';
-import { Users } from '../src/duties/users.js';
+import { Users } from '../src/controller/api/job-api.js';
+import { JobStore, type LiveRecord } from '../src/controller/api/job-store.js';
+import { UpstreamListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
+import { UpstreamResolver } from '../src/controller/leader/dependency-resolver.js';
+import { round } from '../src/scheduler/placement/placement-round.js';
 import { FakeClock, settle } from './support/clock.js';
-import { cluster, joined, ScriptedWorker, spec } from './support/cluster.js';
 import { context, type NextLimits } from './support/context.js';
+import { cluster, joined, ScriptedWorker, spec } from './support/scheduler.js';
 import { FakeState, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Users } from '../src/duties/users.js';
+import { Users } from '../src/controller/api/job-api.js';
 import { FakeClock } from './support/clock.js';
 import { context } from './support/context.js';
 import { FakeState, FakeStore } from './support/state.js';
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readTypes } from '../src/duties/types.js';
-import { Users } from '../src/duties/users.js';
+import { Users } from '../src/controller/api/job-api.js';
+import { readTypes } from '../src/controller/machine-types.js';
 import { FakeClock } from './support/clock.js';
-import { TYPE } from './support/cluster.js';
 import { context } from './support/context.js';
+import { TYPE } from './support/scheduler.js';
 import { FakeState, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { neverRuns } from '../src/core/model.js';
+import { neverRuns } from '../src/model/model.js';
 import {
   Malformed,
   parseMachineList,
@@ -8,7 +8,7 @@
   parseSubmission,
   reportAnswer,
 } from '../src/protocol/wire.js';
-import { TYPE, team } from './support/cluster.js';
+import { TYPE, team } from './support/scheduler.js';
 
 const SUBMISSION = {
   id: 'req-000412',
