--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -1,12 +1,12 @@
-import { splitAddress } from '../config/settings.js';
-import { HttpClient, NotTried } from '../http/client.js';
-import type { MachineReport, Order } from '../model/model.js';
-import { commandsBody, PATHS, parseReport } from '../protocol/wire.js';
+import { parseAddress } from '../config/settings.js';
+import { HttpClient, NotAttemptedError } from '../http/client.js';
+import type { Heartbeat, TaskCommand } from '../model/model.js';
+import { commandsBody, PATHS, parseHeartbeat } from '../protocol/wire.js';
 
-export interface CommandAnswer {
+export interface CommandResult {
   /** False: nothing was executed, since a higher token or another session is there. */
   executed: boolean;
-  report: MachineReport;
+  heartbeat: Heartbeat;
 }
 
 const BODY_LIMIT = 4 * 1024 * 1024;
@@ -16,7 +16,7 @@
  * the sockets go: every worker has one to this node already, and without a
  * bound the two together left none for the state service.
  */
-export class WorkerClient {
+export class AgentClient {
   /** The least recently used first. */
   private readonly clients = new Map<string, HttpClient>();
 
@@ -29,10 +29,10 @@
     address: string,
     token: number,
     session: number,
-    orders: Order[],
+    orders: TaskCommand[],
     signal: AbortSignal,
     fit: () => boolean,
-  ): Promise<CommandAnswer> {
+  ): Promise<CommandResult> {
     const answer = await this.client(address).request(
       'POST',
       PATHS.commands,
@@ -41,45 +41,45 @@
       signal,
       fit,
     );
-    return { executed: answer.status === 200, report: parseReport(answer.body) };
+    return { executed: answer.status === 200, heartbeat: parseHeartbeat(answer.body) };
   }
 
   private client(address: string): HttpClient {
     let client = this.clients.get(address);
     if (client) this.clients.delete(address);
     else {
-      if (this.clients.size >= this.sockets) this.makeRoom();
-      client = new HttpClient(splitAddress(address), { connections: 1, bodyLimit: BODY_LIMIT });
+      if (this.clients.size >= this.sockets) this.evictIdleClient();
+      client = new HttpClient(parseAddress(address), { connections: 1, bodyLimit: BODY_LIMIT });
     }
     this.clients.set(address, client);
     return client;
   }
 
-  private makeRoom(): void {
+  private evictIdleClient(): void {
     for (const [address, client] of this.clients) {
       if (!client.resting) continue;
       client.close();
       this.clients.delete(address);
       return;
     }
-    throw new NotTried('every socket for commands is in use');
+    throw new NotAttemptedError('every socket for commands is in use');
   }
 
   /** What the machine itself says now: no late copy can stand for the answer to one's own question. */
-  static async show(address: string, timeoutMs: number): Promise<MachineReport> {
-    const client = new HttpClient(splitAddress(address), {
+  static async fetchHeartbeat(address: string, timeoutMs: number): Promise<Heartbeat> {
+    const client = new HttpClient(parseAddress(address), {
       connections: 1,
       bodyLimit: BODY_LIMIT,
     });
     try {
-      return parseReport((await client.request('GET', PATHS.show, undefined, timeoutMs)).body);
+      return parseHeartbeat((await client.request('GET', PATHS.show, undefined, timeoutMs)).body);
     } finally {
       client.close();
     }
   }
 
   /** Closes the connections to all but these. */
-  keep(addresses: Set<string>): void {
+  retainOnly(addresses: Set<string>): void {
     for (const [address, client] of this.clients)
       if (!addresses.has(address)) {
         client.close();
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -1,34 +1,34 @@
-import { HttpClient, NoAnswer } from '../http/client.js';
+import { HttpClient, NoResponseError } from '../http/client.js';
 import {
   machineListTarget,
   PATHS,
+  type ProvisionRequest,
   parseMachineList,
-  parseRented,
-  parseTypes,
-  type RentRequest,
-  rentBody,
-  returnBody,
+  parseMachineTypes,
+  parseProvisioned,
+  provisionBody,
+  terminationBody,
 } from '../protocol/wire.js';
 import type { Clock } from '../runtime/clock.js';
-import { Budget, Priority } from '../runtime/request-budget.js';
+import { RequestBudget, RequestPriority } from '../runtime/request-budget.js';
 
 /** The protocol's bound on names in one return. */
-export const RETURN_LIMIT = 100;
+export const MAX_MACHINES_PER_TERMINATION = 100;
 const LIST_LIMIT = 500;
 
 /** The list of a large fleet has many pages, which must not hold up rentals and returns. */
-const LIST_PRIORITY = Priority.ends;
+const LIST_PRIORITY = RequestPriority.ends;
 
 interface CallOptions {
   signal?: AbortSignal | undefined;
   /** Asked when the request would leave. */
-  fit?: () => boolean;
-  priority?: Priority;
+  stillValid?: () => boolean;
+  priority?: RequestPriority;
 }
 
 export class CloudClient {
   private readonly http: HttpClient;
-  private readonly budget: Budget;
+  private readonly budget: RequestBudget;
 
   constructor(
     private readonly options: {
@@ -39,11 +39,15 @@
     },
   ) {
     this.http = new HttpClient(options.address, { connections: 4, bodyLimit: 2 * 1024 * 1024 });
-    this.budget = new Budget(options.requestsPerS, options.requestsPerS, options.clock.now());
+    this.budget = new RequestBudget(
+      options.requestsPerS,
+      options.requestsPerS,
+      options.clock.now(),
+    );
   }
 
   async types(signal?: AbortSignal) {
-    return parseTypes(await this.call('GET', PATHS.types, undefined, { signal }));
+    return parseMachineTypes(await this.call('GET', PATHS.types, undefined, { signal }));
   }
 
   /** One page of the machine list. */
@@ -57,29 +61,32 @@
   }
 
   /** The machines rented; null when the cloud has no capacity. A lost answer is asked for again under the same name. */
-  async rent(
-    request: RentRequest,
+  async provision(
+    request: ProvisionRequest,
     signal: AbortSignal,
     fit: () => boolean,
   ): Promise<string[] | null> {
-    await this.pace(Priority.users, signal);
+    await this.awaitBudget(RequestPriority.users, signal);
     const answer = await this.http.request(
       'POST',
       PATHS.machines,
-      rentBody(request),
+      provisionBody(request),
       this.options.timeoutMs,
       signal,
       fit,
     );
-    if (answer.status === 200) return parseRented(answer.body);
+    if (answer.status === 200) return parseProvisioned(answer.body);
     const text = JSON.stringify(answer.body);
     if (answer.status === 503 && text.includes('no capacity')) return null;
-    throw new NoAnswer(`cloud answered ${answer.status}: ${text.slice(0, 200)}`);
+    throw new NoResponseError(`cloud answered ${answer.status}: ${text.slice(0, 200)}`);
   }
 
   /** Resolves only when the cloud has said that the machines are gone. */
-  async giveBack(machines: string[], signal: AbortSignal, fit: () => boolean): Promise<void> {
-    await this.call('POST', PATHS.returnMachines, returnBody(machines), { signal, fit });
+  async terminate(machines: string[], signal: AbortSignal, fit: () => boolean): Promise<void> {
+    await this.call('POST', PATHS.returnMachines, terminationBody(machines), {
+      signal,
+      stillValid: fit,
+    });
   }
 
   close(): void {
@@ -90,16 +97,16 @@
     method: string,
     target: string,
     body: unknown,
-    { signal, fit, priority = Priority.users }: CallOptions,
+    { signal, stillValid: fit, priority = RequestPriority.users }: CallOptions,
   ) {
-    await this.pace(priority, signal);
+    await this.awaitBudget(priority, signal);
     const { timeoutMs } = this.options;
     const answer = await this.http.request(method, target, body, timeoutMs, signal, fit);
-    if (answer.status !== 200) throw new NoAnswer(`cloud answered ${answer.status}`);
+    if (answer.status !== 200) throw new NoResponseError(`cloud answered ${answer.status}`);
     return answer.body;
   }
 
-  private async pace(priority: Priority, signal?: AbortSignal): Promise<void> {
+  private async awaitBudget(priority: RequestPriority, signal?: AbortSignal): Promise<void> {
     const { clock } = this.options;
     for (;;) {
       const wait = this.budget.take(1, priority, clock.now());
--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -1,21 +1,21 @@
 import type { Entry } from '../protocol/store.js';
-import type { Priority } from '../runtime/request-budget.js';
-import type { StateService } from './state-client.js';
+import type { RequestPriority } from '../runtime/request-budget.js';
+import type { KeyValueStore } from './state-client.js';
 
 /** Up to this many keys are read one by one, at the same time; more of them in ranges. */
 export const SINGLE_READS = 8;
 
 /** All keys with the prefix, in their order; what changes meanwhile may or may not show. */
 export async function readPrefix(
-  state: Pick<StateService, 'listPage'>,
+  state: Pick<KeyValueStore, 'listPage'>,
   prefix: string,
-  priority: Priority,
+  priority: RequestPriority,
   signal?: AbortSignal,
 ): Promise<Entry[]> {
   const entries: Entry[] = [];
   let after: string | null = null;
   for (;;) {
-    const page: Awaited<ReturnType<StateService['listPage']>> = await state.listPage(
+    const page: Awaited<ReturnType<KeyValueStore['listPage']>> = await state.listPage(
       prefix,
       after,
       signal,
@@ -33,10 +33,10 @@
  * lie in, which takes a request for each page instead of one for each key.
  */
 export async function readKeys(
-  state: Pick<StateService, 'get' | 'listPage'>,
+  state: Pick<KeyValueStore, 'get' | 'listPage'>,
   prefix: string,
   keys: readonly string[],
-  priority: Priority,
+  priority: RequestPriority,
   signal?: AbortSignal,
 ): Promise<Map<string, Entry>> {
   const found = new Map<string, Entry>();
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -1,4 +1,9 @@
-import { type Answer, AnswerTooLarge, HttpClient, NoAnswer } from '../http/client.js';
+import {
+  HttpClient,
+  type HttpResponse,
+  NoResponseError,
+  ResponseTooLargeError,
+} from '../http/client.js';
 import {
   type Change,
   type Condition,
@@ -19,10 +24,10 @@
 } from '../protocol/store.js';
 import { PATHS } from '../protocol/wire.js';
 import type { Clock } from '../runtime/clock.js';
-import { Budget, Priority } from '../runtime/request-budget.js';
+import { RequestBudget, RequestPriority } from '../runtime/request-budget.js';
 
 /** The state service did not serve the request, and it was not carried out. */
-export class Refused extends Error {
+export class RequestRefusedError extends Error {
   constructor(readonly retryMs: number) {
     super('state service refused');
   }
@@ -33,15 +38,15 @@
  * larger than the service takes, or names a lease that has ended. Sent again
  * unchanged, it would be refused again.
  */
-export class Rejected extends NoAnswer {}
+export class RequestRejectedError extends NoResponseError {}
 
-export interface Transaction {
+export interface TransactionResult {
   ok: boolean;
   revision: number;
   failed: string[];
 }
 
-export interface StateOptions {
+export interface StateClientOptions {
   address: { host: string; port: number };
   requestsPerS: number;
   changesPerS: number;
@@ -52,20 +57,20 @@
 }
 
 /** What the duties use of the state service; the tests put a scripted one in its place. */
-export interface StateService {
-  get(key: string, priority: Priority, signal?: AbortSignal): Promise<Entry | null>;
+export interface KeyValueStore {
+  get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null>;
   listPage(
     prefix: string,
     after: string | null,
     signal?: AbortSignal,
-    priority?: Priority,
+    priority?: RequestPriority,
   ): Promise<{ entries: Entry[]; more: boolean; revision: number }>;
   transact(
     conditions: Condition[],
     changes: Change[],
-    priority: Priority,
+    priority: RequestPriority,
     signal?: AbortSignal,
-  ): Promise<Transaction>;
+  ): Promise<TransactionResult>;
   grant(ttlMs: number, signal?: AbortSignal): Promise<number>;
   touch(lease: number, signal?: AbortSignal): Promise<boolean>;
   revoke(lease: number, signal?: AbortSignal): Promise<void>;
@@ -84,32 +89,32 @@
 /** Connections for each request a second: enough while answers take up to this many seconds. */
 const CONNECTIONS = 0.3;
 
-export class StateClient implements StateService {
+export class StateClient implements KeyValueStore {
   private readonly http: HttpClient;
   /** For what leads: it must not stand in line behind users for a connection while the service is slow. */
-  private readonly leading: HttpClient;
-  private readonly watches: HttpClient;
-  private readonly requests: Budget;
-  private readonly changes: Budget;
+  private readonly leadershipHttp: HttpClient;
+  private readonly watchHttp: HttpClient;
+  private readonly requestBudget: RequestBudget;
+  private readonly changeBudget: RequestBudget;
   private queued = 0;
   /** Since when no request has been served; null while the last one was. */
-  troubleSince: number | null = null;
+  failingSince: number | null = null;
   /** Since when requests have had no answer of any kind, not even a refusal. */
-  silentSince: number | null = null;
+  unansweredSince: number | null = null;
   /** When a request last left. */
-  triedAt = Number.NEGATIVE_INFINITY;
+  lastAttemptAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: StateOptions) {
+  constructor(private readonly options: StateClientOptions) {
     const { requestsPerS, changesPerS, clock } = options;
     const connections = Math.ceil(requestsPerS * CONNECTIONS);
     this.http = new HttpClient(options.address, { connections, bodyLimit: BODY_LIMIT });
-    this.leading = new HttpClient(options.address, { connections, bodyLimit: BODY_LIMIT });
-    this.watches = new HttpClient(options.address, { connections: 4, bodyLimit: BODY_LIMIT });
-    this.requests = new Budget(requestsPerS, requestsPerS, clock.now());
-    this.changes = new Budget(changesPerS, changesPerS, clock.now());
+    this.leadershipHttp = new HttpClient(options.address, { connections, bodyLimit: BODY_LIMIT });
+    this.watchHttp = new HttpClient(options.address, { connections: 4, bodyLimit: BODY_LIMIT });
+    this.requestBudget = new RequestBudget(requestsPerS, requestsPerS, clock.now());
+    this.changeBudget = new RequestBudget(changesPerS, changesPerS, clock.now());
   }
 
-  async get(key: string, priority: Priority, signal?: AbortSignal): Promise<Entry | null> {
+  async get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null> {
     const answer = await this.call('GET', keyTarget(key), undefined, priority, 0, signal);
     return answer.status === 404 ? null : parseEntry(answer.body);
   }
@@ -118,7 +123,7 @@
     prefix: string,
     after: string | null,
     signal?: AbortSignal,
-    priority: Priority = Priority.lead,
+    priority: RequestPriority = RequestPriority.lead,
   ) {
     const target = listTarget(prefix, after, LIST_LIMIT);
     return parsePage((await this.call('GET', target, undefined, priority, 0, signal)).body);
@@ -127,9 +132,9 @@
   async transact(
     conditions: Condition[],
     changes: Change[],
-    priority: Priority,
+    priority: RequestPriority,
     signal?: AbortSignal,
-  ): Promise<Transaction> {
+  ): Promise<TransactionResult> {
     const body = transactionBody(conditions, changes);
     const answer = await this.call(
       'POST',
@@ -148,22 +153,31 @@
 
   async grant(ttlMs: number, signal?: AbortSignal): Promise<number> {
     const body = grantBody(Math.round(ttlMs));
-    return parseLease((await this.call('POST', PATHS.leases, body, Priority.lead, 0, signal)).body);
+    return parseLease(
+      (await this.call('POST', PATHS.leases, body, RequestPriority.lead, 0, signal)).body,
+    );
   }
 
   async touch(lease: number, signal?: AbortSignal): Promise<boolean> {
     const target = leaseTarget(lease, true);
-    return (await this.call('POST', target, {}, Priority.lead, 0, signal)).status === 200;
+    return (await this.call('POST', target, {}, RequestPriority.lead, 0, signal)).status === 200;
   }
 
   async revoke(lease: number, signal?: AbortSignal): Promise<void> {
-    await this.call('DELETE', leaseTarget(lease, false), undefined, Priority.lead, 0, signal);
+    await this.call(
+      'DELETE',
+      leaseTarget(lease, false),
+      undefined,
+      RequestPriority.lead,
+      0,
+      signal,
+    );
   }
 
   async watch(prefix: string, after: number, waitMs: number, signal?: AbortSignal) {
-    await this.spend(Priority.lead, 0, signal);
+    await this.spend(RequestPriority.lead, 0, signal);
     try {
-      const answer = await this.watches.request(
+      const answer = await this.watchHttp.request(
         'GET',
         watchTarget(prefix, after, Math.round(waitMs)),
         undefined,
@@ -174,56 +188,61 @@
       return parseEvents(this.check(answer).body);
     } catch (error) {
       // Its length has no bound, and the same question would have the same answer: lists come in pages.
-      if (error instanceof AnswerTooLarge) return null;
+      if (error instanceof ResponseTooLargeError) return null;
       throw error;
     }
   }
 
   close(): void {
     this.http.close();
-    this.leading.close();
-    this.watches.close();
+    this.leadershipHttp.close();
+    this.watchHttp.close();
   }
 
   private async call(
     method: string,
     target: string,
     body: unknown,
-    priority: Priority,
+    priority: RequestPriority,
     changes: number,
     signal?: AbortSignal,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     await this.spend(priority, changes, signal);
-    this.triedAt = this.options.clock.now();
-    const client = priority === Priority.lead ? this.leading : this.http;
+    this.lastAttemptAt = this.options.clock.now();
+    const client = priority === RequestPriority.lead ? this.leadershipHttp : this.http;
     try {
       const answer = this.check(
         await client.request(method, target, body, this.options.timeoutMs, signal),
         changes,
       );
-      this.troubleSince = null;
-      this.silentSince = null;
+      this.failingSince = null;
+      this.unansweredSince = null;
       return answer;
     } catch (error) {
       if (!signal?.aborted) {
         const now = this.options.clock.now();
-        this.troubleSince ??= now;
-        if (error instanceof Refused) this.silentSince = null;
-        else this.silentSince ??= now;
+        this.failingSince ??= now;
+        if (error instanceof RequestRefusedError) this.unansweredSince = null;
+        else this.unansweredSince ??= now;
       }
       throw error;
     }
   }
 
   /** Waits for the budget, within the time that an answer could still be of use. */
-  private async spend(priority: Priority, changes: number, signal?: AbortSignal): Promise<void> {
+  private async spend(
+    priority: RequestPriority,
+    changes: number,
+    signal?: AbortSignal,
+  ): Promise<void> {
     const { clock, timeoutMs, requestsPerS } = this.options;
     const deadline = clock.now() + timeoutMs;
     for (;;) {
-      let wait = this.requests.take(1, priority, clock.now());
-      if (wait === 0 && changes > 0) wait = this.changes.take(changes, priority, clock.now());
+      let wait = this.requestBudget.take(1, priority, clock.now());
+      if (wait === 0 && changes > 0) wait = this.changeBudget.take(changes, priority, clock.now());
       if (wait === 0) return;
-      if (clock.now() + wait > deadline || this.queued > requestsPerS) throw new Refused(wait);
+      if (clock.now() + wait > deadline || this.queued > requestsPerS)
+        throw new RequestRefusedError(wait);
       this.queued++;
       try {
         await clock.sleep(wait, signal);
@@ -233,22 +252,22 @@
     }
   }
 
-  private check(answer: Answer, changes = 0): Answer {
+  private check(answer: HttpResponse, changes = 0): HttpResponse {
     if (answer.status === 429) {
       const now = this.options.clock.now();
-      this.requests.refused(now);
+      this.requestBudget.recordRefusal(now);
       if (changes > 0) {
         // Which of the two limits it was is not said; the announced one may be in force from now on.
-        this.changes.refused(now);
-        this.changes.lower(this.options.loweredChangesPerS, now);
+        this.changeBudget.recordRefusal(now);
+        this.changeBudget.lowerRate(this.options.loweredChangesPerS, now);
       }
-      throw new Refused(1000);
+      throw new RequestRefusedError(1000);
     }
-    if (answer.status === 503) throw new Refused(1000);
+    if (answer.status === 503) throw new RequestRefusedError(1000);
     if (![200, 400, 404, 409].includes(answer.status))
-      throw new NoAnswer(`state service answered ${answer.status}`);
+      throw new NoResponseError(`state service answered ${answer.status}`);
     if (answer.status === 400)
-      throw new Rejected(`state service answered 400: ${JSON.stringify(answer.body)}`);
+      throw new RequestRejectedError(`state service answered 400: ${JSON.stringify(answer.body)}`);
     return answer;
   }
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import type { Team } from '../model/model.js';
+import type { TeamQuota } from '../model/model.js';
 
 /** The platform hands over a file that cannot be used; the message names file and field. */
 export class SettingsError extends Error {}
@@ -70,16 +70,22 @@
   return result.output;
 }
 
-export function teamsOf(platform: Platform): Map<string, Team> {
+export function quotasOf(platform: Platform): Map<string, TeamQuota> {
   return new Map(
     platform.settings.teams.map((t) => [
       t.name,
-      { name: t.name, cpus: t.cpus, gpus: t.gpus, cpusMax: t.cpus_max, gpusMax: t.gpus_max },
+      {
+        name: t.name,
+        guaranteedCpus: t.cpus,
+        guaranteedGpus: t.gpus,
+        maxCpus: t.cpus_max,
+        maxGpus: t.gpus_max,
+      },
     ]),
   );
 }
 
-export function splitAddress(text: string): { host: string; port: number } {
+export function parseAddress(text: string): { host: string; port: number } {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 }
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -9,18 +9,18 @@
  */
 export interface Timing {
   /** Workers report this often. */
-  reportMs: number;
+  heartbeatMs: number;
   /** Life of the leader's lease in the state service. */
   leaseMs: number;
   renewMs: number;
   /** After the sending of a renewal that succeeded, leadership counts as proven for this long. */
-  provenMs: number;
+  leadershipProofMs: number;
   /** Without proof for this long, reports are no longer answered, so that the workers' leases run out in time. */
-  answerMs: number;
+  agentRenewalMs: number;
   stateTimeoutMs: number;
-  watchMs: number;
+  watchTimeoutMs: number;
   /** The leader's watch of jobs is asked anew this often: its news counts from when it was asked for. */
-  newsMs: number;
+  jobWatchMs: number;
   userTimeoutMs: number;
   cloudTimeoutMs: number;
   commandTimeoutMs: number;
@@ -29,22 +29,22 @@
   listProofMs: number;
   typesMs: number;
   /** What work is expected is written down this often. */
-  loadsMs: number;
+  demandSaveMs: number;
   roundMs: number;
   /** A timer that is later than this shows that the processor is behind. */
-  lateMs: number;
-  flushMs: number;
+  lagThresholdMs: number;
+  progressWriteMs: number;
   /** What a node has read of a job that others need counts for this long, as far as it was live. */
-  upstreamFreshMs: number;
+  dependencyFreshMs: number;
   /** A list of upstream jobs whose job is not live is removed after this long. */
   orphanListMs: number;
-  rentMs: number;
-  silentMs: number;
-  workerLeaseMs: number;
+  scalingMs: number;
+  unreachableAfterMs: number;
+  agentLeaseMs: number;
   /** A node without leadership keeps a cut-off machine's lease alive for this long. */
-  deputyMs: number;
+  delegatedRenewalMs: number;
   /** The leader tells of the fleet in the log this often. */
-  reportEveryMs: number;
+  fleetLogMs: number;
 }
 
 export function timingOf(platform: Platform): Timing {
@@ -60,38 +60,38 @@
   const waitMs = Math.min(reportMs, ...waits);
   const leaseMs = Math.min(workerLeaseMs * 0.2, reportMs * 1.5);
   return {
-    reportMs,
+    heartbeatMs: reportMs,
     leaseMs,
     renewMs: leaseMs * 0.25,
-    provenMs: leaseMs * 0.75 * (1 - DRIFT),
+    leadershipProofMs: leaseMs * 0.75 * (1 - DRIFT),
     // A cancellation that this node does not know of was confirmed after its last news. From there on it
     // answers for answerMs, the last answer renews a lease from when its report was sent, before the
     // answer, and the worker ends its tasks a lease later: together at most 0.95 cancel_s + 0.05 lease_s.
     // What is left of cancel_s covers drift and the time that an answer is on its way (docs/design.md).
-    answerMs: Math.max(0, (cancelMs - workerLeaseMs) * 0.95),
+    agentRenewalMs: Math.max(0, (cancelMs - workerLeaseMs) * 0.95),
     stateTimeoutMs: reportMs * 0.4,
-    watchMs: reportMs * 2,
-    newsMs: leaseMs * 0.25,
+    watchTimeoutMs: reportMs * 2,
+    jobWatchMs: leaseMs * 0.25,
     userTimeoutMs: reportMs * 0.8,
     cloudTimeoutMs: reportMs * 2,
     commandTimeoutMs: reportMs * 0.5,
     listMs: Math.max(lagMs * 0.6, 1500 / cloud.rps),
     listProofMs: lagMs * 3 + reportMs,
     typesMs: lagMs * 6 + reportMs,
-    loadsMs: workerLeaseMs / 3,
+    demandSaveMs: workerLeaseMs / 3,
     roundMs: waitMs / 30,
-    lateMs: reportMs / 20,
+    lagThresholdMs: reportMs / 20,
     // A fifth of the changes a second may go to progress, and a reader should see an end well within a report.
-    flushMs: Math.max(reportMs / 30, 5000 / state.write_rps),
+    progressWriteMs: Math.max(reportMs / 30, 5000 / state.write_rps),
     // Somebody may be told that a job waits for as long after a job upstream of it was cancelled: well within cancel_s.
-    upstreamFreshMs: cancelMs * 0.2,
+    dependencyFreshMs: cancelMs * 0.2,
     // Removal is safe at any moment; the time keeps it from making submissions under way begin anew.
     orphanListMs: cancelMs * 2,
-    rentMs: reportMs / 3,
-    silentMs: reportMs * 3,
-    workerLeaseMs,
+    scalingMs: reportMs / 3,
+    unreachableAfterMs: reportMs * 3,
+    agentLeaseMs: workerLeaseMs,
     // A command held back by the cut may still reach a session that is kept alive, so it must end in time for a cancellation; three reports cover how late the first of them came.
-    deputyMs: Math.max(0, (cancelMs - workerLeaseMs) * 0.9 - reportMs * 3),
-    reportEveryMs: workerLeaseMs / 2,
+    delegatedRenewalMs: Math.max(0, (cancelMs - workerLeaseMs) * 0.9 - reportMs * 3),
+    fleetLogMs: workerLeaseMs / 2,
   };
 }
--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -2,28 +2,28 @@
 import { readPrefix } from '../../clients/key-ranges.js';
 import type { Change, Condition } from '../../protocol/store.js';
 import {
+  type DependencyListHeader,
+  decodeDependencyListHeader,
   decodeJobIds,
-  decodeListHeader,
+  encodeDependencyListHeader,
   encodeJobIds,
-  encodeListHeader,
   encodeRemoval,
-  type ListHeader,
 } from '../../records/dependency-list-record.js';
-import type { UpstreamListRef } from '../../records/job-record.js';
+import type { DependencyListRef } from '../../records/job-record.js';
 import { listHeaderKey, listPageKey, listPagesPrefix } from '../../records/keys.js';
 import { mapObject } from '../../records/stored-form.js';
 import { paged, TRANSACTION_BYTES, valueRoom } from '../../records/value-sizes.js';
-import type { Priority } from '../../runtime/request-budget.js';
-import type { Context } from '../context.js';
+import type { RequestPriority } from '../../runtime/request-budget.js';
+import type { ControllerContext } from '../context.js';
 
 /** A list of which every page stands, for as long as the condition holds. */
-export interface StoredList {
-  ref: UpstreamListRef;
+export interface StoredDependencyList {
+  ref: DependencyListRef;
   condition: Condition;
 }
 
 /** The list is being written or removed by another node at the same time. */
-export class ListContended extends Error {}
+export class DependencyListContendedError extends Error {}
 
 /** Hexadecimal digits of a token: lists of one job are told apart by it, nothing else. */
 const TOKEN_LENGTH = 16;
@@ -39,14 +39,18 @@
  * never names a page that is missing, whatever is carried out late, and pages
  * never outlive their header.
  */
-export class UpstreamLists {
-  constructor(private readonly ctx: Pick<Context, 'state' | 'limits'>) {}
+export class DependencyLists {
+  constructor(private readonly ctx: Pick<ControllerContext, 'state' | 'limits'>) {}
 
   /** Writes what is missing of the list. What earlier attempts at any node have written counts. */
-  async write(job: string, ids: readonly string[], priority: Priority): Promise<StoredList> {
+  async write(
+    job: string,
+    ids: readonly string[],
+    priority: RequestPriority,
+  ): Promise<StoredDependencyList> {
     const room = valueRoom(this.ctx.limits);
     const pages = paged([...ids].sort(), room, room);
-    const token = tokenOf(pages);
+    const token = contentHash(pages);
     const condition = await this.openHeader(job, token, pages.length, priority);
     const prefix = listPagesPrefix(job, token);
     const standing = new Set(
@@ -65,7 +69,7 @@
     for (let from = 0; from < missing.length; from += perTransaction) {
       const part = missing.slice(from, from + perTransaction);
       const written = await this.ctx.state.transact([condition], part, priority);
-      if (!written.ok) throw new ListContended(job);
+      if (!written.ok) throw new DependencyListContendedError(job);
     }
     return { ref: { token, pages: pages.length }, condition };
   }
@@ -73,8 +77,8 @@
   /** The ids of a list; null when it has gone with its job. */
   async read(
     job: string,
-    ref: UpstreamListRef,
-    priority: Priority,
+    ref: DependencyListRef,
+    priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<string[] | null> {
     const prefix = listPagesPrefix(job, ref.token);
@@ -87,9 +91,9 @@
   async remove(
     job: string,
     token: string,
-    header: { version: number; value: ListHeader },
+    header: { version: number; value: DependencyListHeader },
     liveKey: string,
-    priority: Priority,
+    priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<void> {
     const { state, limits } = this.ctx;
@@ -125,24 +129,24 @@
     job: string,
     token: string,
     pages: number,
-    priority: Priority,
+    priority: RequestPriority,
   ): Promise<Condition> {
     const { state } = this.ctx;
     const key = listHeaderKey(job, token);
     const found = await state.get(key, priority);
-    if (found && !mapObject(found.value, decodeListHeader).removing)
+    if (found && !mapObject(found.value, decodeDependencyListHeader).removing)
       return { key, version: found.version };
-    const value = encodeListHeader({ pages });
+    const value = encodeDependencyListHeader({ pages });
     const written = await state.transact(
       [{ key, version: found?.version ?? 0 }],
       [{ op: 'put', key, value }],
       priority,
     );
-    if (!written.ok) throw new ListContended(job);
+    if (!written.ok) throw new DependencyListContendedError(job);
     return { key, version: written.revision };
   }
 }
 
-function tokenOf(pages: readonly string[][]): string {
+function contentHash(pages: readonly string[][]): string {
   return createHash('sha256').update(JSON.stringify(pages)).digest('hex').slice(0, TOKEN_LENGTH);
 }
--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -1,13 +1,13 @@
 import { readPrefix, SINGLE_READS } from '../../clients/key-ranges.js';
-import type { OverRecord } from '../../records/job-end-record.js';
-import { decodeLiveRecord } from '../../records/job-record.js';
-import { LIVE_PREFIX } from '../../records/keys.js';
+import type { EndedJobRecord } from '../../records/job-end-record.js';
+import { decodeLiveJob } from '../../records/job-record.js';
+import { LIVE_JOB_PREFIX } from '../../records/keys.js';
 import { mapObject } from '../../records/stored-form.js';
-import type { Priority } from '../../runtime/request-budget.js';
-import type { Context } from '../context.js';
-import { isListedInRecord, type JobStore, type LiveRecord } from './job-store.js';
+import type { RequestPriority } from '../../runtime/request-budget.js';
+import type { ControllerContext } from '../context.js';
+import { hasInlineDependencies, type JobStore, type LiveJobRecord } from './job-store.js';
 
-type Ends = Map<string, OverRecord['state']>;
+type Ends = Map<string, EndedJobRecord['state']>;
 type Lists = Map<string, readonly string[]>;
 
 /**
@@ -15,7 +15,7 @@
  * directly or through others. Reading it costs a request for some hundred
  * jobs, whatever the depth of their chains, and serves all questions for a while.
  */
-export class UpstreamSnapshot {
+export class DependencySnapshot {
   private constructor(
     /** When the reading began. */
     readonly askedAt: number,
@@ -37,35 +37,42 @@
 
   /** Takes a snapshot; what the one before knows for good is not read again. */
   static async take(
-    ctx: Pick<Context, 'clock' | 'state'>,
+    ctx: Pick<ControllerContext, 'clock' | 'state'>,
     store: JobStore,
-    before: UpstreamSnapshot | null,
-    priority: Priority,
-  ): Promise<UpstreamSnapshot> {
+    before: DependencySnapshot | null,
+    priority: RequestPriority,
+  ): Promise<DependencySnapshot> {
     const askedAt = ctx.clock.now();
-    const entries = await readPrefix(ctx.state, LIVE_PREFIX, priority);
-    const records = new Map<string, LiveRecord>();
+    const entries = await readPrefix(ctx.state, LIVE_JOB_PREFIX, priority);
+    const records = new Map<string, LiveJobRecord>();
     for (const e of entries)
-      records.set(e.key.slice(LIVE_PREFIX.length), mapObject(e.value, decodeLiveRecord));
+      records.set(e.key.slice(LIVE_JOB_PREFIX.length), mapObject(e.value, decodeLiveJob));
     const lists = await readLists(store, records, before?.lists ?? new Map(), priority);
     const upstream: Lists = new Map();
-    for (const [id, record] of records) upstream.set(id, lists.get(id) ?? record.upstream ?? []);
+    for (const [id, record] of records)
+      upstream.set(id, lists.get(id) ?? record.dependencies ?? []);
     const ends = await readEnds(store, upstream, before?.ends ?? new Map(), priority);
-    return new UpstreamSnapshot(askedAt, upstream, ends, lists, cancelledWith(upstream, ends));
+    return new DependencySnapshot(
+      askedAt,
+      upstream,
+      ends,
+      lists,
+      cancelledThroughDependencies(upstream, ends),
+    );
   }
 }
 
 /** The lists that stand apart from their records. */
 async function readLists(
   store: JobStore,
-  records: ReadonlyMap<string, LiveRecord>,
+  records: ReadonlyMap<string, LiveJobRecord>,
   known: Lists,
-  priority: Priority,
+  priority: RequestPriority,
 ): Promise<Lists> {
   const lists: Lists = new Map();
   const unread: string[] = [];
   for (const [id, record] of records) {
-    if (isListedInRecord(record)) continue;
+    if (hasInlineDependencies(record)) continue;
     const list = known.get(id);
     if (list) lists.set(id, list);
     else unread.push(id);
@@ -73,7 +80,7 @@
   for (let from = 0; from < unread.length; from += SINGLE_READS) {
     const part = unread.slice(from, from + SINGLE_READS);
     const read = await Promise.all(
-      part.map((id) => store.upstreamOf(id, records.get(id) as LiveRecord, priority)),
+      part.map((id) => store.dependenciesOf(id, records.get(id) as LiveJobRecord, priority)),
     );
     // A job whose list has gone has ended itself.
     for (const [i, id] of part.entries()) lists.set(id, read[i] ?? []);
@@ -86,10 +93,10 @@
   store: JobStore,
   upstream: Lists,
   known: Ends,
-  priority: Priority,
+  priority: RequestPriority,
 ): Promise<Ends> {
   const ends: Ends = new Map();
-  let open = neededBy(upstream.values());
+  let open = dependencyIds(upstream.values());
   while (open.size > 0) {
     const unknown = addKnownEnds(ends, open, known, upstream);
     const found = await store.findEnds(unknown, priority);
@@ -104,11 +111,11 @@
         ends.set(id, job.record.state);
         continue;
       }
-      const list = (await store.upstreamOf(id, job.record, priority)) ?? [];
+      const list = (await store.dependenciesOf(id, job.record, priority)) ?? [];
       upstream.set(id, list);
       added.push(list);
     }
-    open = neededBy(added);
+    open = dependencyIds(added);
   }
   return ends;
 }
@@ -124,7 +131,7 @@
   return unknown;
 }
 
-function neededBy(lists: Iterable<readonly string[]>): Set<string> {
+function dependencyIds(lists: Iterable<readonly string[]>): Set<string> {
   const ids = new Set<string>();
   for (const list of lists) for (const id of list) ids.add(id);
   return ids;
@@ -143,7 +150,7 @@
 }
 
 /** The live jobs that need a cancelled one, directly or through others. */
-function cancelledWith(upstream: Lists, ends: Ends): Set<string> {
+function cancelledThroughDependencies(upstream: Lists, ends: Ends): Set<string> {
   const downstream = downstreamOf(upstream);
   const cancelled = new Set<string>();
   const open: string[] = [];
--- a/src/controller/api/dependency-status.ts
+++ b/src/controller/api/dependency-status.ts
@@ -1,16 +1,21 @@
 import { SINGLE_READS } from '../../clients/key-ranges.js';
-import type { Priority } from '../../runtime/request-budget.js';
-import type { Context } from '../context.js';
-import { UpstreamSnapshot } from './dependency-snapshot.js';
-import { isListedInRecord, type JobStore, type LiveRecord, type StoredJob } from './job-store.js';
+import type { RequestPriority } from '../../runtime/request-budget.js';
+import type { ControllerContext } from '../context.js';
+import { DependencySnapshot } from './dependency-snapshot.js';
+import {
+  hasInlineDependencies,
+  type JobStore,
+  type LiveJobRecord,
+  type StoredJob,
+} from './job-store.js';
 
 /** What was seen of a job. Ends are final; that it is live counts for a while only. */
-type Seen =
+type ObservedJob =
   | { state: 'done' | 'cancelled' }
   | { state: 'live'; upstream: readonly string[]; readAt: number };
 
 /** How the jobs that a submission names stand. */
-export interface UpstreamStanding {
+export interface DependencySummary {
   /** Never accepted by anybody. */
   missing: string[];
   /** One of them was cancelled, or needs one that was. */
@@ -20,12 +25,12 @@
 }
 
 /** Jobs that are remembered, the least recently read first to go. To forget one costs a reading. */
-const REMEMBERED = 5000;
+const MAX_REMEMBERED_JOBS = 5000;
 /** Jobs read one by one for one question, before all live ones are read together. */
-const MOST_READS = 16;
+const MAX_SINGLE_READS = 16;
 
 /** More has to be read one by one than a question may cost. */
-class TooManyReads extends Error {}
+class ReadAllowanceExceededError extends Error {}
 
 /** What one question may read one by one. */
 interface ReadAllowance {
@@ -41,20 +46,20 @@
  * queued looks for itself at what that needs: a few jobs one by one, larger
  * trees in a snapshot of all live jobs that questions share.
  */
-export class Upstream {
-  private readonly seen = new Map<string, Seen>();
-  private snapshot: UpstreamSnapshot | null = null;
-  private taking: Promise<UpstreamSnapshot> | null = null;
+export class DependencyStatus {
+  private readonly observed = new Map<string, ObservedJob>();
+  private snapshot: DependencySnapshot | null = null;
+  private snapshotInProgress: Promise<DependencySnapshot> | null = null;
   /** Reads of single jobs under way. */
-  private reading = 0;
+  private readsInFlight = 0;
 
   constructor(
-    private readonly ctx: Pick<Context, 'clock' | 'timing' | 'state'>,
+    private readonly ctx: Pick<ControllerContext, 'clock' | 'timing' | 'state'>,
     private readonly store: JobStore,
   ) {}
 
   /** For a submission that names these jobs. */
-  async standing(ids: readonly string[], priority: Priority): Promise<UpstreamStanding> {
+  async summarize(ids: readonly string[], priority: RequestPriority): Promise<DependencySummary> {
     const readAt = this.ctx.clock.now();
     const jobs = await this.store.findMany(ids, priority);
     const missing: string[] = [];
@@ -73,28 +78,32 @@
   }
 
   /** Whether a job that this live one needs, directly or through others, was cancelled. */
-  async cancelledAbove(id: string, record: LiveRecord, priority: Priority): Promise<boolean> {
+  async isCancelledByDependency(
+    id: string,
+    record: LiveJobRecord,
+    priority: RequestPriority,
+  ): Promise<boolean> {
     const known = this.freshSnapshot()?.isCancelled(id) ?? null;
     if (known !== null) return known;
-    const ids = await this.store.upstreamOf(id, record, priority);
+    const ids = await this.store.dependenciesOf(id, record, priority);
     return ids !== null && this.anyCancelled(ids, priority);
   }
 
-  private async anyCancelled(ids: readonly string[], priority: Priority): Promise<boolean> {
+  private async anyCancelled(ids: readonly string[], priority: RequestPriority): Promise<boolean> {
     try {
-      return await this.walk(ids, priority, { left: MOST_READS, whileOthersRead: false });
+      return await this.walk(ids, priority, { left: MAX_SINGLE_READS, whileOthersRead: false });
     } catch (error) {
-      if (!(error instanceof TooManyReads)) throw error;
+      if (!(error instanceof ReadAllowanceExceededError)) throw error;
     }
     await this.takeSnapshot(priority);
     // What is left is what was accepted after the snapshot.
-    return this.walk(ids, priority, { left: MOST_READS, whileOthersRead: true });
+    return this.walk(ids, priority, { left: MAX_SINGLE_READS, whileOthersRead: true });
   }
 
   /** Looks at the jobs and at all that they need, as far as no snapshot knows them. */
   private async walk(
     ids: readonly string[],
-    priority: Priority,
+    priority: RequestPriority,
     allowance: ReadAllowance,
   ): Promise<boolean> {
     const snapshot = this.freshSnapshot();
@@ -116,61 +125,66 @@
     return false;
   }
 
-  private freshSnapshot(): UpstreamSnapshot | null {
+  private freshSnapshot(): DependencySnapshot | null {
     const { clock, timing } = this.ctx;
     const { snapshot } = this;
-    if (snapshot && clock.now() - snapshot.askedAt < timing.upstreamFreshMs) return snapshot;
+    if (snapshot && clock.now() - snapshot.askedAt < timing.dependencyFreshMs) return snapshot;
     return null;
   }
 
   /** One at a time, for all questions that want one. */
-  private async takeSnapshot(priority: Priority): Promise<void> {
-    this.taking ??= UpstreamSnapshot.take(this.ctx, this.store, this.snapshot, priority);
-    const { taking } = this;
+  private async takeSnapshot(priority: RequestPriority): Promise<void> {
+    this.snapshotInProgress ??= DependencySnapshot.take(
+      this.ctx,
+      this.store,
+      this.snapshot,
+      priority,
+    );
+    const { snapshotInProgress: taking } = this;
     try {
       this.snapshot = await taking;
     } finally {
-      if (this.taking === taking) this.taking = null;
+      if (this.snapshotInProgress === taking) this.snapshotInProgress = null;
     }
   }
 
   private async read(
     id: string,
-    priority: Priority,
+    priority: RequestPriority,
     allowance: ReadAllowance,
-  ): Promise<Seen | null> {
+  ): Promise<ObservedJob | null> {
     const { clock, timing } = this.ctx;
-    const known = this.seen.get(id);
+    const known = this.observed.get(id);
     const readAt = clock.now();
-    if (known && (known.state !== 'live' || readAt - known.readAt < timing.upstreamFreshMs))
+    if (known && (known.state !== 'live' || readAt - known.readAt < timing.dependencyFreshMs))
       return known;
-    const crowded = this.reading >= SINGLE_READS && !allowance.whileOthersRead;
-    if (--allowance.left < 0 || crowded) throw new TooManyReads();
-    this.reading++;
+    const crowded = this.readsInFlight >= SINGLE_READS && !allowance.whileOthersRead;
+    if (--allowance.left < 0 || crowded) throw new ReadAllowanceExceededError();
+    this.readsInFlight++;
     try {
       const job = await this.store.find(id, priority);
       if (!job) return null;
       if (!job.live) return this.remember(id, { state: job.record.state });
-      const upstream = (await this.store.upstreamOf(id, job.record, priority)) ?? [];
+      const upstream = (await this.store.dependenciesOf(id, job.record, priority)) ?? [];
       return this.remember(id, { state: 'live', upstream, readAt });
     } finally {
-      this.reading--;
+      this.readsInFlight--;
     }
   }
 
   /** Keeps what one reading told of a job, unless what it needs has to be read as well. */
   private rememberIfComplete(id: string, job: StoredJob, readAt: number): void {
     if (!job.live) this.remember(id, { state: job.record.state });
-    else if (isListedInRecord(job.record))
-      this.remember(id, { state: 'live', upstream: job.record.upstream ?? [], readAt });
+    else if (hasInlineDependencies(job.record))
+      this.remember(id, { state: 'live', upstream: job.record.dependencies ?? [], readAt });
   }
 
-  private remember(id: string, seen: Seen): Seen {
-    this.seen.delete(id);
-    this.seen.set(id, seen);
-    if (this.seen.size > REMEMBERED) {
-      const oldest = this.seen.keys().next().value;
-      if (oldest !== undefined) this.seen.delete(oldest);
+  private remember(id: string, seen: ObservedJob): ObservedJob {
+    this.observed.delete(id);
+    this.observed.set(id, seen);
+    if (this.observed.size > MAX_REMEMBERED_JOBS) {
+      const oldest = this.observed.keys().next().value;
+      if (oldest !== undefined) this.observed.delete(oldest);
     }
     return seen;
   }
--- a/src/controller/api/job-lookups.ts
+++ b/src/controller/api/job-lookups.ts
@@ -1,8 +1,8 @@
 import { SINGLE_READS } from '../../clients/key-ranges.js';
-import type { Priority } from '../../runtime/request-budget.js';
+import type { RequestPriority } from '../../runtime/request-budget.js';
 import type { JobStore, StoredJob } from './job-store.js';
 
-interface Waiting {
+interface PendingLookup {
   resolve(job: StoredJob | null): void;
   reject(error: unknown): void;
 }
@@ -15,11 +15,11 @@
  */
 export class JobLookups {
   private reading = 0;
-  private readonly waiting = new Map<string, Waiting[]>();
+  private readonly waiting = new Map<string, PendingLookup[]>();
 
   constructor(
     private readonly store: Pick<JobStore, 'find' | 'findMany'>,
-    private readonly priority: Priority,
+    private readonly priority: RequestPriority,
   ) {}
 
   find(id: string): Promise<StoredJob | null> {
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -1,43 +1,49 @@
 import { readKeys } from '../../clients/key-ranges.js';
-import type { Transaction } from '../../clients/state-client.js';
+import type { TransactionResult } from '../../clients/state-client.js';
 import type { JobSpec } from '../../model/model.js';
 import type { Change, Condition, Entry } from '../../protocol/store.js';
 import { decodeJobIds, encodeJobIds } from '../../records/dependency-list-record.js';
-import { decodeJobEnd, encodeJobEnd, type OverRecord } from '../../records/job-end-record.js';
-import { decodeLiveRecord, encodeLiveRecord, type LiveRecord } from '../../records/job-record.js';
-import { LIVE_PREFIX, liveKey, OVER_PREFIX, overKey, upstreamKey } from '../../records/keys.js';
+import { decodeJobEnd, type EndedJobRecord, encodeJobEnd } from '../../records/job-end-record.js';
+import { decodeLiveJob, encodeLiveJob, type LiveJobRecord } from '../../records/job-record.js';
+import {
+  dependencyPageKey,
+  ENDED_JOB_PREFIX,
+  endedJobKey,
+  LIVE_JOB_PREFIX,
+  liveJobKey,
+} from '../../records/keys.js';
 import { mapObject } from '../../records/stored-form.js';
 import { bytesOf, paged, TRANSACTION_BYTES, valueRoom } from '../../records/value-sizes.js';
-import { Priority } from '../../runtime/request-budget.js';
-import type { Context } from '../context.js';
-import { UpstreamLists } from './dependency-lists.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
+import type { ControllerContext } from '../context.js';
+import { DependencyLists } from './dependency-lists.js';
 
-export type { LiveRecord } from '../../records/job-record.js';
+export type { LiveJobRecord } from '../../records/job-record.js';
 
 export interface LiveJob {
   live: true;
-  record: LiveRecord;
+  record: LiveJobRecord;
   version: number;
 }
 
 export interface EndedJob {
   live: false;
-  record: OverRecord;
+  record: EndedJobRecord;
   version: number;
 }
 
 export type StoredJob = LiveJob | EndedJob;
 
 /** The job takes more room than the state service has for it. */
-export class TooLarge extends Error {}
+export class JobTooLargeError extends Error {}
 
-export function needsOthers(record: LiveRecord): boolean {
-  return (record.upstream?.length ?? 0) > 0 || (record.upstreamPages ?? 0) > 0;
+export function hasDependencies(record: LiveJobRecord): boolean {
+  return (record.dependencies?.length ?? 0) > 0 || (record.dependencyPages ?? 0) > 0;
 }
 
 /** Whether all that the job needs stands in its record. */
-export function isListedInRecord(record: LiveRecord): boolean {
-  return (record.upstreamPages ?? 0) === 0 && record.upstreamList === undefined;
+export function hasInlineDependencies(record: LiveJobRecord): boolean {
+  return (record.dependencyPages ?? 0) === 0 && record.dependencyList === undefined;
 }
 
 /** A name that no job has, for versions that do not know of lists. */
@@ -47,32 +53,40 @@
 
 /** Jobs in the state service: how they are found, accepted and cancelled. */
 export class JobStore {
-  private readonly lists: UpstreamLists;
+  private readonly dependencyLists: DependencyLists;
 
-  constructor(private readonly ctx: Pick<Context, 'state' | 'limits'>) {
-    this.lists = new UpstreamLists(ctx);
+  constructor(private readonly ctx: Pick<ControllerContext, 'state' | 'limits'>) {
+    this.dependencyLists = new DependencyLists(ctx);
   }
 
   /** The live key is looked up first: an end moves it, so a job can't slip between the two reads. */
-  async find(id: string, priority: Priority, signal?: AbortSignal): Promise<StoredJob | null> {
-    const live = await this.ctx.state.get(liveKey(id), priority, signal);
+  async find(
+    id: string,
+    priority: RequestPriority,
+    signal?: AbortSignal,
+  ): Promise<StoredJob | null> {
+    const live = await this.ctx.state.get(liveJobKey(id), priority, signal);
     if (live) return liveJob(live);
     return this.findEnd(id, priority, signal);
   }
 
-  async findEnd(id: string, priority: Priority, signal?: AbortSignal): Promise<EndedJob | null> {
-    const over = await this.ctx.state.get(overKey(id), priority, signal);
+  async findEnd(
+    id: string,
+    priority: RequestPriority,
+    signal?: AbortSignal,
+  ): Promise<EndedJob | null> {
+    const over = await this.ctx.state.get(endedJobKey(id), priority, signal);
     return over && endedJob(over);
   }
 
   /** Those of the jobs that were ever accepted, looked up like one. */
   async findMany(
     ids: readonly string[],
-    priority: Priority,
+    priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<Map<string, StoredJob>> {
     const found = new Map<string, StoredJob>();
-    const live = await this.entries(LIVE_PREFIX, ids, priority, signal);
+    const live = await this.entries(LIVE_JOB_PREFIX, ids, priority, signal);
     for (const [id, entry] of live) found.set(id, liveJob(entry));
     const rest = ids.filter((id) => !found.has(id));
     for (const [id, job] of await this.findEnds(rest, priority, signal)) found.set(id, job);
@@ -82,17 +96,17 @@
   /** Those of the jobs that have ended. */
   async findEnds(
     ids: readonly string[],
-    priority: Priority,
+    priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<Map<string, EndedJob>> {
-    const ends = await this.entries(OVER_PREFIX, ids, priority, signal);
+    const ends = await this.entries(ENDED_JOB_PREFIX, ids, priority, signal);
     return new Map([...ends].map(([id, entry]) => [id, endedJob(entry)]));
   }
 
   private async entries(
     prefix: string,
     ids: readonly string[],
-    priority: Priority,
+    priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<Map<string, Entry>> {
     const keys = ids.map((id) => prefix + id);
@@ -101,16 +115,17 @@
   }
 
   /** All ids of jobs that it needs; null when a page has gone with its job. */
-  async upstreamOf(
+  async dependenciesOf(
     id: string,
-    record: LiveRecord,
-    priority: Priority,
+    record: LiveJobRecord,
+    priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<string[] | null> {
-    if (record.upstreamList) return this.lists.read(id, record.upstreamList, priority, signal);
-    const ids = [...(record.upstream ?? [])];
-    for (let page = 0; page < (record.upstreamPages ?? 0); page++) {
-      const entry = await this.ctx.state.get(upstreamKey(id, page), priority, signal);
+    if (record.dependencyList)
+      return this.dependencyLists.read(id, record.dependencyList, priority, signal);
+    const ids = [...(record.dependencies ?? [])];
+    for (let page = 0; page < (record.dependencyPages ?? 0); page++) {
+      const entry = await this.ctx.state.get(dependencyPageKey(id, page), priority, signal);
       if (!entry) return null;
       ids.push(...decodeJobIds(entry.value));
     }
@@ -125,78 +140,82 @@
    * Throws TooLarge when the job's description can't be stored.
    */
   async create(
-    record: LiveRecord,
+    record: LiveJobRecord,
     pending: readonly string[],
     named: readonly string[],
-    priority: Priority,
-  ): Promise<Transaction> {
+    priority: RequestPriority,
+  ): Promise<TransactionResult> {
     const { id } = record.spec;
     const creation = this.creation(record, pending);
     if (creation) return this.ctx.state.transact(absent(id), creation, priority);
-    const { ref, condition } = await this.lists.write(id, named, Priority.ends);
-    const value: LiveRecord = { ...record, upstream: [placeholder(id)], upstreamList: ref };
+    const { ref, condition } = await this.dependencyLists.write(id, named, RequestPriority.ends);
+    const value: LiveJobRecord = {
+      ...record,
+      dependencies: [placeholder(id)],
+      dependencyList: ref,
+    };
     return this.ctx.state.transact(
       [...absent(id), condition],
-      [{ op: 'put', key: liveKey(id), value: encodeLiveRecord(value) }],
+      [{ op: 'put', key: liveJobKey(id), value: encodeLiveJob(value) }],
       priority,
     );
   }
 
   /** Accepts the job as already cancelled unless its id is known. */
-  createCancelled(spec: JobSpec, priority: Priority): Promise<Transaction> {
+  createCancelled(spec: JobSpec, priority: RequestPriority): Promise<TransactionResult> {
     const value = encodeJobEnd({ state: 'cancelled', at: null }, spec.tasks);
     return this.ctx.state.transact(
       absent(spec.id),
-      [{ op: 'put', key: overKey(spec.id), value }],
+      [{ op: 'put', key: endedJobKey(spec.id), value }],
       priority,
     );
   }
 
   /** Cancels the job unless it has ended or changed meanwhile. */
-  cancel(job: LiveJob, priority: Priority): Promise<Transaction> {
+  cancel(job: LiveJob, priority: RequestPriority): Promise<TransactionResult> {
     const { id, tasks } = job.record.spec;
     return this.ctx.state.transact(
       [
-        { key: liveKey(id), version: job.version },
-        { key: overKey(id), version: 0 },
+        { key: liveJobKey(id), version: job.version },
+        { key: endedJobKey(id), version: 0 },
       ],
       [
         {
           op: 'put',
-          key: overKey(id),
+          key: endedJobKey(id),
           value: encodeJobEnd({ state: 'cancelled', at: null }, tasks),
         },
-        { op: 'delete', key: liveKey(id) },
+        { op: 'delete', key: liveJobKey(id) },
       ],
       priority,
     );
   }
 
   /** The record, and pages for the ids that it has no room for; null when one transaction has not. */
-  private creation(record: LiveRecord, upstream: readonly string[]): Change[] | null {
+  private creation(record: LiveJobRecord, upstream: readonly string[]): Change[] | null {
     const { id } = record.spec;
     const { limits } = this.ctx;
     const room = valueRoom(limits);
-    const base: LiveRecord =
+    const base: LiveJobRecord =
       upstream.length === 0
         ? record
-        : { ...record, upstream: [placeholder(id)], upstreamPages: limits.changes };
-    const baseBytes = bytesOf(encodeLiveRecord(base));
-    if (baseBytes > room) throw new TooLarge('the description of the job is too large');
+        : { ...record, dependencies: [placeholder(id)], dependencyPages: limits.changes };
+    const baseBytes = bytesOf(encodeLiveJob(base));
+    if (baseBytes > room) throw new JobTooLargeError('the description of the job is too large');
     const [first = [], ...further] = paged(upstream, room - baseBytes, room);
     if (further.length + 1 > limits.changes) return null;
     if (further.length * room > TRANSACTION_BYTES - room) return null;
-    const value: LiveRecord = {
+    const value: LiveJobRecord = {
       ...record,
-      ...(first.length > 0 ? { upstream: first } : {}),
-      ...(further.length > 0 ? { upstreamPages: further.length } : {}),
+      ...(first.length > 0 ? { dependencies: first } : {}),
+      ...(further.length > 0 ? { dependencyPages: further.length } : {}),
     };
     return [
-      { op: 'put', key: liveKey(id), value: encodeLiveRecord(value) },
+      { op: 'put', key: liveJobKey(id), value: encodeLiveJob(value) },
       ...further.map(
         (ids, page): Change => ({
           op: 'put',
-          key: upstreamKey(id, page),
+          key: dependencyPageKey(id, page),
           value: encodeJobIds(ids),
         }),
       ),
@@ -205,7 +224,7 @@
 }
 
 function liveJob(entry: Entry): LiveJob {
-  return { live: true, record: mapObject(entry.value, decodeLiveRecord), version: entry.version };
+  return { live: true, record: mapObject(entry.value, decodeLiveJob), version: entry.version };
 }
 
 function endedJob(entry: Entry): EndedJob {
@@ -214,7 +233,7 @@
 
 function absent(id: string): Condition[] {
   return [
-    { key: liveKey(id), version: 0 },
-    { key: overKey(id), version: 0 },
+    { key: liveJobKey(id), version: 0 },
+    { key: endedJobKey(id), version: 0 },
   ];
 }
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,23 +1,23 @@
 import type { Logger } from 'pino';
-import type { StateService } from '../clients/state-client.js';
+import type { KeyValueStore } from '../clients/state-client.js';
 import type { Platform } from '../config/settings.js';
 import type { StateLimits } from '../config/state-limits.js';
 import type { Timing } from '../config/timing.js';
-import type { MachineType, Team } from '../model/model.js';
+import type { MachineType, TeamQuota } from '../model/model.js';
 import type { Clock } from '../runtime/clock.js';
 
 /** What every duty of one node shares. */
-export interface Context {
+export interface ControllerContext {
   node: string;
   /** New with each start of the process: no successor takes its keys for its own. */
   incarnation: string;
   platform: Platform;
   timing: Timing;
   limits: StateLimits;
-  teams: Map<string, Team>;
-  state: StateService;
+  quotas: Map<string, TeamQuota>;
+  state: KeyValueStore;
   clock: Clock;
   log: Logger;
   /** Machine types as last read; null while they are not known. */
-  types: MachineType[] | null;
+  machineTypes: MachineType[] | null;
 }
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -5,27 +5,27 @@
   encodeTerm,
   type LeaderRecord,
 } from '../../records/leader-record.js';
-import { pause, Stopped } from '../../runtime/clock.js';
-import { Priority } from '../../runtime/request-budget.js';
-import type { Context } from '../context.js';
+import { AbortedError, sleepUntilAborted } from '../../runtime/clock.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
+import type { ControllerContext } from '../context.js';
 
 export const LEADER_KEY = 'leader';
 const TERM_KEY = 'term';
 
 /** One term that this node won. */
-export interface Term {
-  term: number;
+export interface LeaderTerm {
+  number: number;
   /** Version of the leader key: every write of this term is conditioned on it. */
   version: number;
   signal: AbortSignal;
   /** Leadership is proven now: a renewal sent within the proven time was answered. */
-  proven(): boolean;
+  isProven(): boolean;
   /** Proven, and the news of jobs is as fresh: what other nodes have confirmed as cancelled is not started. */
-  mayStart(): boolean;
+  mayStartTasks(): boolean;
   /** Reports may still be answered: the workers' leases would run out in time for a cancellation. */
-  mayAnswer(): boolean;
+  mayRenewAgentLeases(): boolean;
   /** All that was durable of jobs at this time, cancellations above all, has been applied. */
-  informed(at: number): void;
+  setCancellationsKnownAt(at: number): void;
   resign(why: string): void;
 }
 
@@ -34,47 +34,47 @@
  * leads. It rests on the state service's fencing; clocks only bound how long
  * a silent leader goes on.
  */
-export class Leadership {
+export class LeaderElection {
   /** The node that leads as far as is known. */
   leader: string | null = null;
   /** The term of that leader. */
-  knownTerm: number | null = null;
+  observedTerm: number | null = null;
   /** The highest term heard of, from anybody. */
-  highest = 0;
-  current: Term | null = null;
-  private announcedRefusal = false;
+  highestTerm = 0;
+  current: LeaderTerm | null = null;
+  private outageLogged = false;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     /** Runs the leader's duties until its signal ends them. */
-    private readonly lead: (term: Term) => Promise<void>,
+    private readonly runLeader: (term: LeaderTerm) => Promise<void>,
   ) {}
 
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     while (!signal.aborted) {
       try {
-        await this.turn(signal);
-        this.announcedRefusal = false;
+        await this.observeOrCampaign(signal);
+        this.outageLogged = false;
         continue;
       } catch (error) {
-        if (signal.aborted || error instanceof Stopped) return;
-        if (!this.announcedRefusal)
+        if (signal.aborted || error instanceof AbortedError) return;
+        if (!this.outageLogged)
           ctx.log.info({ error: String((error as Error).message) }, 'state service out of reach');
-        this.announcedRefusal = true;
+        this.outageLogged = true;
       }
-      await pause(ctx.clock, ctx.timing.renewMs * (0.3 + Math.random() * 0.4), signal);
+      await sleepUntilAborted(ctx.clock, ctx.timing.renewMs * (0.3 + Math.random() * 0.4), signal);
     }
   }
 
   /** Somebody knows of this term: an older one of ours is over. */
-  heardOf(term: number): void {
-    this.highest = Math.max(this.highest, term);
-    if (this.current && this.current.term < term) this.current.resign('a later term is known');
+  observeTerm(term: number): void {
+    this.highestTerm = Math.max(this.highestTerm, term);
+    if (this.current && this.current.number < term) this.current.resign('a later term is known');
   }
 
   /** Looks who leads; waits for a change, or stands when nobody does. */
-  private async turn(signal: AbortSignal): Promise<void> {
+  private async observeOrCampaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const page = await ctx.state.listPage(LEADER_KEY, null, signal);
     const entry = page.entries.find((e) => e.key === LEADER_KEY);
@@ -87,9 +87,9 @@
       }
       if (record.incarnation !== ctx.incarnation) {
         this.leader = record.node;
-        this.knownTerm = record.term;
-        this.highest = Math.max(this.highest, record.term);
-        await ctx.state.watch(LEADER_KEY, page.revision, ctx.timing.watchMs, signal);
+        this.observedTerm = record.term;
+        this.highestTerm = Math.max(this.highestTerm, record.term);
+        await ctx.state.watch(LEADER_KEY, page.revision, ctx.timing.watchTimeoutMs, signal);
         return;
       }
       // An own key with no term running: a request that was taken for lost went through.
@@ -97,13 +97,13 @@
       return;
     }
     this.leader = null;
-    this.knownTerm = null;
-    await this.stand(signal);
+    this.observedTerm = null;
+    await this.campaign(signal);
   }
 
-  private async stand(signal: AbortSignal): Promise<void> {
+  private async campaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
-    const old = await ctx.state.get(TERM_KEY, Priority.lead, signal);
+    const old = await ctx.state.get(TERM_KEY, RequestPriority.lead, signal);
     const term = (decodeTerm(old?.value) ?? 0) + 1;
     const grantedAt = ctx.clock.now();
     const lease = await ctx.state.grant(ctx.timing.leaseMs, signal);
@@ -119,7 +119,7 @@
           { op: 'put', key: LEADER_KEY, value: encodeLeaderRecord(record), lease },
           { op: 'put', key: TERM_KEY, value: encodeTerm(term) },
         ],
-        Priority.lead,
+        RequestPriority.lead,
         signal,
       );
       if (!result.ok) {
@@ -130,7 +130,7 @@
     } catch {
       // Neither outcome may be believed before it is read back; the next turn does so.
       await ctx.clock.sleep(ctx.timing.renewMs * 0.2, signal);
-      const entry = await ctx.state.get(LEADER_KEY, Priority.lead, signal);
+      const entry = await ctx.state.get(LEADER_KEY, RequestPriority.lead, signal);
       const found = entry ? decodeLeaderRecord(entry.value) : null;
       if (!entry || found?.incarnation !== ctx.incarnation || found.term !== term) {
         await ctx.state.revoke(lease, signal);
@@ -138,10 +138,10 @@
       }
       version = entry.version;
     }
-    await this.hold(term, version, lease, grantedAt, signal);
+    await this.holdTerm(term, version, lease, grantedAt, signal);
   }
 
-  private async hold(
+  private async holdTerm(
     number: number,
     version: number,
     lease: number,
@@ -157,15 +157,16 @@
     // Before the jobs have been read nothing is known of cancellations, not even of old ones: several
     // leaders in a row, none of which gets as far, must not renew the workers' leases for one another.
     let informedAt = Number.NEGATIVE_INFINITY;
-    const term: Term = {
-      term: number,
+    const term: LeaderTerm = {
+      number: number,
       version,
       signal: ended.signal,
-      proven: () => !ended.signal.aborted && clock.now() - provenAt < timing.provenMs,
-      mayStart: () => term.proven() && clock.now() - informedAt < timing.provenMs,
-      mayAnswer: () =>
-        !ended.signal.aborted && clock.now() - Math.min(provenAt, informedAt) < timing.answerMs,
-      informed: (at) => {
+      isProven: () => !ended.signal.aborted && clock.now() - provenAt < timing.leadershipProofMs,
+      mayStartTasks: () => term.isProven() && clock.now() - informedAt < timing.leadershipProofMs,
+      mayRenewAgentLeases: () =>
+        !ended.signal.aborted &&
+        clock.now() - Math.min(provenAt, informedAt) < timing.agentRenewalMs,
+      setCancellationsKnownAt: (at) => {
         informedAt = Math.max(informedAt, at);
       },
       resign: (why) => {
@@ -176,10 +177,10 @@
     };
     this.current = term;
     this.leader = ctx.node;
-    this.knownTerm = number;
-    this.highest = Math.max(this.highest, number);
+    this.observedTerm = number;
+    this.highestTerm = Math.max(this.highestTerm, number);
     ctx.log.info({ term: number }, 'leadership won');
-    const work = this.lead(term).catch((error) => {
+    const work = this.runLeader(term).catch((error) => {
       if (!ended.signal.aborted) {
         ctx.log.error({ error: String((error as Error).stack) }, 'leader duty failed');
         term.resign('duty failed');
@@ -191,13 +192,13 @@
         if (await ctx.state.touch(lease, ended.signal)) provenAt = Math.max(provenAt, sentAt);
         else term.resign('lease ended');
         // Its renewals are answered and its readings are not: it serves nobody, and another may.
-        if (clock.now() - Math.max(grantedAt, informedAt) >= timing.answerMs)
+        if (clock.now() - Math.max(grantedAt, informedAt) >= timing.agentRenewalMs)
           term.resign('no news of jobs for too long');
       } catch (error) {
         if (ended.signal.aborted) return;
         ctx.log.debug({ error: String((error as Error).message) }, 'renewal not answered');
         // With the answers to reports over there is nothing left to hold on to.
-        if (clock.now() - provenAt >= timing.answerMs) term.resign('unproven for too long');
+        if (clock.now() - provenAt >= timing.agentRenewalMs) term.resign('unproven for too long');
       }
     };
     try {
@@ -207,13 +208,13 @@
         void renew();
       }
     } catch (error) {
-      if (!(error instanceof Stopped)) throw error;
+      if (!(error instanceof AbortedError)) throw error;
     } finally {
       ended.abort();
       signal.removeEventListener('abort', stop);
       this.current = null;
       this.leader = null;
-      this.knownTerm = null;
+      this.observedTerm = null;
       await work;
     }
     // With the duties ended nothing of this term is under way: the next leader need not wait.
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -1,18 +1,18 @@
 import type { StateClient } from '../clients/state-client.js';
-import type { Context } from './context.js';
+import type { ControllerContext } from './context.js';
 import type { Peers } from './membership/peers.js';
 
 /** What this node can still do for users, by what it hears of the state service and its peers. */
-export class Health {
+export class ControllerHealth {
   constructor(
-    private readonly ctx: Pick<Context, 'clock' | 'timing' | 'types'>,
-    private readonly state: Pick<StateClient, 'troubleSince' | 'silentSince' | 'triedAt'>,
-    private readonly peers: Pick<Peers, 'alone'>,
+    private readonly ctx: Pick<ControllerContext, 'clock' | 'timing' | 'machineTypes'>,
+    private readonly state: Pick<StateClient, 'failingSince' | 'unansweredSince' | 'lastAttemptAt'>,
+    private readonly peers: Pick<Peers, 'isIsolated'>,
   ) {}
 
   /** The state service fails this node for longer than a single slow answer would. */
-  inTrouble(): boolean {
-    return this.lasts(this.state.troubleSince, 0.5);
+  isStateServiceFailing(): boolean {
+    return this.lasts(this.state.failingSince, 0.5);
   }
 
   /**
@@ -20,10 +20,10 @@
    * Now and then one request is let through all the same, to see whether it
    * is over.
    */
-  unanswered(): boolean {
+  isStateServiceSilent(): boolean {
     const { clock, timing } = this.ctx;
-    const tried = clock.now() - this.state.triedAt < timing.stateTimeoutMs;
-    return tried && this.lasts(this.state.silentSince, 1);
+    const tried = clock.now() - this.state.lastAttemptAt < timing.stateTimeoutMs;
+    return tried && this.lasts(this.state.unansweredSince, 1);
   }
 
   /**
@@ -32,12 +32,12 @@
    * healthy: a node that has to prove its health again would be back later
    * than the state service.
    */
-  isolated(): boolean {
-    return this.lasts(this.state.troubleSince, 1) && this.peers.alone();
+  isIsolated(): boolean {
+    return this.lasts(this.state.failingSince, 1) && this.peers.isIsolated();
   }
 
-  get ok(): boolean {
-    return this.ctx.types !== null && !this.isolated();
+  get isHealthy(): boolean {
+    return this.ctx.machineTypes !== null && !this.isIsolated();
   }
 
   private lasts(since: number | null, timeouts: number): boolean {
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -1,25 +1,30 @@
 import type { Reply } from '../../http/server.js';
-import type { MachineReport, Order } from '../../model/model.js';
-import { notLeaderAnswer, parseReport, reportAnswer, tokenOf } from '../../protocol/wire.js';
-import { liveKey } from '../../records/keys.js';
-import { Priority } from '../../runtime/request-budget.js';
-import type { Context } from '../context.js';
-import type { Leadership } from '../election/leader-election.js';
+import type { Heartbeat, TaskCommand } from '../../model/model.js';
+import {
+  fencingToken,
+  heartbeatResponseBody,
+  parseHeartbeat,
+  redirectBody,
+} from '../../protocol/wire.js';
+import { liveJobKey } from '../../records/keys.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
+import type { ControllerContext } from '../context.js';
+import type { LeaderElection } from '../election/leader-election.js';
 import type { Leader } from '../leader/leader.js';
 import type { Peers } from '../membership/peers.js';
 
-interface RedirectedWorker {
+interface RedirectedAgent {
   /** The leader that it was told of. */
   leader: string;
   seenAt: number;
   /** When it came back and was served here. */
   servedSince: number | null;
   /** A term that it was seen not to know of, and when: until then that term's leader had sent it nothing. */
-  fresh: { term: number; at: number } | null;
+  unawareOf: { term: number; at: number } | null;
 }
 
 /** Guests not heard of for this many worker leases are forgotten. */
-const REDIRECTED_LEASES = 5;
+const FORGET_AFTER_LEASES = 5;
 
 /**
  * Workers' reports. The leader takes them. Another node names the leader;
@@ -28,109 +33,120 @@
  * with the leader's own token for a while and orders nothing but the end of
  * cancelled work.
  */
-export class Reports {
-  private readonly redirected = new Map<string, RedirectedWorker>();
+export class HeartbeatHandler {
+  private readonly redirected = new Map<string, RedirectedAgent>();
   private sweptAt = 0;
   /** The last term for whose silent leader machines were kept: said once in the log. */
-  private keptTerm = 0;
+  private loggedTerm = 0;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly leadership: Pick<Leadership, 'leader' | 'knownTerm' | 'current'>,
+    private readonly ctx: ControllerContext,
+    private readonly election: Pick<LeaderElection, 'leader' | 'observedTerm' | 'current'>,
     private readonly leader: () => Leader | null,
-    private readonly peers: Pick<Peers, 'hears' | 'heardLeading' | 'passReport' | 'mailReport'>,
+    private readonly peers: Pick<
+      Peers,
+      'isReachable' | 'lastLedAt' | 'forwardHeartbeat' | 'forwardThroughMailbox'
+    >,
     /** Asks a machine itself for its report. */
-    private readonly show: (address: string) => Promise<MachineReport>,
+    private readonly fetchHeartbeat: (address: string) => Promise<Heartbeat>,
   ) {}
 
   async handle(body: Buffer): Promise<Reply> {
-    let report: MachineReport;
+    let report: Heartbeat;
     try {
-      report = parseReport(JSON.parse(body.toString()));
+      report = parseHeartbeat(JSON.parse(body.toString()));
     } catch (error) {
       return { status: 400, body: { error: String((error as Error).message) } };
     }
-    if (this.leader()) return this.lead(report, false);
-    const { ctx, leadership } = this;
-    const leader = leadership.leader;
-    if (leader === null || leader === ctx.node) return { status: 421, body: notLeaderAnswer(null) };
+    if (this.leader()) return this.handleAsLeader(report, false);
+    const { ctx, election } = this;
+    const leader = election.leader;
+    if (leader === null || leader === ctx.node) return { status: 421, body: redirectBody(null) };
     const now = ctx.clock.now();
-    this.sweep(now);
-    const reachable = this.peers.hears(leader);
-    let worker = this.redirected.get(report.machine);
+    this.forgetOldAgents(now);
+    const reachable = this.peers.isReachable(leader);
+    let worker = this.redirected.get(report.machineId);
     if (!worker || worker.leader !== leader) {
       worker = {
         leader,
         seenAt: Number.NEGATIVE_INFINITY,
         servedSince: null,
-        fresh: null,
+        unawareOf: null,
       };
-      this.redirected.set(report.machine, worker);
+      this.redirected.set(report.machineId, worker);
     }
-    const returned = now - worker.seenAt < ctx.timing.reportMs * 4;
+    const returned = now - worker.seenAt < ctx.timing.heartbeatMs * 4;
     worker.seenAt = now;
     // Now and then one that is served here is sent on all the same: the cut may be over.
-    const long = worker.servedSince !== null && now - worker.servedSince > ctx.timing.workerLeaseMs;
+    const long = worker.servedSince !== null && now - worker.servedSince > ctx.timing.agentLeaseMs;
     if (reachable && (!returned || long)) {
       worker.servedSince = null;
-      return { status: 421, body: notLeaderAnswer(leader) };
+      return { status: 421, body: redirectBody(leader) };
     }
     worker.servedSince ??= now;
     try {
       return reachable
-        ? await this.peers.passReport(leader, body)
-        : await this.peers.mailReport(leader, report.machine, body);
+        ? await this.peers.forwardHeartbeat(leader, body)
+        : await this.peers.forwardThroughMailbox(leader, report.machineId, body);
     } catch (error) {
       ctx.log.debug({ error: String((error as Error).message) }, 'report not passed on');
     }
     // The worker would wait in vain at a leader that is silent here too: it is kept without a detour.
-    return this.stand(report, worker);
+    return this.renewOnBehalfOfLeader(report, worker);
   }
 
   /** A report that a peer passed on, or one of our own. */
-  async lead(report: MachineReport, relayed: boolean): Promise<Reply> {
+  async handleAsLeader(report: Heartbeat, relayed: boolean): Promise<Reply> {
     // Before the jobs are read no lease may be renewed; a moment later its orders go with the answer.
-    await this.leader()?.begun();
+    await this.leader()?.untilReady();
     const leader = this.leader();
-    const term = this.leadership.current;
-    if (!leader || !term) return { status: 421, body: notLeaderAnswer(null) };
-    if (report.term > term.term) {
+    const term = this.election.current;
+    if (!leader || !term) return { status: 421, body: redirectBody(null) };
+    if (report.term > term.number) {
       // The worker has answered to a later leader.
       term.resign('a report carries a higher token');
-      return { status: 421, body: notLeaderAnswer(null) };
+      return { status: 421, body: redirectBody(null) };
     }
-    if (!term.mayAnswer()) return { status: 503, body: { error: 'leadership is not proven' } };
-    const { orders, fence } = leader.report(report, relayed);
-    return { status: 200, body: reportAnswer(tokenOf(term.term, fence), orders) };
+    if (!term.mayRenewAgentLeases())
+      return { status: 503, body: { error: 'leadership is not proven' } };
+    const { orders, fence } = leader.handleHeartbeat(report, relayed);
+    return { status: 200, body: heartbeatResponseBody(fencingToken(term.number, fence), orders) };
   }
 
-  private async stand(report: MachineReport, worker: RedirectedWorker): Promise<Reply> {
-    const { ctx, leadership } = this;
-    const term = leadership.knownTerm;
-    const away = { status: 421, body: notLeaderAnswer(null) };
+  private async renewOnBehalfOfLeader(report: Heartbeat, worker: RedirectedAgent): Promise<Reply> {
+    const { ctx, election } = this;
+    const term = election.observedTerm;
+    const away = { status: 421, body: redirectBody(null) };
     if (term === null || report.term > term) return away;
     const now = ctx.clock.now();
-    if (report.term < term && worker.fresh?.term !== term && (await this.unaware(report, term)))
-      worker.fresh = { term, at: now };
+    if (
+      report.term < term &&
+      worker.unawareOf?.term !== term &&
+      (await this.isUnawareOfTerm(report, term))
+    )
+      worker.unawareOf = { term, at: now };
     const from = this.mayHoldStartsFrom(worker, term);
-    if (from === null || now - from > ctx.timing.deputyMs) return away;
-    this.noteKeeping(term, worker.leader, report.machine);
-    const orders: Order[] = [];
+    if (from === null || now - from > ctx.timing.delegatedRenewalMs) return away;
+    this.noteKeeping(term, worker.leader, report.machineId);
+    const orders: TaskCommand[] = [];
     try {
       // Whoever answers a worker answers for the cancellations too.
       const over = new Map<string, boolean>();
       for (const t of report.tasks) {
         if (t.state === 'exited') continue;
-        if (!over.has(t.job))
-          over.set(t.job, (await ctx.state.get(liveKey(t.job), Priority.ends)) === null);
-        if (over.get(t.job))
-          orders.push({ op: 'stop', job: t.job, index: t.index, attempt: t.attempt, graceS: 0 });
+        if (!over.has(t.jobId))
+          over.set(
+            t.jobId,
+            (await ctx.state.get(liveJobKey(t.jobId), RequestPriority.ends)) === null,
+          );
+        if (over.get(t.jobId))
+          orders.push({ op: 'stop', job: t.jobId, index: t.index, attempt: t.attempt, graceS: 0 });
       }
     } catch {
       return { status: 503, body: { error: 'the state service is out of reach' } };
     }
     const fence = report.term === term ? report.fence : 0;
-    return { status: 200, body: reportAnswer(tokenOf(term, fence), orders) };
+    return { status: 200, body: heartbeatResponseBody(fencingToken(term, fence), orders) };
   }
 
   /**
@@ -138,16 +154,16 @@
    * Its time is counted from when the leader fell silent, so that several nodes can't add theirs
    * up; a machine that learns of the term only here can have no such start on its way.
    */
-  private mayHoldStartsFrom(worker: RedirectedWorker, term: number): number | null {
-    if (worker.fresh?.term === term) return worker.fresh.at;
-    return this.peers.heardLeading(worker.leader, term);
+  private mayHoldStartsFrom(worker: RedirectedAgent, term: number): number | null {
+    if (worker.unawareOf?.term === term) return worker.unawareOf.at;
+    return this.peers.lastLedAt(worker.leader, term);
   }
 
   /** Logged once a term. */
   private noteKeeping(term: number, leader: string, machine: string): void {
-    if (this.keptTerm !== term)
+    if (this.loggedTerm !== term)
       this.ctx.log.info({ term, leader, machine }, 'keeping cut-off machines');
-    this.keptTerm = term;
+    this.loggedTerm = term;
   }
 
   /**
@@ -155,18 +171,18 @@
    * that: a late copy carries an old token for as long as copies may last,
    * and would start the time for which the machine is kept anew.
    */
-  private async unaware(report: MachineReport, term: number): Promise<boolean> {
+  private async isUnawareOfTerm(report: Heartbeat, term: number): Promise<boolean> {
     try {
-      const shown = await this.show(report.address);
-      return shown.machine === report.machine && shown.term < term;
+      const shown = await this.fetchHeartbeat(report.address);
+      return shown.machineId === report.machineId && shown.term < term;
     } catch (error) {
       this.ctx.log.debug({ error: String((error as Error).message) }, 'machine not asked');
       return false;
     }
   }
 
-  private sweep(now: number): void {
-    const keep = this.ctx.timing.workerLeaseMs * REDIRECTED_LEASES;
+  private forgetOldAgents(now: number): void {
+    const keep = this.ctx.timing.agentLeaseMs * FORGET_AFTER_LEASES;
     if (now - this.sweptAt < keep) return;
     this.sweptAt = now;
     for (const [id, g] of this.redirected) if (now - g.seenAt > keep) this.redirected.delete(id);
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -1,19 +1,19 @@
-import type { WorkerClient } from '../../clients/agent-client.js';
-import { NotSent, NotTried } from '../../http/client.js';
-import type { MachineReport, Order } from '../../model/model.js';
-import { tokenOf } from '../../protocol/wire.js';
-import { inTime } from '../../runtime/clock.js';
-import { pendingOrders } from '../../scheduler/reconcile/task-commands.js';
-import type { Cluster } from '../../scheduler/state/cluster-state.js';
-import type { Binding, Machine } from '../../scheduler/state/machine.js';
-import type { Context } from '../context.js';
-import type { Term } from '../election/leader-election.js';
+import type { AgentClient } from '../../clients/agent-client.js';
+import { NotAttemptedError, NotSentError } from '../../http/client.js';
+import type { Heartbeat, TaskCommand } from '../../model/model.js';
+import { fencingToken } from '../../protocol/wire.js';
+import { waitWhileLagging } from '../../runtime/clock.js';
+import { takePendingCommands } from '../../scheduler/reconcile/task-commands.js';
+import type { ClusterState } from '../../scheduler/state/cluster-state.js';
+import type { Machine, TaskAttempt } from '../../scheduler/state/machine.js';
+import type { ControllerContext } from '../context.js';
+import type { LeaderTerm } from '../election/leader-election.js';
 
 /** Asking machines after a takeover is followed by this many times as much for their own reports. */
-const CONFIRM_REST = 2;
+const CONFIRM_REST_RATIO = 2;
 
 /** The sockets that a leader's commands may take. */
-export interface CommandLimits {
+export interface CommandSockets {
   /** Commands to machines under way at the same time; the connections are kept for the next ones. */
   commands: number;
   /** Machines confirmed at the same time after a takeover: one that is gone keeps its lane until it times out. */
@@ -25,32 +25,32 @@
  * their next reports: its token after a takeover, urgent starts and stops, and
  * probes of machines that may not hear it.
  */
-export class Commands {
+export class AgentCommands {
   /** Machines with a command under way: one at a time each. */
-  private readonly underWay = new Set<string>();
+  private readonly inFlight = new Set<string>();
 
   constructor(
-    private readonly ctx: Context,
-    private readonly term: Term,
-    private readonly cluster: Cluster,
-    private readonly workers: Pick<WorkerClient, 'command'>,
-    private readonly limits: CommandLimits,
+    private readonly ctx: ControllerContext,
+    private readonly term: LeaderTerm,
+    private readonly cluster: ClusterState,
+    private readonly agents: Pick<AgentClient, 'command'>,
+    private readonly limits: CommandSockets,
   ) {}
 
-  isUnderWay(machine: string): boolean {
-    return this.underWay.has(machine);
+  isInFlight(machine: string): boolean {
+    return this.inFlight.has(machine);
   }
 
   /**
    * Sends the inherited machines the new token without waiting for their
    * reports: an answer under it confirms the machine.
    */
-  async confirmAll(signal: AbortSignal): Promise<void> {
+  async confirmInheritedMachines(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
     const left = [...this.cluster.machines.values()].filter((m) => m.inherited);
     let atOnce = 1;
     while (left.length > 0) {
-      await inTime(clock, timing.roundMs, timing.workerLeaseMs, signal);
+      await waitWhileLagging(clock, timing.roundMs, timing.agentLeaseMs, signal);
       const asked: Promise<void>[] = [];
       while (asked.length < atOnce && left.length > 0) {
         const machine = left.pop() as Machine;
@@ -58,34 +58,34 @@
       }
       const began = clock.now();
       // One that does not answer holds up nobody.
-      await Promise.race([Promise.all(asked), clock.sleep(timing.lateMs, signal)]);
+      await Promise.race([Promise.all(asked), clock.sleep(timing.lagThresholdMs, signal)]);
       const tookMs = clock.now() - began;
-      const quick = tookMs < timing.lateMs * 0.5;
+      const quick = tookMs < timing.lagThresholdMs * 0.5;
       atOnce = quick
         ? Math.min(this.limits.confirmations, atOnce * 2)
         : Math.max(1, Math.ceil(atOnce / 2));
       // A worker that reports costs less than one that is asked, and has to be served in any case.
-      await clock.sleep(tookMs * CONFIRM_REST, signal);
+      await clock.sleep(tookMs * CONFIRM_REST_RATIO, signal);
     }
   }
 
   /** Sends what should not wait for the machines' next reports. */
   sendPending(): void {
     const { cluster } = this;
-    if (!this.term.mayStart()) return;
+    if (!this.term.mayStartTasks()) return;
     // A command costs several times what its orders cost in the answer to a report.
-    if (cluster.isBehind(this.ctx.clock.now())) return;
+    if (cluster.isLagging(this.ctx.clock.now())) return;
     for (const machine of cluster.pendingCommands) {
       // The rest follows as these are answered, unless a report comes first.
-      if (this.underWay.size >= this.limits.commands) return;
-      if (this.underWay.has(machine.id)) continue;
+      if (this.inFlight.size >= this.limits.commands) return;
+      if (this.inFlight.has(machine.id)) continue;
       cluster.pendingCommands.delete(machine);
-      const { orders, starts } = pendingOrders(machine);
+      const { commands: orders, starts } = takePendingCommands(machine);
       if (orders.length > 0) void this.command(machine, orders, starts);
     }
     for (const machine of cluster.pendingProbes) {
-      if (this.underWay.size >= this.limits.commands) return;
-      if (this.underWay.has(machine.id) || machine.address === '') continue;
+      if (this.inFlight.size >= this.limits.commands) return;
+      if (this.inFlight.has(machine.id) || machine.address === '') continue;
       cluster.pendingProbes.delete(machine);
       void this.command(machine, [], []);
     }
@@ -97,25 +97,25 @@
   }
 
   /** A command under the machine's token. It leaves only while leadership is proven, however long it waited for its connection. */
-  private send(machine: Machine, session: number, orders: Order[]) {
+  private send(machine: Machine, session: number, orders: TaskCommand[]) {
     const { term } = this;
-    const token = tokenOf(term.term, machine.fence);
-    return this.workers.command(machine.address, token, session, orders, term.signal, term.proven);
+    const token = fencingToken(term.number, machine.fence);
+    return this.agents.command(machine.address, token, session, orders, term.signal, term.isProven);
   }
 
   private async confirm(machine: Machine, signal: AbortSignal): Promise<void> {
     try {
       // Most machines are in their first session; the refusal tells of a later one.
-      let session = Math.max(1, machine.session);
-      for (let tries = 0; tries < 2 && this.term.proven(); tries++) {
+      let session = Math.max(1, machine.agentEpoch);
+      for (let tries = 0; tries < 2 && this.term.isProven(); tries++) {
         const answer = await this.send(machine, session, []);
-        this.takeAnswer(machine, answer.report);
-        if (answer.executed || answer.report.session === session) return;
-        session = answer.report.session;
+        this.applyResponse(machine, answer.heartbeat);
+        if (answer.executed || answer.heartbeat.agentEpoch === session) return;
+        session = answer.heartbeat.agentEpoch;
       }
     } catch (error) {
       // Not having asked says nothing of the machine.
-      machine.unanswered = !(error instanceof NotTried);
+      machine.confirmationUnanswered = !(error instanceof NotAttemptedError);
       if (!signal.aborted)
         this.ctx.log.debug(
           { machine: machine.id, error: String((error as Error).message) },
@@ -124,17 +124,22 @@
     }
   }
 
-  private async command(machine: Machine, orders: Order[], starts: Binding[]): Promise<void> {
+  private async command(
+    machine: Machine,
+    orders: TaskCommand[],
+    starts: TaskAttempt[],
+  ): Promise<void> {
     const { cluster, term, ctx } = this;
-    this.underWay.add(machine.id);
+    this.inFlight.add(machine.id);
     try {
-      const answer = await this.send(machine, machine.session, orders);
-      this.takeAnswer(machine, answer.report);
-      cluster.answered(starts, answer.executed, answer.report.seq);
+      const answer = await this.send(machine, machine.agentEpoch, orders);
+      this.applyResponse(machine, answer.heartbeat);
+      cluster.applyCommandResult(starts, answer.executed, answer.heartbeat.sequence);
       if (answer.executed) cluster.markResponsive(machine);
     } catch (error) {
-      if (error instanceof NotSent) for (const start of starts) start.direct = null;
-      const tried = !(error instanceof NotTried);
+      if (error instanceof NotSentError)
+        for (const start of starts) start.directCommandFence = null;
+      const tried = !(error instanceof NotAttemptedError);
       if (tried && !term.signal.aborted && !machine.relayed)
         cluster.markUnresponsive(machine, ctx.clock.now());
       if (!term.signal.aborted)
@@ -143,14 +148,14 @@
           'command not answered',
         );
     } finally {
-      this.underWay.delete(machine.id);
+      this.inFlight.delete(machine.id);
       this.sendPendingSoon();
     }
   }
 
-  private takeAnswer(machine: Machine, report: MachineReport): void {
-    if (report.machine !== machine.id) return;
-    if (report.term > this.term.term) this.term.resign('a worker knows a higher token');
-    else this.cluster.report(report, false, this.ctx.clock.now());
+  private applyResponse(machine: Machine, report: Heartbeat): void {
+    if (report.machineId !== machine.id) return;
+    if (report.term > this.term.number) this.term.resign('a worker knows a higher token');
+    else this.cluster.applyHeartbeat(report, false, this.ctx.clock.now());
   }
 }
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,44 +1,44 @@
 import type { Change } from '../../protocol/store.js';
 import {
   decodeFirstPage,
-  decodeLoads,
+  decodeForecasts,
   encodeFirstPage,
+  encodeForecast,
   encodeFurtherPage,
-  encodeLoad,
-  type StoredLoad,
+  type StoredForecast,
 } from '../../records/demand-record.js';
-import { Priority } from '../../runtime/request-budget.js';
-import type { Load, Renting } from '../../scheduler/scaling/scale-out.js';
-import type { Context } from '../context.js';
-import { LEADER_KEY, type Term } from '../election/leader-election.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
+import type { DemandForecast, ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
+import type { ControllerContext } from '../context.js';
+import { LEADER_KEY, type LeaderTerm } from '../election/leader-election.js';
 import { retry } from '../retry.js';
 
-const LOADS_KEY = 'loads';
+const DEMAND_KEY = 'loads';
 /** The part of a value that a page may fill. */
 const PAGE_SHARE = 0.9;
 /** What a page takes beside its loads. */
 const FRAME_BYTES = 100;
 
 function pageKey(page: number): string {
-  return page === 0 ? LOADS_KEY : `${LOADS_KEY}/${page}`;
+  return page === 0 ? DEMAND_KEY : `${DEMAND_KEY}/${page}`;
 }
 
 /** Keeps what work is expected for the next leader, which would rent too little otherwise. */
-export class Loads {
+export class DemandStore {
   /** Jobs up to this version are counted in what is expected. */
-  private counted = 0;
+  private countedVersion = 0;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly term: Term,
-    private readonly renting: Renting,
+    private readonly ctx: ControllerContext,
+    private readonly term: LeaderTerm,
+    private readonly scaleOut: ScaleOutPlanner,
   ) {}
 
   /** A job has arrived; one that an earlier leader counted is not counted again. */
-  arrived(spec: Load['spec'], version: number): void {
-    if (version <= this.counted) return;
-    this.counted = version;
-    this.renting.arrived(spec);
+  recordArrival(spec: DemandForecast['spec'], version: number): void {
+    if (version <= this.countedVersion) return;
+    this.countedVersion = version;
+    this.scaleOut.recordArrival(spec);
   }
 
   /** Takes over what the leader before expected. */
@@ -47,15 +47,15 @@
     if (!first) return;
     const { loads, upTo, more } = first;
     for (let page = 1; page <= more; page++)
-      loads.push(...(decodeLoads(await this.page(page)) ?? []));
-    this.renting.restore(loads);
-    this.counted = upTo;
+      loads.push(...(decodeForecasts(await this.page(page)) ?? []));
+    this.scaleOut.restore(loads);
+    this.countedVersion = upTo;
   }
 
   private async page(page: number): Promise<unknown> {
     const { ctx } = this;
     const entry = await retry(ctx, this.term.signal, (signal) =>
-      ctx.state.get(pageKey(page), Priority.lead, signal),
+      ctx.state.get(pageKey(page), RequestPriority.lead, signal),
     );
     return entry?.value ?? null;
   }
@@ -63,12 +63,12 @@
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     while (!signal.aborted) {
-      await ctx.clock.sleep(ctx.timing.loadsMs, signal);
+      await ctx.clock.sleep(ctx.timing.demandSaveMs, signal);
       try {
         await ctx.state.transact(
           [{ key: LEADER_KEY, version: this.term.version }],
           this.changes(),
-          Priority.progress,
+          RequestPriority.progress,
           signal,
         );
       } catch (error) {
@@ -82,10 +82,10 @@
   private changes(): Change[] {
     const { valueBytes, changes: most } = this.ctx.limits;
     const room = valueBytes * PAGE_SHARE - FRAME_BYTES;
-    const pages: StoredLoad[][] = [[]];
+    const pages: StoredForecast[][] = [[]];
     let left = room;
-    for (const load of this.renting.snapshot().sort((a, b) => b.mean - a.mean)) {
-      const stored = encodeLoad(load);
+    for (const load of this.scaleOut.snapshot().sort((a, b) => b.mean - a.mean)) {
+      const stored = encodeForecast(load);
       const bytes = Buffer.byteLength(JSON.stringify(stored)) + 1;
       if (bytes > room) continue;
       if (bytes > left) {
@@ -97,7 +97,7 @@
       pages.at(-1)?.push(stored);
     }
     return pages.map((loads, page) => {
-      const first = encodeFirstPage(loads, this.counted, pages.length - 1);
+      const first = encodeFirstPage(loads, this.countedVersion, pages.length - 1);
       const further = encodeFurtherPage(loads);
       return { op: 'put', key: pageKey(page), value: page === 0 ? first : further };
     });
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -1,35 +1,35 @@
 import { readPrefix } from '../../clients/key-ranges.js';
-import { decodeListHeader } from '../../records/dependency-list-record.js';
-import { LIST_HEADER_PREFIX, liveKey } from '../../records/keys.js';
+import { decodeDependencyListHeader } from '../../records/dependency-list-record.js';
+import { LIST_HEADER_PREFIX, liveJobKey } from '../../records/keys.js';
 import { mapObject } from '../../records/stored-form.js';
-import { pause } from '../../runtime/clock.js';
-import { Priority } from '../../runtime/request-budget.js';
-import { UpstreamLists } from '../api/dependency-lists.js';
-import type { Context } from '../context.js';
+import { sleepUntilAborted } from '../../runtime/clock.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
+import { DependencyLists } from '../api/dependency-lists.js';
+import type { ControllerContext } from '../context.js';
 
 /**
  * Removes lists of upstream jobs whose job has ended or was never accepted. A
  * list is left alone while its job is live, and for a while after it was first
  * seen without: its submission may be under way.
  */
-export class UpstreamListCleaner {
-  private readonly lists: UpstreamLists;
+export class DependencyListCleaner {
+  private readonly lists: DependencyLists;
   /** Since when a list stands without its job, by the header's key. */
   private readonly orphanSince = new Map<string, number>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: ControllerContext,
     private readonly liveJobs: Pick<ReadonlyMap<string, unknown>, 'has'>,
   ) {
-    this.lists = new UpstreamLists(ctx);
+    this.lists = new DependencyLists(ctx);
   }
 
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing, log } = this.ctx;
     while (!signal.aborted) {
-      await pause(clock, timing.workerLeaseMs, signal);
+      await sleepUntilAborted(clock, timing.agentLeaseMs, signal);
       try {
-        await this.clean(signal);
+        await this.removeOrphans(signal);
       } catch (error) {
         if (signal.aborted) return;
         log.debug({ error: String((error as Error).message) }, 'upstream lists not cleaned');
@@ -37,9 +37,9 @@
     }
   }
 
-  private async clean(signal: AbortSignal): Promise<void> {
+  private async removeOrphans(signal: AbortSignal): Promise<void> {
     const { clock, timing, state } = this.ctx;
-    const headers = await readPrefix(state, LIST_HEADER_PREFIX, Priority.progress, signal);
+    const headers = await readPrefix(state, LIST_HEADER_PREFIX, RequestPriority.progress, signal);
     const standing = new Set(headers.map((e) => e.key));
     for (const key of this.orphanSince.keys()) if (!standing.has(key)) this.orphanSince.delete(key);
     for (const { key, value, version } of headers) {
@@ -52,8 +52,15 @@
       const since = this.orphanSince.get(key);
       if (since === undefined) this.orphanSince.set(key, now);
       else if (now - since >= timing.orphanListMs) {
-        const header = { version, value: mapObject(value, decodeListHeader) };
-        await this.lists.remove(job, token, header, liveKey(job), Priority.progress, signal);
+        const header = { version, value: mapObject(value, decodeDependencyListHeader) };
+        await this.lists.remove(
+          job,
+          token,
+          header,
+          liveJobKey(job),
+          RequestPriority.progress,
+          signal,
+        );
       }
     }
   }
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -1,13 +1,13 @@
-import { Priority } from '../../runtime/request-budget.js';
-import type { Cluster } from '../../scheduler/state/cluster-state.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
+import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { Job } from '../../scheduler/state/job.js';
 import type { JobStore } from '../api/job-store.js';
-import type { Context } from '../context.js';
+import type { ControllerContext } from '../context.js';
 
 /** Lists read at the same time. */
-const READS_AT_ONCE = 8;
+const MAX_CONCURRENT_READS = 8;
 /** Rounds between two looks, while reads succeed. */
-const LOOK_ROUNDS = 2;
+const POLL_ROUNDS = 2;
 
 /**
  * Reads for a leader what it has not seen itself: how jobs ended that others
@@ -15,27 +15,27 @@
  * jobs that stand apart from their records. Nothing that waits for them starts
  * before.
  */
-export class UpstreamResolver {
+export class DependencyResolver {
   constructor(
-    private readonly ctx: Context,
-    private readonly cluster: Cluster,
+    private readonly ctx: ControllerContext,
+    private readonly cluster: ClusterState,
     private readonly store: JobStore,
   ) {}
 
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
     while (!signal.aborted) {
-      const failed = await this.look(signal);
-      await clock.sleep(failed ? timing.renewMs : timing.roundMs * LOOK_ROUNDS, signal);
+      const failed = await this.resolvePending(signal);
+      await clock.sleep(failed ? timing.renewMs : timing.roundMs * POLL_ROUNDS, signal);
     }
   }
 
   /** True when something could not be read. */
-  private async look(signal: AbortSignal): Promise<boolean> {
-    const { graph } = this.cluster;
-    const unread = [...graph.unread].slice(0, READS_AT_ONCE);
+  private async resolvePending(signal: AbortSignal): Promise<boolean> {
+    const { dependencies: graph } = this.cluster;
+    const unread = [...graph.unreadLists].slice(0, MAX_CONCURRENT_READS);
     const results = await Promise.allSettled([
-      this.readEnds([...graph.unresolved], signal),
+      this.readEnds([...graph.unresolvedEnds], signal),
       ...unread.map((job) => this.readList(job, signal)),
     ]);
     const failure = results.find((r) => r.status === 'rejected');
@@ -46,17 +46,17 @@
 
   private async readList(job: Job, signal: AbortSignal): Promise<void> {
     const { id } = job.spec;
-    const found = await this.store.find(id, Priority.ends, signal);
+    const found = await this.store.find(id, RequestPriority.ends, signal);
     // It has ended meanwhile; the watch is about to tell.
     if (!found?.live) return;
-    const ids = await this.store.upstreamOf(id, found.record, Priority.ends, signal);
-    if (ids) this.cluster.linkUnread(job, ids);
+    const ids = await this.store.dependenciesOf(id, found.record, RequestPriority.ends, signal);
+    if (ids) this.cluster.addReadDependencies(job, ids);
   }
 
   /** All at once: one job may wait for thousands that ended before this term. */
   private async readEnds(ids: readonly string[], signal: AbortSignal): Promise<void> {
     if (ids.length === 0) return;
-    const ends = await this.store.findEnds(ids, Priority.ends, signal);
+    const ends = await this.store.findEnds(ids, RequestPriority.ends, signal);
     for (const [id, { record }] of ends)
       this.cluster.endJob(id, { state: record.state, at: record.at ?? null });
     const missing = ids.find((id) => !ends.has(id));
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -1,14 +1,14 @@
-import { Refused, Rejected } from '../../clients/state-client.js';
-import { Stopped } from '../../runtime/clock.js';
-import { Priority } from '../../runtime/request-budget.js';
+import { RequestRefusedError, RequestRejectedError } from '../../clients/state-client.js';
+import { AbortedError } from '../../runtime/clock.js';
+import { RequestPriority } from '../../runtime/request-budget.js';
 import {
-  flushUnits,
-  type Unit,
-  unknownChunks,
+  chunksOfUnknownVersion,
+  type DurableWrite,
+  pendingWrites,
 } from '../../scheduler/persistence/durable-writes.js';
-import type { Cluster } from '../../scheduler/state/cluster-state.js';
-import type { Context } from '../context.js';
-import { LEADER_KEY, type Term } from '../election/leader-election.js';
+import type { ClusterState } from '../../scheduler/state/cluster-state.js';
+import type { ControllerContext } from '../context.js';
+import { LEADER_KEY, type LeaderTerm } from '../election/leader-election.js';
 
 /** A transaction's own limit in the protocol, with room for its frame. */
 const TRANSACTION_BYTES = 56 * 1024;
@@ -17,27 +17,27 @@
 /** Progress that was not needed for a while may follow in a burst, in seconds of all changes. */
 const PROGRESS_BURST_S = 0.5;
 /** Ticks to wait after a transaction that was not answered. */
-const FAILED_REST = 3;
+const FAILURE_BACKOFF_TICKS = 3;
 
 /** Writes what a leader has to keep: ends of jobs, finished tasks and the roster. */
-export class Flusher {
+export class ProgressWriter {
   constructor(
-    private readonly ctx: Context,
-    private readonly term: Term,
-    private readonly cluster: Cluster,
+    private readonly ctx: ControllerContext,
+    private readonly term: LeaderTerm,
+    private readonly cluster: ClusterState,
   ) {}
 
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, cluster } = this;
     const { loweredChangesPerS } = ctx.limits;
-    const tickMs = ctx.timing.flushMs;
+    const tickMs = ctx.timing.progressWriteMs;
     const sparePerTick = (loweredChangesPerS * PROGRESS_SHARE * tickMs) / 1000;
     let spare = 0;
     while (!signal.aborted) {
       await ctx.clock.sleep(tickMs, signal);
       spare = Math.min(spare + sparePerTick, loweredChangesPerS * PROGRESS_BURST_S);
-      await this.findChunks(signal);
-      const units = flushUnits(cluster, { spare, wallNow: ctx.clock.wall() });
+      await this.rereadUnknownChunks(signal);
+      const units = pendingWrites(cluster, { progressChanges: spare, wallNow: ctx.clock.wall() });
       let from = 0;
       while (from < units.length) {
         const batch = this.nextBatch(units, from);
@@ -52,8 +52,8 @@
   }
 
   /** As many of the next units as a transaction takes, and one at the least. */
-  private nextBatch(units: Unit[], from: number): Unit[] {
-    const batch: Unit[] = [];
+  private nextBatch(units: DurableWrite[], from: number): DurableWrite[] {
+    const batch: DurableWrite[] = [];
     let changes = 0;
     let bytes = 0;
     for (const unit of units.slice(from)) {
@@ -69,14 +69,14 @@
   }
 
   /** Reads anew which version of a bitmap stands after a write of it had no answer. */
-  private async findChunks(signal: AbortSignal): Promise<void> {
-    for (const { job, chunk } of unknownChunks(this.cluster)) {
+  private async rereadUnknownChunks(signal: AbortSignal): Promise<void> {
+    for (const { job, chunk } of chunksOfUnknownVersion(this.cluster)) {
       try {
         const key = this.cluster.bitmaps.key(job.spec.id, chunk);
-        const entry = await this.ctx.state.get(key, Priority.ends, signal);
-        job.chunks.set(chunk, entry?.version ?? 0);
+        const entry = await this.ctx.state.get(key, RequestPriority.ends, signal);
+        job.chunkVersions.set(chunk, entry?.version ?? 0);
       } catch (error) {
-        if (signal.aborted) throw new Stopped();
+        if (signal.aborted) throw new AbortedError();
         this.ctx.log.debug({ error: String((error as Error).message) }, 'bitmap not read');
         return;
       }
@@ -84,30 +84,30 @@
   }
 
   /** False: the state service did not take it; the rest waits for the next turn. */
-  private async write(batch: Unit[]): Promise<boolean> {
+  private async write(batch: DurableWrite[]): Promise<boolean> {
     const { term, ctx } = this;
     try {
       const result = await ctx.state.transact(
         [{ key: LEADER_KEY, version: term.version }, ...batch.flatMap((u) => u.conditions)],
         batch.flatMap((u) => u.changes),
-        Priority.ends,
+        RequestPriority.ends,
         term.signal,
       );
       if (!result.ok) return this.notApplied(batch, result.failed);
       for (const unit of batch) unit.applied(result.revision);
       return true;
     } catch (error) {
-      if (error instanceof Rejected) return this.rejected(batch, error);
-      for (const u of batch) u.retry(!(error instanceof Refused));
+      if (error instanceof RequestRejectedError) return this.giveUpOrSplit(batch, error);
+      for (const u of batch) u.retry(!(error instanceof RequestRefusedError));
       if (!term.signal.aborted)
         ctx.log.debug({ error: String((error as Error).message) }, 'flush not answered');
-      await ctx.clock.sleep(ctx.timing.flushMs * FAILED_REST, term.signal);
+      await ctx.clock.sleep(ctx.timing.progressWriteMs * FAILURE_BACKOFF_TICKS, term.signal);
       return false;
     }
   }
 
   /** The conditions on these keys failed, so nothing of the batch stands. False: this leader has been followed. */
-  private notApplied(batch: Unit[], failed: string[]): boolean {
+  private notApplied(batch: DurableWrite[], failed: string[]): boolean {
     if (failed.includes(LEADER_KEY)) {
       this.term.resign('another leader holds the key');
       for (const unit of batch) unit.retry(false);
@@ -125,7 +125,7 @@
    * written by itself, so that one that is at fault holds up none of the others;
    * that one is left until the next leader, which begins with what is stored.
    */
-  private async rejected(batch: Unit[], error: Error): Promise<boolean> {
+  private async giveUpOrSplit(batch: DurableWrite[], error: Error): Promise<boolean> {
     if (batch.length > 1) {
       for (const unit of batch) await this.write([unit]);
       return true;
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -6,19 +6,19 @@
   type StoredMachineType,
   storedMachineTypes,
 } from '../records/machine-type-record.js';
-import { Priority } from '../runtime/request-budget.js';
-import type { Context } from './context.js';
+import { RequestPriority } from '../runtime/request-budget.js';
+import type { ControllerContext } from './context.js';
 
-const TYPES_KEY = 'types';
+const MACHINE_TYPES_KEY = 'types';
 
 /** Machine types from the state service or, where it has none or fails, from the cloud. */
-export async function readTypes(
-  ctx: Context,
+export async function readMachineTypes(
+  ctx: ControllerContext,
   cloud: Pick<CloudClient, 'types'>,
   signal: AbortSignal,
 ): Promise<MachineType[]> {
   try {
-    const entry = await ctx.state.get(TYPES_KEY, Priority.lead, signal);
+    const entry = await ctx.state.get(MACHINE_TYPES_KEY, RequestPriority.lead, signal);
     const types = entry && decodeMachineTypes(entry.value);
     if (types && types.length > 0) return types;
   } catch (error) {
@@ -29,28 +29,28 @@
 }
 
 /** Keeps the types for nodes that start while the cloud is out of reach. Prices move too often to be worth a write. */
-export async function storeTypes(
-  ctx: Context,
+export async function storeMachineTypes(
+  ctx: ControllerContext,
   types: MachineType[],
   signal: AbortSignal,
 ): Promise<void> {
   if (types.length === 0) return;
   const shape = (list: StoredMachineType[] | null) =>
     JSON.stringify(list?.map(({ price: _p, spotPrice: _s, ...rest }) => rest));
-  const entry = await ctx.state.get(TYPES_KEY, Priority.progress, signal);
+  const entry = await ctx.state.get(MACHINE_TYPES_KEY, RequestPriority.progress, signal);
   const kept = entry && storedMachineTypes(entry.value);
   const value = encodeMachineTypes(types);
   // Too many for a value: nodes that start then have only the cloud to ask.
   if (Buffer.byteLength(JSON.stringify(value)) > ctx.limits.valueBytes) {
-    ctx.types = types;
+    ctx.machineTypes = types;
     return;
   }
   if (shape(kept) !== shape(value))
     await ctx.state.transact(
-      [{ key: TYPES_KEY, version: entry?.version ?? 0 }],
-      [{ op: 'put', key: TYPES_KEY, value }],
-      Priority.progress,
+      [{ key: MACHINE_TYPES_KEY, version: entry?.version ?? 0 }],
+      [{ op: 'put', key: MACHINE_TYPES_KEY, value }],
+      RequestPriority.progress,
       signal,
     );
-  ctx.types = types;
+  ctx.machineTypes = types;
 }
--- a/src/controller/memory-guard.ts
+++ b/src/controller/memory-guard.ts
@@ -1,6 +1,6 @@
 import { getHeapStatistics } from 'node:v8';
-import { pause } from '../runtime/clock.js';
-import type { Context } from './context.js';
+import { sleepUntilAborted } from '../runtime/clock.js';
+import type { ControllerContext } from './context.js';
 
 /** A part of the memory that is in use, of the platform's limit or the engine's, whichever is nearer. */
 export type MemoryMeter = () => number;
@@ -30,29 +30,29 @@
 export class MemoryGuard {
   /** New jobs are to be put off. */
   isShort = false;
-  private saidOnce = false;
+  private logged = false;
   private shortLooks = 0;
 
   constructor(
-    private readonly ctx: Pick<Context, 'clock' | 'timing' | 'log'>,
+    private readonly ctx: Pick<ControllerContext, 'clock' | 'timing' | 'log'>,
     private readonly usedShare: MemoryMeter,
   ) {}
 
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
     while (!signal.aborted) {
-      this.look();
-      await pause(clock, timing.reportMs, signal);
+      this.check();
+      await sleepUntilAborted(clock, timing.heartbeatMs, signal);
     }
   }
 
-  private look(): void {
+  private check(): void {
     const share = this.usedShare();
     const isOver = share >= (this.isShort ? ENOUGH_BELOW : SHORT_FROM);
     this.shortLooks = isOver ? this.shortLooks + 1 : 0;
     this.isShort = this.isShort ? isOver : this.shortLooks >= SHORT_LOOKS;
-    if (!this.isShort || this.saidOnce) return;
-    this.saidOnce = true;
+    if (!this.isShort || this.logged) return;
+    this.logged = true;
     this.ctx.log.error(
       { usedShare: Math.round(share * 100) / 100 },
       'memory is short: quota.memory_mb or the heap limit is too small for this fleet; no new jobs are taken meanwhile',
--- a/src/controller/retry.ts
+++ b/src/controller/retry.ts
@@ -1,6 +1,6 @@
-import { Refused } from '../clients/state-client.js';
-import { Stopped } from '../runtime/clock.js';
-import type { Context } from './context.js';
+import { RequestRefusedError } from '../clients/state-client.js';
+import { AbortedError } from '../runtime/clock.js';
+import type { ControllerContext } from './context.js';
 
 /** The first pause after a failed call, in renewal intervals; it doubles up to the longest one. */
 const FIRST_PAUSE = 0.15;
@@ -11,7 +11,7 @@
 
 /** Repeats a call until it is answered; throws Stopped once the signal is aborted. */
 export async function retry<T>(
-  ctx: Context,
+  ctx: ControllerContext,
   signal: AbortSignal,
   call: (signal: AbortSignal) => Promise<T>,
 ): Promise<T> {
@@ -19,9 +19,9 @@
     try {
       return await call(signal);
     } catch (error) {
-      if (signal.aborted) throw new Stopped();
+      if (signal.aborted) throw new AbortedError();
       const wait = ctx.timing.renewMs * Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** tries);
-      const hint = error instanceof Refused ? Math.min(error.retryMs, wait) : wait;
+      const hint = error instanceof RequestRefusedError ? Math.min(error.retryMs, wait) : wait;
       ctx.log.debug({ error: String((error as Error).message) }, 'call repeated');
       await ctx.clock.sleep(hint * (JITTER_FROM + Math.random() * JITTER_RANGE), signal);
     }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -6,22 +6,22 @@
   port: number;
 }
 
-export interface Answer {
+export interface HttpResponse {
   status: number;
   body: unknown;
 }
 
 /** The request was not answered: it may or may not have been carried out. */
-export class NoAnswer extends Error {}
+export class NoResponseError extends Error {}
 
 /** It was answered, at a greater length than is taken. */
-export class AnswerTooLarge extends NoAnswer {}
+export class ResponseTooLargeError extends NoResponseError {}
 
 /** The request never left: no connection was had. */
-export class NotSent extends NoAnswer {}
+export class NotSentError extends NoResponseError {}
 
 /** It was not even tried, for a reason on this side: that says nothing of the other. */
-export class NotTried extends NotSent {}
+export class NotAttemptedError extends NotSentError {}
 
 interface Pooled {
   socket: net.Socket;
@@ -62,7 +62,7 @@
     timeoutMs: number,
     signal?: AbortSignal,
     fit: () => boolean = always,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     const payload = body === undefined ? '' : JSON.stringify(body);
     const text = `${method} ${target} HTTP/1.1\r\nHost: ${this.address.host}:${this.address.port}\r\n${
       body === undefined
@@ -74,7 +74,7 @@
       const conn = await this.take(deadline, signal);
       if (!fit()) {
         this.release(conn);
-        throw new NotTried('no longer fit to be sent');
+        throw new NotAttemptedError('no longer fit to be sent');
       }
       const fresh = conn.socket.bytesRead === 0;
       const used = conn.socket.bytesRead;
@@ -97,7 +97,7 @@
     this.closed = true;
     for (const c of this.idle) c.socket.destroy();
     this.idle = [];
-    for (const w of this.waiting) w.reject(new NotTried('closed'));
+    for (const w of this.waiting) w.reject(new NotAttemptedError('closed'));
     this.waiting = [];
   }
 
@@ -107,13 +107,13 @@
       if (!kept) break;
       if (!kept.socket.destroyed) return Promise.resolve(kept);
     }
-    if (this.closed) return Promise.reject(new NotTried('closed'));
+    if (this.closed) return Promise.reject(new NotAttemptedError('closed'));
     if (this.open < this.options.connections) return this.connect(deadline, signal);
     return new Promise((resolve, reject) => {
       const timer = setTimeout(
         () => {
           this.waiting = this.waiting.filter((w) => w !== waiter);
-          reject(new NotTried('no free connection'));
+          reject(new NotAttemptedError('no free connection'));
         },
         Math.max(1, deadline - Date.now()),
       );
@@ -139,7 +139,7 @@
         clearTimeout(timer);
         signal?.removeEventListener('abort', aborted);
         socket.destroy();
-        reject(new NotSent(why));
+        reject(new NotSentError(why));
       };
       const aborted = () => fail('aborted');
       const timer = setTimeout(() => fail('connect timed out'), Math.max(1, deadline - Date.now()));
@@ -183,7 +183,7 @@
     text: string,
     timeoutMs: number,
     signal?: AbortSignal,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     const { socket, parser } = conn;
     return new Promise((resolve, reject) => {
       const done = () => {
@@ -192,8 +192,8 @@
         socket.off('close', onClose);
         signal?.removeEventListener('abort', onAbort);
       };
-      const fail = (why: string) => failWith(new NoAnswer(why));
-      const failWith = (error: NoAnswer) => {
+      const fail = (why: string) => failWith(new NoResponseError(why));
+      const failWith = (error: NoResponseError) => {
         done();
         socket.destroy();
         reject(error);
@@ -206,7 +206,7 @@
         try {
           body = message.body.length === 0 ? {} : JSON.parse(message.body.toString());
         } catch {
-          return reject(new NoAnswer('answer is not JSON'));
+          return reject(new NoResponseError('answer is not JSON'));
         }
         resolve({ status: message.status, body });
       };
@@ -217,7 +217,9 @@
         } catch (error) {
           const { message } = error as Error;
           failWith(
-            error instanceof BodyTooLarge ? new AnswerTooLarge(message) : new NoAnswer(message),
+            error instanceof BodyTooLarge
+              ? new ResponseTooLargeError(message)
+              : new NoResponseError(message),
           );
         }
       };
--- a/src/model/model.ts
+++ b/src/model/model.ts
@@ -1,28 +1,28 @@
 /** The scheduler's nouns, in the field's terms. No I/O, no clock. */
 
-export const RANKS = ['critical', 'urgent', 'standard', 'low'] as const;
+export const PRIORITIES = ['critical', 'urgent', 'standard', 'low'] as const;
 /** Index into RANKS: a smaller number is a higher priority. */
-type Rank = number;
+type JobPriority = number;
 
 export interface JobSpec {
   id: string;
   jobClass: string;
   team: string;
-  rank: Rank;
+  priority: JobPriority;
   tasks: number;
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
-  types: string[] | null;
+  machineTypes: string[] | null;
   zone: string | null;
-  oneZone: boolean;
-  spread: boolean;
-  spot: boolean;
-  estimateS: number;
-  checkpointS: number;
-  saveS: number;
+  singleZone: boolean;
+  zoneAntiAffinity: boolean;
+  allowsSpot: boolean;
+  estimatedDurationS: number;
+  checkpointIntervalS: number;
+  checkpointCostS: number;
   deadlineS: number | null;
 }
 
@@ -31,28 +31,28 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  cacheGb: number;
-  fetchGbPerS: number;
+  imageCacheGb: number;
+  imagePullGbPerS: number;
   price: number;
   spotPrice: number;
   bootS: number;
   zones: string[];
 }
 
-export interface Team {
+export interface TeamQuota {
   name: string;
-  cpus: number;
-  gpus: number;
+  guaranteedCpus: number;
+  guaranteedGpus: number;
   /** 0: no limit. */
-  cpusMax: number;
-  gpusMax: number;
+  maxCpus: number;
+  maxGpus: number;
 }
 
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-export interface TaskReport {
-  job: string;
+export interface TaskStatus {
+  jobId: string;
   index: number;
   attempt: number;
   state: TaskState;
@@ -60,22 +60,22 @@
   saved: boolean;
 }
 
-export interface MachineReport {
-  machine: string;
+export interface Heartbeat {
+  machineId: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
+  agentEpoch: number;
+  sequence: number;
   /** The highest token that the machine has seen: a leader's term and, within it, the machine's fence. */
   term: number;
   fence: number;
-  noticeS: number | null;
-  tasks: TaskReport[];
+  preemptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
-export type Order =
+export type TaskCommand =
   | { op: 'start'; job: string; index: number; attempt: number }
   | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; index: number; attempt: number };
@@ -100,14 +100,14 @@
 }
 
 /** Whether one task of the job can ever run on a machine of the type. */
-export function typeFits(job: JobSpec, type: MachineType): boolean {
+export function canRunOnType(job: JobSpec, type: MachineType): boolean {
   return (
-    (job.types === null || job.types.includes(type.name)) &&
+    (job.machineTypes === null || job.machineTypes.includes(type.name)) &&
     (job.zone === null || type.zones.includes(job.zone)) &&
     job.cpus <= type.cpus + EPSILON &&
     job.gpus <= type.gpus + EPSILON &&
     job.memoryGb <= type.memoryGb + EPSILON &&
-    job.imageGb <= type.cacheGb + EPSILON
+    job.imageGb <= type.imageCacheGb + EPSILON
   );
 }
 
@@ -115,15 +115,15 @@
 export const EPSILON = 1e-6;
 
 /** Why the job can never run, or null. */
-export function neverRuns(
+export function unrunnableReason(
   job: JobSpec,
-  teams: Map<string, Team>,
+  teams: Map<string, TeamQuota>,
   types: MachineType[],
 ): string | null {
   const team = teams.get(job.team);
   if (!team) return 'unknown team';
-  if (!types.some((t) => typeFits(job, t))) return 'a task fits no allowed machine type';
-  if (team.cpusMax > 0 && job.cpus > team.cpusMax + EPSILON) return "over the team's limit";
-  if (team.gpusMax > 0 && job.gpus > team.gpusMax + EPSILON) return "over the team's limit";
+  if (!types.some((t) => canRunOnType(job, t))) return 'a task fits no allowed machine type';
+  if (team.maxCpus > 0 && job.cpus > team.maxCpus + EPSILON) return "over the team's limit";
+  if (team.maxGpus > 0 && job.gpus > team.maxGpus + EPSILON) return "over the team's limit";
   return null;
 }
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -1,46 +1,46 @@
 /** Figures and aims that the core decides by, taken from the settings and the operators' properties. */
 
 /** Figures of the settings that the core needs, in milliseconds. */
-export interface CoreTiming {
-  reportMs: number;
-  workerLeaseMs: number;
+export interface SchedulerTiming {
+  heartbeatMs: number;
+  agentLeaseMs: number;
   listProofMs: number;
-  silentMs: number;
+  unreachableAfterMs: number;
 }
 
-export interface CorePolicy {
+export interface SchedulerPolicy {
   weights: { throughput: number; cost: number; locality: number };
-  waitSpread: number;
-  spread: number;
-  smoothBoots: number;
-  drainBoots: number;
+  waitSafetyMargin: number;
+  safetyMargin: number;
+  smoothingBoots: number;
+  backlogBoots: number;
   idleBoots: number;
   bootPatience: number;
   backoffBoots: number;
-  sickJobs: number;
-  sickFailures: number;
-  faultyMachines: number;
-  machineStarts: number;
+  quarantineJobs: number;
+  quarantineFailures: number;
+  failingJobMachines: number;
+  startsPerMachine: number;
 }
 
 /** A class's aims, from the settings' objectives. */
-export interface ClassAims {
+export interface ClassObjectives {
   /** Tasks should start within each of these. */
-  waits: number[];
+  startWithinS: number[];
   /** Jobs should be done within each of these. */
-  finishes: number[];
+  finishWithinS: number[];
   /** Jobs should be done within each of these multiples of their deadline. */
-  deadlines: number[];
+  deadlineMultiples: number[];
 }
 
-export interface Aims {
-  classes: Map<string, ClassAims>;
+export interface ServiceObjectives {
+  classes: Map<string, ClassObjectives>;
   /** Work within its team's guarantee should start within this. */
-  guaranteeS: number | null;
+  guaranteedStartS: number | null;
 }
 
 /** What tasks take of a team's limit or of machines. */
-export interface Use {
+export interface ResourceUsage {
   cpus: number;
   gpus: number;
 }
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -5,7 +5,7 @@
 /** A report with all of a machine's tasks fits well; anything larger is a fault. */
 const MAX_FRAME = 1024 * 1024;
 
-export function frame(value: unknown): Buffer {
+export function packFrame(value: unknown): Buffer {
   const body = encode(value);
   const out = Buffer.allocUnsafe(4 + body.length);
   out.writeUInt32BE(body.length, 0);
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -1,20 +1,20 @@
 import net from 'node:net';
 import type { Address } from '../http/client.js';
-import { decodeFrame, encodeFrame, type Status } from '../records/peer-frames.js';
-import { type Clock, pause } from '../runtime/clock.js';
-import { FrameReader, frame } from './frames.js';
+import { decodeFrame, encodeFrame, type PeerStatus } from '../records/peer-frames.js';
+import { type Clock, sleepUntilAborted } from '../runtime/clock.js';
+import { FrameReader, packFrame } from './frames.js';
 
-export type { Status } from '../records/peer-frames.js';
+export type { PeerStatus } from '../records/peer-frames.js';
 
-export interface PeerOptions {
+export interface PeerNetworkOptions {
   host: string;
   port: number;
   peers: { node: string; address: Address }[];
   clock: Clock;
   /** Redial and connect time-out. */
   retryMs: number;
-  onStatus: (status: Status) => void;
-  onAsk: (op: string, payload: unknown) => Promise<unknown>;
+  onStatus: (status: PeerStatus) => void;
+  onRequest: (op: string, payload: unknown) => Promise<unknown>;
   onError: (error: unknown) => void;
 }
 
@@ -30,11 +30,11 @@
  * Connections between controllers. Each node dials every other one and sends
  * its own questions and status there; answers come back on the same connection.
  */
-export class PeerNet {
+export class PeerNetwork {
   private readonly links = new Map<string, Link>();
   private asked = 0;
 
-  constructor(private readonly options: PeerOptions) {}
+  constructor(private readonly options: PeerNetworkOptions) {}
 
   async run(signal: AbortSignal): Promise<void> {
     const server = net.createServer({ noDelay: true }, (socket) => this.accept(socket, signal));
@@ -51,13 +51,13 @@
   }
 
   /** Sends the status to every peer that is connected. */
-  tell(status: Status): void {
-    const data = frame(encodeFrame({ kind: 'status', status }));
+  broadcast(status: PeerStatus): void {
+    const data = packFrame(encodeFrame({ kind: 'status', status }));
     for (const link of this.links.values()) this.write(link.socket, data);
   }
 
   /** Rejects when the peer is not connected, the connection breaks or the time is over. */
-  ask(node: string, op: string, payload: unknown, timeoutMs: number): Promise<unknown> {
+  request(node: string, op: string, payload: unknown, timeoutMs: number): Promise<unknown> {
     const link = this.links.get(node);
     if (!link) return Promise.reject(new Error(`${node} is not connected`));
     const n = ++this.asked;
@@ -80,7 +80,7 @@
         resolve(answer);
       });
       link.socket.once('close', closed);
-      this.write(link.socket, frame(encodeFrame({ kind: 'ask', n, op, payload })));
+      this.write(link.socket, packFrame(encodeFrame({ kind: 'ask', n, op, payload })));
     });
   }
 
@@ -93,7 +93,7 @@
     const { clock, retryMs } = this.options;
     while (!signal.aborted) {
       await this.session(node, address, signal);
-      await pause(clock, retryMs, signal);
+      await sleepUntilAborted(clock, retryMs, signal);
     }
   }
 
@@ -155,9 +155,9 @@
 
   private async answer(socket: net.Socket, n: number, op: string, payload: unknown): Promise<void> {
     try {
-      const answer = await this.options.onAsk(op, payload);
+      const answer = await this.options.onRequest(op, payload);
       if (!socket.destroyed)
-        this.write(socket, frame(encodeFrame({ kind: 'answer', n, payload: answer })));
+        this.write(socket, packFrame(encodeFrame({ kind: 'answer', n, payload: answer })));
     } catch (error) {
       // The asker's time runs out.
       this.options.onError(error);
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,5 +1,5 @@
 /** The state service's words and shapes. */
-import { isObject, Malformed, PATHS } from './wire.js';
+import { isObject, MalformedMessageError, PATHS } from './wire.js';
 
 export interface Entry {
   key: string;
@@ -23,12 +23,12 @@
 
 function integer(v: unknown, what: string): number {
   if (typeof v !== 'number' || !Number.isSafeInteger(v) || v < 0)
-    throw new Malformed(`${what} must be an integer`);
+    throw new MalformedMessageError(`${what} must be an integer`);
   return v;
 }
 
 function object(v: unknown): Record<string, unknown> {
-  if (!isObject(v)) throw new Malformed('not an object');
+  if (!isObject(v)) throw new MalformedMessageError('not an object');
   return v;
 }
 
@@ -81,13 +81,13 @@
 
 export function parseEntry(body: unknown): Entry {
   const o = object(body);
-  if (typeof o.path !== 'string') throw new Malformed('key');
+  if (typeof o.path !== 'string') throw new MalformedMessageError('key');
   return { key: o.path, value: o.v, version: integer(o.stamp, 'version') };
 }
 
 export function parsePage(body: unknown): { entries: Entry[]; more: boolean; revision: number } {
   const o = object(body);
-  if (!Array.isArray(o.rows)) throw new Malformed('rows');
+  if (!Array.isArray(o.rows)) throw new MalformedMessageError('rows');
   return {
     entries: o.rows.map(parseEntry),
     more: o.hasNext === true,
@@ -104,7 +104,7 @@
       const e = object(v);
       const version = integer(e.stamp, 'version');
       if (typeof e.delete === 'string') return { op: 'delete', key: e.delete, version };
-      if (typeof e.set !== 'string') throw new Malformed('event');
+      if (typeof e.set !== 'string') throw new MalformedMessageError('event');
       return { op: 'put', key: e.set, value: e.v, version };
     }),
   };
--- a/src/protocol/wire.ts
+++ b/src/protocol/wire.ts
@@ -4,20 +4,20 @@
  */
 import {
   type ExitCause,
+  type Heartbeat,
   type JobSpec,
   type ListedMachine,
-  type MachineReport,
   type MachineType,
-  type Order,
-  RANKS,
-  type TaskReport,
+  PRIORITIES,
+  type TaskCommand,
   type TaskState,
+  type TaskStatus,
 } from '../model/model.js';
 
 export const PATHS = {
   jobs: '/v1/jobs',
   health: '/healthz',
-  report: '/agent/beat',
+  heartbeat: '/agent/beat',
   commands: '/do',
   show: '/show',
   types: '/flavors',
@@ -30,13 +30,13 @@
 } as const;
 
 /** What follows a job's id in the path of its cancellation. */
-export const CANCEL = 'withdraw';
-export const JOB_ID = /^req-[0-9]{1,60}$/;
+export const CANCEL_PATH = 'withdraw';
+export const JOB_ID_PATTERN = /^req-[0-9]{1,60}$/;
 const MAX_TASKS = 100_000;
 /** Larger amounts than this are absurd for one task and would drown sums. */
 const MAX_AMOUNT = 1e9;
 
-export class Malformed extends Error {}
+export class MalformedMessageError extends Error {}
 
 type Json = Record<string, unknown>;
 
@@ -47,35 +47,35 @@
 /** A token is the leader's term with, below it, how often that leader has fenced the machine. */
 const FENCES_PER_TERM = 2 ** 20;
 
-export function tokenOf(term: number, fence: number): number {
+export function fencingToken(term: number, fence: number): number {
   return term * FENCES_PER_TERM + Math.min(fence, FENCES_PER_TERM - 1);
 }
 
 function amount(o: Json, field: string, positive = false): number {
   const v = o[field];
   if (typeof v !== 'number' || !Number.isFinite(v) || v < 0 || v > MAX_AMOUNT)
-    throw new Malformed(`${field} must be a number of 0 or more`);
-  if (positive && v <= 0) throw new Malformed(`${field} must be above 0`);
+    throw new MalformedMessageError(`${field} must be a number of 0 or more`);
+  if (positive && v <= 0) throw new MalformedMessageError(`${field} must be above 0`);
   return v;
 }
 
 function text(o: Json, field: string, max = 200): string {
   const v = o[field];
   if (typeof v !== 'string' || v.length === 0 || v.length > max)
-    throw new Malformed(`${field} must be a text of 1 to ${max} characters`);
+    throw new MalformedMessageError(`${field} must be a text of 1 to ${max} characters`);
   return v;
 }
 
 function flag(o: Json, field: string): boolean {
   const v = o[field];
-  if (typeof v !== 'boolean') throw new Malformed(`${field} must be true or false`);
+  if (typeof v !== 'boolean') throw new MalformedMessageError(`${field} must be true or false`);
   return v;
 }
 
 function count(o: Json, field: string, min = 0, max = Number.MAX_SAFE_INTEGER): number {
   const v = o[field];
   if (typeof v !== 'number' || !Number.isSafeInteger(v) || v < min || v > max)
-    throw new Malformed(`${field} must be an integer from ${min} to ${max}`);
+    throw new MalformedMessageError(`${field} must be an integer from ${min} to ${max}`);
   return v;
 }
 
@@ -84,74 +84,74 @@
 }
 
 /** The id of a submission, before anything else of it is judged. */
-export function submissionId(body: unknown): string {
-  if (!isObject(body)) throw new Malformed('not an object');
+export function parseJobId(body: unknown): string {
+  if (!isObject(body)) throw new MalformedMessageError('not an object');
   const id = text(body, 'id');
-  if (!JOB_ID.test(id)) throw new Malformed('id is not in the form req-000412');
+  if (!JOB_ID_PATTERN.test(id)) throw new MalformedMessageError('id is not in the form req-000412');
   return id;
 }
 
 export function parseSubmission(body: unknown): JobSpec {
-  if (!isObject(body)) throw new Malformed('not an object');
-  const id = submissionId(body);
-  if (body.form !== 'array') throw new Malformed('form must be array');
-  const rank = RANKS.indexOf(body.rank as (typeof RANKS)[number]);
-  if (rank < 0) throw new Malformed(`rank must be one of ${RANKS.join(', ')}`);
+  if (!isObject(body)) throw new MalformedMessageError('not an object');
+  const id = parseJobId(body);
+  if (body.form !== 'array') throw new MalformedMessageError('form must be array');
+  const rank = PRIORITIES.indexOf(body.rank as (typeof PRIORITIES)[number]);
+  if (rank < 0) throw new MalformedMessageError(`rank must be one of ${PRIORITIES.join(', ')}`);
   let types: string[] | null = null;
   if (!absent(body.rigs)) {
     if (!Array.isArray(body.rigs) || body.rigs.some((t) => typeof t !== 'string' || t.length > 200))
-      throw new Malformed('rigs must be a list of machine types or null');
+      throw new MalformedMessageError('rigs must be a list of machine types or null');
     types = body.rigs as string[];
   }
   return {
     id,
     jobClass: text(body, 'bracket'),
     team: text(body, 'crew'),
-    rank,
+    priority: rank,
     tasks: count(body, 'hands', 1, MAX_TASKS),
     cpus: amount(body, 'cores'),
     gpus: amount(body, 'accelerators'),
     memoryGb: amount(body, 'memoryGb'),
     image: text(body, 'deck'),
     imageGb: amount(body, 'pullGb'),
-    types,
+    machineTypes: types,
     zone: absent(body.hall) ? null : text(body, 'hall'),
-    oneZone: flag(body, 'oneZone'),
-    spread: flag(body, 'scatter'),
-    spot: flag(body, 'loaner'),
-    estimateS: amount(body, 'expectedS'),
-    checkpointS: amount(body, 'markEveryS'),
-    saveS: amount(body, 'markCostS'),
+    singleZone: flag(body, 'oneZone'),
+    zoneAntiAffinity: flag(body, 'scatter'),
+    allowsSpot: flag(body, 'loaner'),
+    estimatedDurationS: amount(body, 'expectedS'),
+    checkpointIntervalS: amount(body, 'markEveryS'),
+    checkpointCostS: amount(body, 'markCostS'),
     deadlineS: absent(body.dueS) ? null : amount(body, 'dueS'),
   };
 }
 
 /** Jobs that have to be done before this one starts, each once. */
-export function parseUpstream(body: unknown): string[] {
+export function parseDependencies(body: unknown): string[] {
   if (!isObject(body) || absent(body.awaits)) return [];
   const ids = body.awaits;
-  if (!Array.isArray(ids) || ids.some((id) => typeof id !== 'string' || !JOB_ID.test(id)))
-    throw new Malformed('awaits must be a list of job ids');
+  if (!Array.isArray(ids) || ids.some((id) => typeof id !== 'string' || !JOB_ID_PATTERN.test(id)))
+    throw new MalformedMessageError('awaits must be a list of job ids');
   return [...new Set(ids as string[])];
 }
 
-export type Standing = 'queued' | 'running' | 'done' | 'cancelled';
+export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-export function jobAnswer(id: string, standing: Standing, done: number, running: number): Json {
+export function jobStatusBody(id: string, standing: JobState, done: number, running: number): Json {
   return { id, standing, done, running };
 }
 
-export function acceptedAnswer(id: string, standing: Standing): Json {
+export function jobStateBody(id: string, standing: JobState): Json {
   return { id, standing };
 }
 
-const STATES: Record<string, TaskState> = {
+const TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   running: 'running',
   saving: 'saving',
   exited: 'exited',
 };
-const CAUSES: Record<string, ExitCause> = {
+const EXIT_CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
   error: 'error',
@@ -162,16 +162,16 @@
 
 const TASK_NAME = /^(.+)\/(\d{1,6})$/;
 
-function parseTask(v: unknown): TaskReport {
-  if (!isObject(v)) throw new Malformed('task is not an object');
+function parseTaskStatus(v: unknown): TaskStatus {
+  if (!isObject(v)) throw new MalformedMessageError('task is not an object');
   const match = TASK_NAME.exec(text(v, 'hand', 220));
-  if (!match) throw new Malformed('task name');
-  const state = STATES[String(v.standing)];
-  if (!state) throw new Malformed('task state');
+  if (!match) throw new MalformedMessageError('task name');
+  const state = TASK_STATES[String(v.standing)];
+  if (!state) throw new MalformedMessageError('task state');
   // An end for a reason that is not known here is treated as a failed one: it is retried.
-  const cause = state === 'exited' ? (CAUSES[String(v.cause)] ?? 'error') : null;
+  const cause = state === 'exited' ? (EXIT_CAUSES[String(v.cause)] ?? 'error') : null;
   return {
-    job: match[1] as string,
+    jobId: match[1] as string,
     index: Number(match[2]),
     attempt: count(v, 'try'),
     state,
@@ -180,38 +180,38 @@
   };
 }
 
-export function parseReport(body: unknown): MachineReport {
-  if (!isObject(body)) throw new Malformed('not an object');
-  if (!Array.isArray(body.hands)) throw new Malformed('hands must be a list');
+export function parseHeartbeat(body: unknown): Heartbeat {
+  if (!isObject(body)) throw new MalformedMessageError('not an object');
+  if (!Array.isArray(body.hands)) throw new MalformedMessageError('hands must be a list');
   const token = count(body, 'baton');
   return {
-    machine: text(body, 'cart'),
+    machineId: text(body, 'cart'),
     address: text(body, 'endpoint'),
     type: text(body, 'rig'),
     zone: text(body, 'hall'),
     spot: flag(body, 'loaner'),
-    session: count(body, 'shift'),
-    seq: count(body, 'tally'),
+    agentEpoch: count(body, 'shift'),
+    sequence: count(body, 'tally'),
     term: Math.floor(token / FENCES_PER_TERM),
     fence: token % FENCES_PER_TERM,
-    noticeS: absent(body.recallS) ? null : amount(body, 'recallS'),
-    tasks: body.hands.map(parseTask),
+    preemptionNoticeS: absent(body.recallS) ? null : amount(body, 'recallS'),
+    tasks: body.hands.map(parseTaskStatus),
   };
 }
 
-function encodeOrder(order: Order): Json {
+function encodeCommand(order: TaskCommand): Json {
   const base = { hand: `${order.job}/${order.index}`, try: order.attempt };
   if (order.op === 'start') return { verb: 'run', ...base };
   if (order.op === 'stop') return { verb: 'kill', ...base, windDownS: order.graceS };
   return { verb: 'forget', ...base };
 }
 
-export function reportAnswer(token: number, orders: Order[]): Json {
-  return { baton: token, orders: orders.map(encodeOrder) };
+export function heartbeatResponseBody(token: number, orders: TaskCommand[]): Json {
+  return { baton: token, orders: orders.map(encodeCommand) };
 }
 
 /** An answer to a report without the last of its orders, as far as it takes to fit the bytes. */
-export function fitOrders(answer: unknown, maxBytes: number): unknown {
+export function truncateCommands(answer: unknown, maxBytes: number): unknown {
   if (!isObject(answer) || !Array.isArray(answer.orders)) return answer;
   const orders: unknown[] = [];
   let left = maxBytes - Buffer.byteLength(JSON.stringify({ ...answer, orders }));
@@ -223,30 +223,30 @@
   return { ...answer, orders };
 }
 
-export function notLeaderAnswer(leader: string | null): Json {
+export function redirectBody(leader: string | null): Json {
   return leader === null ? {} : { steward: leader };
 }
 
-export function commandsBody(token: number, session: number, orders: Order[]): Json {
-  return { baton: token, shift: session, orders: orders.map(encodeOrder) };
+export function commandsBody(token: number, session: number, orders: TaskCommand[]): Json {
+  return { baton: token, shift: session, orders: orders.map(encodeCommand) };
 }
 
 function list(body: unknown, field: string): unknown[] {
   const v = isObject(body) ? body[field] : undefined;
-  if (!Array.isArray(v)) throw new Malformed(`${field} must be a list`);
+  if (!Array.isArray(v)) throw new MalformedMessageError(`${field} must be a list`);
   return v;
 }
 
-export function parseTypes(body: unknown): MachineType[] {
+export function parseMachineTypes(body: unknown): MachineType[] {
   return list(body, 'rigs').map((v) => {
-    if (!isObject(v)) throw new Malformed('machine type is not an object');
+    if (!isObject(v)) throw new MalformedMessageError('machine type is not an object');
     return {
       name: text(v, 'sku'),
       cpus: amount(v, 'cores'),
       gpus: absent(v.accelerators) ? 0 : amount(v, 'accelerators'),
       memoryGb: amount(v, 'memoryGb'),
-      cacheGb: amount(v, 'cacheGb'),
-      fetchGbPerS: amount(v, 'pullGbPerS', true),
+      imageCacheGb: amount(v, 'cacheGb'),
+      imagePullGbPerS: amount(v, 'pullGbPerS', true),
       price: amount(v, 'rate'),
       spotPrice: absent(v.spotPrice) ? amount(v, 'rate') : amount(v, 'spotPrice'),
       bootS: amount(v, 'readyS'),
@@ -257,10 +257,10 @@
 
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const machines = list(body, 'carts').map((v): ListedMachine => {
-    if (!isObject(v)) throw new Malformed('machine is not an object');
+    if (!isObject(v)) throw new MalformedMessageError('machine is not an object');
     const state = v.standing;
     if (state !== 'booting' && state !== 'running' && state !== 'failed')
-      throw new Malformed('machine state');
+      throw new MalformedMessageError('machine state');
     return {
       id: text(v, 'id'),
       address: typeof v.endpoint === 'string' ? v.endpoint : '',
@@ -279,7 +279,7 @@
   return `${PATHS.machines}?${from}limit=${limit}`;
 }
 
-export interface RentRequest {
+export interface ProvisionRequest {
   name: string;
   type: string;
   zone: string;
@@ -287,14 +287,14 @@
   count: number;
 }
 
-export function rentBody(r: RentRequest): Json {
+export function provisionBody(r: ProvisionRequest): Json {
   return { hire: r.name, rig: r.type, hall: r.zone, loaner: r.spot, count: r.count };
 }
 
-export function parseRented(body: unknown): string[] {
+export function parseProvisioned(body: unknown): string[] {
   return list(body, 'carts').filter((v): v is string => typeof v === 'string');
 }
 
-export function returnBody(machines: string[]): Json {
+export function terminationBody(machines: string[]): Json {
   return { carts: machines };
 }
--- a/src/records/bitmap-layout.ts
+++ b/src/records/bitmap-layout.ts
@@ -1,4 +1,4 @@
-import { BITS_PREFIX } from './keys.js';
+import { BITMAP_PREFIX } from './keys.js';
 
 /**
  * Where a job's finished tasks stand in the state service: a bit for each
@@ -35,7 +35,7 @@
   key(job: string, chunk: number): string {
     const first = chunk * this.tasksPerChunk;
     const number = String(first / this.earlierChunk).padStart(NUMBER_WIDTH, '0');
-    return `${BITS_PREFIX}${job}/${number}/${first}`;
+    return `${BITMAP_PREFIX}${job}/${number}/${first}`;
   }
 
   chunkOf(task: number): number {
@@ -44,8 +44,8 @@
 
   /** What a key holds; null when it is no key of a bitmap. */
   parse(key: string): ChunkKey | null {
-    if (!key.startsWith(BITS_PREFIX)) return null;
-    const [job, number, first] = key.slice(BITS_PREFIX.length).split('/');
+    if (!key.startsWith(BITMAP_PREFIX)) return null;
+    const [job, number, first] = key.slice(BITMAP_PREFIX.length).split('/');
     if (!job || number === undefined) return null;
     const firstTask = first === undefined ? Number(number) * this.earlierChunk : Number(first);
     if (!Number.isSafeInteger(firstTask) || firstTask < 0) return null;
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -1,5 +1,5 @@
 import { isObject } from '../protocol/wire.js';
-import type { Load } from '../scheduler/scaling/scale-out.js';
+import type { DemandForecast } from '../scheduler/scaling/scale-out.js';
 import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from './job-record.js';
 import { mapObject, overForm, rememberForm } from './stored-form.js';
 
@@ -10,19 +10,19 @@
  */
 
 /** What one task takes on average. */
-export interface StoredTaskShape {
+export interface StoredResourceRequest {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
 /** What is expected of one kind of work. */
-export interface StoredLoad {
+export interface StoredForecast {
   /** The last job of this kind. */
   spec: StoredJobSpec;
   mean: number;
   variance: number;
-  shape: StoredTaskShape;
+  shape: StoredResourceRequest;
   /** Earlier versions don't write it. */
   holdS?: number;
   gapMs: number | null;
@@ -31,7 +31,7 @@
 
 /** `loads`. Earlier versions write and read this page alone, without `more`. */
 export interface StoredFirstPage {
-  loads: StoredLoad[];
+  loads: StoredForecast[];
   /** The version of the newest job that is counted in it. */
   upTo: number;
   /** Further pages. */
@@ -40,11 +40,15 @@
 
 /** `loads/<page>`, from 1 on. */
 export interface StoredFurtherPage {
-  loads: StoredLoad[];
+  loads: StoredForecast[];
 }
 
-const SHAPE_FIELDS: readonly (keyof StoredTaskShape)[] = ['cpus', 'gpus', 'memoryGb'];
-const LOAD_FIELDS: readonly (keyof StoredLoad)[] = [
+const RESOURCE_REQUEST_FIELDS: readonly (keyof StoredResourceRequest)[] = [
+  'cpus',
+  'gpus',
+  'memoryGb',
+];
+const FORECAST_FIELDS: readonly (keyof StoredForecast)[] = [
   'spec',
   'mean',
   'variance',
@@ -54,68 +58,72 @@
   'quietMs',
 ];
 
-function encodeShape(shape: Load['shape']): StoredTaskShape {
+function encodeResourceRequest(shape: DemandForecast['meanRequest']): StoredResourceRequest {
   return overForm(shape, { cpus: shape.cpus, gpus: shape.gpus, memoryGb: shape.memoryGb });
 }
 
-function decodeShape(stored: StoredTaskShape): Load['shape'] {
-  const shape: Load['shape'] = {
+function decodeResourceRequest(stored: StoredResourceRequest): DemandForecast['meanRequest'] {
+  const shape: DemandForecast['meanRequest'] = {
     cpus: stored.cpus,
     gpus: stored.gpus,
     memoryGb: stored.memoryGb,
   };
-  rememberForm(shape, stored, SHAPE_FIELDS);
+  rememberForm(shape, stored, RESOURCE_REQUEST_FIELDS);
   return shape;
 }
 
-export function encodeLoad(load: Load): StoredLoad {
+export function encodeForecast(load: DemandForecast): StoredForecast {
   return overForm(load, {
     spec: mapObject(load.spec, encodeJobSpec),
     mean: load.mean,
     variance: load.variance,
-    shape: mapObject(load.shape, encodeShape),
-    holdS: load.holdS,
-    gapMs: load.gapMs,
-    quietMs: load.quietMs,
+    shape: mapObject(load.meanRequest, encodeResourceRequest),
+    holdS: load.occupancyS,
+    gapMs: load.arrivalIntervalMs,
+    quietMs: load.sinceLastArrivalMs,
   });
 }
 
 /** Null: it is no object. A load of an earlier version has no `holdS`, which its reader has to give it. */
-export function decodeLoad(value: unknown): Load | null {
+export function decodeForecast(value: unknown): DemandForecast | null {
   if (!isObject(value)) return null;
-  const stored = value as unknown as StoredLoad;
-  const load: Load = {
+  const stored = value as unknown as StoredForecast;
+  const load: DemandForecast = {
     spec: mapObject(stored.spec, decodeJobSpec),
     mean: stored.mean,
     variance: stored.variance,
-    shape: mapObject(stored.shape, decodeShape),
-    holdS: stored.holdS as number,
-    gapMs: stored.gapMs,
-    quietMs: stored.quietMs,
+    meanRequest: mapObject(stored.shape, decodeResourceRequest),
+    occupancyS: stored.holdS as number,
+    arrivalIntervalMs: stored.gapMs,
+    sinceLastArrivalMs: stored.quietMs,
   };
-  rememberForm(load, value, LOAD_FIELDS);
+  rememberForm(load, value, FORECAST_FIELDS);
   return load;
 }
 
-export function encodeFirstPage(loads: StoredLoad[], upTo: number, more: number): StoredFirstPage {
+export function encodeFirstPage(
+  loads: StoredForecast[],
+  upTo: number,
+  more: number,
+): StoredFirstPage {
   return { loads, upTo, more };
 }
 
-export function encodeFurtherPage(loads: StoredLoad[]): StoredFurtherPage {
+export function encodeFurtherPage(loads: StoredForecast[]): StoredFurtherPage {
   return { loads };
 }
 
 /** The loads of a page; null: it is none. */
-export function decodeLoads(value: unknown): Load[] | null {
+export function decodeForecasts(value: unknown): DemandForecast[] | null {
   if (!isObject(value) || !Array.isArray(value.loads)) return null;
-  return value.loads.map((load) => mapObject(load, decodeLoad));
+  return value.loads.map((load) => mapObject(load, decodeForecast));
 }
 
 /** The first page: its loads, what is counted in them and how many further pages there are; null: it is none. */
 export function decodeFirstPage(
   value: unknown,
-): { loads: Load[]; upTo: number; more: number } | null {
-  const loads = decodeLoads(value);
+): { loads: DemandForecast[]; upTo: number; more: number } | null {
+  const loads = decodeForecasts(value);
   if (!loads) return null;
   const { upTo, more = 0 } = value as StoredFirstPage;
   return { loads, upTo, more };
--- a/src/records/dependency-list-record.ts
+++ b/src/records/dependency-list-record.ts
@@ -10,34 +10,36 @@
  */
 
 /** The header of a list. While it is being removed, no page may be added and no record may name it. */
-export interface ListHeader {
+export interface DependencyListHeader {
   pages: number;
   removing?: boolean;
 }
 
 /** The header as its key holds it; `removing` is absent until the list is being removed. */
-export interface StoredListHeader {
+export interface StoredDependencyListHeader {
   pages: number;
   removing?: boolean;
 }
 
 /** Null: it is no object. */
-export function decodeListHeader(value: unknown): ListHeader | null {
+export function decodeDependencyListHeader(value: unknown): DependencyListHeader | null {
   if (!isObject(value)) return null;
-  const stored = value as unknown as StoredListHeader;
-  const header: ListHeader = { pages: stored.pages };
+  const stored = value as unknown as StoredDependencyListHeader;
+  const header: DependencyListHeader = { pages: stored.pages };
   if (stored.removing !== undefined) header.removing = stored.removing;
   rememberForm(header, value, ['pages']);
   return header;
 }
 
 /** The header of a list of this many pages that is to be written. */
-export function encodeListHeader(header: ListHeader): StoredListHeader {
+export function encodeDependencyListHeader(
+  header: DependencyListHeader,
+): StoredDependencyListHeader {
   return { pages: header.pages };
 }
 
 /** The same header once its list is being removed. */
-export function encodeRemoval(header: ListHeader): StoredListHeader {
+export function encodeRemoval(header: DependencyListHeader): StoredDependencyListHeader {
   return overForm(header, { pages: header.pages, removing: true });
 }
 
--- a/src/records/job-end-record.ts
+++ b/src/records/job-end-record.ts
@@ -8,7 +8,7 @@
  */
 
 /** An ended job. */
-export interface OverRecord {
+export interface EndedJobRecord {
   state: JobEnd['state'];
   tasks: number;
   /** Time of day of the end. Cancellations have none, and ends of earlier versions neither. */
@@ -30,10 +30,10 @@
 }
 
 /** Null: it is no object. */
-export function decodeJobEnd(value: unknown): OverRecord | null {
+export function decodeJobEnd(value: unknown): EndedJobRecord | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredJobEnd;
-  const record: OverRecord = { state: stored.state, tasks: stored.tasks };
+  const record: EndedJobRecord = { state: stored.state, tasks: stored.tasks };
   if (stored.at !== undefined) record.at = stored.at;
   return record;
 }
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -59,21 +59,21 @@
     id: spec.id,
     jobClass: spec.jobClass,
     team: spec.team,
-    rank: spec.rank,
+    rank: spec.priority,
     tasks: spec.tasks,
     cpus: spec.cpus,
     gpus: spec.gpus,
     memoryGb: spec.memoryGb,
     image: spec.image,
     imageGb: spec.imageGb,
-    types: spec.types,
+    types: spec.machineTypes,
     zone: spec.zone,
-    oneZone: spec.oneZone,
-    spread: spec.spread,
-    spot: spec.spot,
-    estimateS: spec.estimateS,
-    checkpointS: spec.checkpointS,
-    saveS: spec.saveS,
+    oneZone: spec.singleZone,
+    spread: spec.zoneAntiAffinity,
+    spot: spec.allowsSpot,
+    estimateS: spec.estimatedDurationS,
+    checkpointS: spec.checkpointIntervalS,
+    saveS: spec.checkpointCostS,
     deadlineS: spec.deadlineS,
   });
 }
@@ -86,21 +86,21 @@
     id: stored.id,
     jobClass: stored.jobClass,
     team: stored.team,
-    rank: stored.rank,
+    priority: stored.rank,
     tasks: stored.tasks,
     cpus: stored.cpus,
     gpus: stored.gpus,
     memoryGb: stored.memoryGb,
     image: stored.image,
     imageGb: stored.imageGb,
-    types: stored.types,
+    machineTypes: stored.types,
     zone: stored.zone,
-    oneZone: stored.oneZone,
-    spread: stored.spread,
-    spot: stored.spot,
-    estimateS: stored.estimateS,
-    checkpointS: stored.checkpointS,
-    saveS: stored.saveS,
+    singleZone: stored.oneZone,
+    zoneAntiAffinity: stored.spread,
+    allowsSpot: stored.spot,
+    estimatedDurationS: stored.estimateS,
+    checkpointIntervalS: stored.checkpointS,
+    checkpointCostS: stored.saveS,
     deadlineS: stored.deadlineS,
   };
   rememberForm(spec, value, JOB_SPEC_FIELDS);
@@ -108,41 +108,41 @@
 }
 
 /** Where a job's record says that its list of upstream jobs stands. */
-export interface UpstreamListRef {
+export interface DependencyListRef {
   /** Names the content, so that a repeated submission of the same list continues the first one. */
   token: string;
   pages: number;
 }
 
 /** The same as it is stored. */
-export interface StoredUpstreamListRef {
+export interface StoredDependencyListRef {
   token: string;
   pages: number;
 }
 
-function encodeListRef(ref: UpstreamListRef): StoredUpstreamListRef {
+function encodeDependencyListRef(ref: DependencyListRef): StoredDependencyListRef {
   return { token: ref.token, pages: ref.pages };
 }
 
-function decodeListRef(stored: StoredUpstreamListRef): UpstreamListRef {
+function decodeDependencyListRef(stored: StoredDependencyListRef): DependencyListRef {
   return { token: stored.token, pages: stored.pages };
 }
 
 /** An accepted job. */
-export interface LiveRecord {
+export interface LiveJobRecord {
   spec: JobSpec;
   /** Time of day of its acceptance. */
-  at: number;
+  acceptedAt: number;
   /** Jobs that it needs and that were not done when it was accepted. */
-  upstream?: string[];
+  dependencies?: string[];
   /** Further ids of such jobs stand in this many pages, written together with the record. */
-  upstreamPages?: number;
+  dependencyPages?: number;
   /**
    * All ids of such jobs stand in a list that was written before the record.
    * `upstream` then holds a name that no job has: a version that does not know
    * of lists waits for it, so that it starts nothing too early.
    */
-  upstreamList?: UpstreamListRef;
+  dependencyList?: DependencyListRef;
 }
 
 /**
@@ -154,25 +154,29 @@
   at: number;
   upstream?: string[];
   upstreamPages?: number;
-  upstreamList?: StoredUpstreamListRef;
+  upstreamList?: StoredDependencyListRef;
 }
 
-export function encodeLiveRecord(record: LiveRecord): StoredLiveJob {
-  const stored: StoredLiveJob = { spec: encodeJobSpec(record.spec), at: record.at };
-  if (record.upstream !== undefined) stored.upstream = record.upstream;
-  if (record.upstreamPages !== undefined) stored.upstreamPages = record.upstreamPages;
-  if (record.upstreamList !== undefined) stored.upstreamList = encodeListRef(record.upstreamList);
+export function encodeLiveJob(record: LiveJobRecord): StoredLiveJob {
+  const stored: StoredLiveJob = { spec: encodeJobSpec(record.spec), at: record.acceptedAt };
+  if (record.dependencies !== undefined) stored.upstream = record.dependencies;
+  if (record.dependencyPages !== undefined) stored.upstreamPages = record.dependencyPages;
+  if (record.dependencyList !== undefined)
+    stored.upstreamList = encodeDependencyListRef(record.dependencyList);
   return stored;
 }
 
 /** Null: it is no object. Whether it has a description is for the reader to see. */
-export function decodeLiveRecord(value: unknown): LiveRecord | null {
+export function decodeLiveJob(value: unknown): LiveJobRecord | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredLiveJob;
-  const record: LiveRecord = { spec: mapObject(stored.spec, decodeJobSpec), at: stored.at };
-  if (stored.upstream !== undefined) record.upstream = stored.upstream;
-  if (stored.upstreamPages !== undefined) record.upstreamPages = stored.upstreamPages;
+  const record: LiveJobRecord = {
+    spec: mapObject(stored.spec, decodeJobSpec),
+    acceptedAt: stored.at,
+  };
+  if (stored.upstream !== undefined) record.dependencies = stored.upstream;
+  if (stored.upstreamPages !== undefined) record.dependencyPages = stored.upstreamPages;
   if (stored.upstreamList !== undefined)
-    record.upstreamList = mapObject(stored.upstreamList, decodeListRef);
+    record.dependencyList = mapObject(stored.upstreamList, decodeDependencyListRef);
   return record;
 }
--- a/src/records/keys.ts
+++ b/src/records/keys.ts
@@ -1,20 +1,21 @@
 /** Names of the keys in the state service that hold jobs and machines. */
 
-export const LIVE_PREFIX = 'live/';
-export const UPSTREAM_PREFIX = 'upstream/';
-export const BITS_PREFIX = 'bits/';
+export const LIVE_JOB_PREFIX = 'live/';
+export const DEPENDENCY_PAGE_PREFIX = 'upstream/';
+export const BITMAP_PREFIX = 'bits/';
 export const ROSTER_PREFIX = 'roster/';
 
 /** The accepted job. */
-export const liveKey = (id: string) => `${LIVE_PREFIX}${id}`;
+export const liveJobKey = (id: string) => `${LIVE_JOB_PREFIX}${id}`;
 
-export const OVER_PREFIX = 'over/';
+export const ENDED_JOB_PREFIX = 'over/';
 
 /** The end of a job. */
-export const overKey = (id: string) => `${OVER_PREFIX}${id}`;
+export const endedJobKey = (id: string) => `${ENDED_JOB_PREFIX}${id}`;
 
 /** A page of what a job needs, where its record has no room for all of it. */
-export const upstreamKey = (id: string, page: number) => `${UPSTREAM_PREFIX}${id}/${page}`;
+export const dependencyPageKey = (id: string, page: number) =>
+  `${DEPENDENCY_PAGE_PREFIX}${id}/${page}`;
 
 /** Headers of lists of upstream jobs that are too long for one transaction. */
 export const LIST_HEADER_PREFIX = 'lists/';
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -6,7 +6,7 @@
  * a lease. Any node writes and reads them; nothing is kept beyond seconds.
  */
 
-export interface MailQuestion {
+export interface MailboxRequest {
   kind: 'ask';
   /** Numbers the asker's questions. */
   n: number;
@@ -16,7 +16,7 @@
   text: string;
 }
 
-export interface MailAnswer {
+export interface MailboxResponse {
   kind: 'answer';
   /** Number and incarnation of the question. */
   n: number;
@@ -25,7 +25,7 @@
   value: unknown;
 }
 
-export interface StoredMailQuestion {
+export interface StoredMailboxRequest {
   kind: 'ask';
   n: number;
   from: string;
@@ -33,16 +33,16 @@
   text: string;
 }
 
-export interface StoredMailAnswer {
+export interface StoredMailboxResponse {
   kind: 'answer';
   n: number;
   incarnation: string;
   value: unknown;
 }
 
-export type StoredMail = StoredMailQuestion | StoredMailAnswer;
+export type StoredMailboxMessage = StoredMailboxRequest | StoredMailboxResponse;
 
-export function encodeMailQuestion(question: MailQuestion): StoredMailQuestion {
+export function encodeMailboxRequest(question: MailboxRequest): StoredMailboxRequest {
   return {
     kind: 'ask',
     n: question.n,
@@ -52,7 +52,7 @@
   };
 }
 
-export function encodeMailAnswer(answer: MailAnswer): StoredMailAnswer {
+export function encodeMailboxResponse(answer: MailboxResponse): StoredMailboxResponse {
   return {
     kind: 'answer',
     n: answer.n,
@@ -62,9 +62,9 @@
 }
 
 /** Null: it is neither a question with a text nor an answer. */
-export function decodeMail(value: unknown): MailQuestion | MailAnswer | null {
+export function decodeMailboxMessage(value: unknown): MailboxRequest | MailboxResponse | null {
   if (!isObject(value)) return null;
-  const stored = value as unknown as StoredMail;
+  const stored = value as unknown as StoredMailboxMessage;
   if (stored.kind === 'answer')
     return {
       kind: 'answer',
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -7,7 +7,7 @@
  */
 
 /** What one controller tells the others about itself, again and again. */
-export interface Status {
+export interface PeerStatus {
   node: string;
   incarnation: string;
   /** Time of day at which it was sent: a cut may hold it back. */
@@ -24,7 +24,7 @@
 }
 
 /** A status as it is sent. Earlier versions send no `memoryShort`. */
-export interface SentStatus {
+export interface SentPeerStatus {
   node: string;
   incarnation: string;
   sentAt: number;
@@ -35,18 +35,18 @@
   counts: [job: string, done: number, running: number][];
 }
 
-export type Frame =
-  | { kind: 'status'; status: Status }
+export type PeerFrame =
+  | { kind: 'status'; status: PeerStatus }
   | { kind: 'ask'; n: number; op: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
 /** A frame as it is sent. What `payload` holds is in peer-questions. */
-export type SentFrame =
-  | { kind: 'status'; status: SentStatus }
+export type SentPeerFrame =
+  | { kind: 'status'; status: SentPeerStatus }
   | { kind: 'ask'; n: number; op: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
-function encodeStatus(status: Status): SentStatus {
+function encodeStatus(status: PeerStatus): SentPeerStatus {
   // A field without a value would be sent: in CBOR it is not the same as none.
   return {
     node: status.node,
@@ -60,8 +60,8 @@
   };
 }
 
-function decodeStatus(sent: SentStatus): Status {
-  const status: Status = {
+function decodeStatus(sent: SentPeerStatus): PeerStatus {
+  const status: PeerStatus = {
     node: sent.node,
     incarnation: sent.incarnation,
     sentAt: sent.sentAt,
@@ -74,7 +74,7 @@
   return status;
 }
 
-export function encodeFrame(frame: Frame): SentFrame {
+export function encodeFrame(frame: PeerFrame): SentPeerFrame {
   switch (frame.kind) {
     case 'status':
       return { kind: 'status', status: encodeStatus(frame.status) };
@@ -86,9 +86,9 @@
 }
 
 /** Null: it is no frame that this version knows. Whether a status is believed is for its reader to see. */
-export function decodeFrame(value: unknown): Frame | null {
+export function decodeFrame(value: unknown): PeerFrame | null {
   if (!isObject(value)) return null;
-  const sent = value as unknown as SentFrame;
+  const sent = value as unknown as SentPeerFrame;
   switch (sent.kind) {
     case 'status':
       return isObject(sent.status) ? { kind: 'status', status: decodeStatus(sent.status) } : null;
--- a/src/records/peer-requests.ts
+++ b/src/records/peer-requests.ts
@@ -9,25 +9,25 @@
  */
 
 /** A user's request that is passed on. */
-export interface PassedRequest {
+export interface ForwardedRequest {
   method: string;
   target: string;
   body: Uint8Array;
 }
 
-export interface SentRequest {
+export interface SentForwardedRequest {
   method: string;
   target: string;
   body: Uint8Array;
 }
 
 /** A cancellation that is durable since this revision. */
-export interface CancellationNews {
+export interface CancellationNotice {
   job: string;
   revision: number;
 }
 
-export interface SentCancellation {
+export interface SentCancellationNotice {
   job: string;
   revision: number;
 }
@@ -39,25 +39,25 @@
   retryAfterS?: number;
 }
 
-export function encodeRequest(request: PassedRequest): SentRequest {
+export function encodeRequest(request: ForwardedRequest): SentForwardedRequest {
   return { method: request.method, target: request.target, body: request.body };
 }
 
 /** Null: it is no object. */
-export function decodeRequest(value: unknown): PassedRequest | null {
+export function decodeRequest(value: unknown): ForwardedRequest | null {
   if (!isObject(value)) return null;
-  const sent = value as unknown as SentRequest;
+  const sent = value as unknown as SentForwardedRequest;
   return { method: sent.method, target: sent.target, body: sent.body };
 }
 
-export function encodeCancellation(news: CancellationNews): SentCancellation {
+export function encodeCancellation(news: CancellationNotice): SentCancellationNotice {
   return { job: news.job, revision: news.revision };
 }
 
 /** Null: it is no object. */
-export function decodeCancellation(value: unknown): CancellationNews | null {
+export function decodeCancellation(value: unknown): CancellationNotice | null {
   if (!isObject(value)) return null;
-  const sent = value as unknown as SentCancellation;
+  const sent = value as unknown as SentCancellationNotice;
   return { job: sent.job, revision: sent.revision };
 }
 
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -8,17 +8,17 @@
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-export class Stopped extends Error {}
+export class AbortedError extends Error {}
 
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
   sleep(ms, signal) {
     return new Promise((resolve, reject) => {
-      if (signal?.aborted) return reject(new Stopped());
+      if (signal?.aborted) return reject(new AbortedError());
       const stop = () => {
         clearTimeout(timer);
-        reject(new Stopped());
+        reject(new AbortedError());
       };
       const timer = setTimeout(() => {
         signal?.removeEventListener('abort', stop);
@@ -30,11 +30,15 @@
 };
 
 /** A wait that just ends when the signal does. */
-export async function pause(clock: Clock, ms: number, signal: AbortSignal): Promise<void> {
+export async function sleepUntilAborted(
+  clock: Clock,
+  ms: number,
+  signal: AbortSignal,
+): Promise<void> {
   try {
     await clock.sleep(ms, signal);
   } catch (error) {
-    if (!(error instanceof Stopped)) throw error;
+    if (!(error instanceof AbortedError)) throw error;
   }
 }
 
@@ -45,7 +49,7 @@
  * choosing would only make them try elsewhere and come back.
  * It is not put off for longer than `mostMs`.
  */
-export async function inTime(
+export async function waitWhileLagging(
   clock: Clock,
   stepMs: number,
   mostMs: number,
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -4,16 +4,16 @@
  * leads must not be what keeps anybody from leading. Questions come after the
  * ends of jobs, which are what stops them.
  */
-export const Priority = { lead: 0, users: 1, ends: 2, questions: 3, progress: 4 } as const;
-export type Priority = (typeof Priority)[keyof typeof Priority];
+export const RequestPriority = { lead: 0, users: 1, ends: 2, questions: 3, progress: 4 } as const;
+export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
 /**
  * A token bucket that also remembers refusals: a 429 empties it. Lower
  * priorities leave a reserve for higher ones.
  */
-export class Budget {
+export class RequestBudget {
   private tokens: number;
-  private last: number;
+  private refilledAt: number;
 
   constructor(
     private perSecond: number,
@@ -21,16 +21,16 @@
     now: number,
   ) {
     this.tokens = burst;
-    this.last = now;
+    this.refilledAt = now;
   }
 
   /** Milliseconds to wait before `count` may be spent; 0 means they were spent. */
-  take(count: number, priority: Priority, now: number): number {
+  take(count: number, priority: RequestPriority, now: number): number {
     this.refill(now);
     const reserve = Math.min(this.burst * 0.5, this.burst * 0.15 * priority);
     // A transaction larger than the burst could never pass; it runs the bucket into debt instead.
     const need = Math.min(count, this.burst - reserve) + reserve;
-    if (this.tokens >= need || priority === Priority.lead) {
+    if (this.tokens >= need || priority === RequestPriority.lead) {
       this.tokens -= count;
       return 0;
     }
@@ -38,14 +38,14 @@
   }
 
   /** From now on no more than this, the reserves with it. */
-  lower(perSecond: number, now: number): void {
+  lowerRate(perSecond: number, now: number): void {
     this.refill(now);
     this.burst = Math.min(this.burst, perSecond);
     this.perSecond = Math.min(this.perSecond, perSecond);
     this.tokens = Math.min(this.tokens, this.burst);
   }
 
-  refused(now: number): void {
+  recordRefusal(now: number): void {
     this.refill(now);
     this.tokens = Math.min(this.tokens, 0);
   }
@@ -53,8 +53,8 @@
   private refill(now: number): void {
     this.tokens = Math.min(
       this.burst,
-      this.tokens + (Math.max(0, now - this.last) * this.perSecond) / 1000,
+      this.tokens + (Math.max(0, now - this.refilledAt) * this.perSecond) / 1000,
     );
-    this.last = now;
+    this.refilledAt = now;
   }
 }
--- a/src/scheduler/persistence/durable-writes.ts
+++ b/src/scheduler/persistence/durable-writes.ts
@@ -1,16 +1,16 @@
 import type { Change, Condition } from '../../protocol/store.js';
 import { encodeFinishedTasks } from '../../records/finished-tasks-record.js';
 import { encodeJobEnd } from '../../records/job-end-record.js';
-import { liveKey, overKey, rosterKey } from '../../records/keys.js';
+import { endedJobKey, liveJobKey, rosterKey } from '../../records/keys.js';
 import { encodeRosterPage } from '../../records/roster-record.js';
-import type { Cluster } from '../state/cluster-state.js';
+import type { ClusterState } from '../state/cluster-state.js';
 import type { JobEnd } from '../state/dependency-graph.js';
 import type { Job } from '../state/job.js';
-import type { Binding, Machine } from '../state/machine.js';
+import type { Machine, TaskAttempt } from '../state/machine.js';
 import type { PageWrite, RosterEntry } from './roster.js';
 
 /** A piece of durable work; several share a transaction. */
-export interface Unit {
+export interface DurableWrite {
   conditions: Condition[];
   changes: Change[];
   /** Rough bytes in the transaction. */
@@ -22,67 +22,72 @@
   retry(sent: boolean): void;
 }
 
-export interface FlushLimits {
+export interface WriteBudget {
   /** Changes that progress and cleaning may cost now; ends and the roster always go. */
-  spare: number;
+  progressChanges: number;
   /** Time of day, for the records of ends. */
   wallNow: number;
 }
 
 /** What stands to be written, the most pressing first. */
-export function flushUnits(cluster: Cluster, limits: FlushLimits): Unit[] {
-  const units: Unit[] = [];
-  const entries = [...cluster.rosterPuts].map(rosterEntry);
-  for (const m of cluster.rosterPuts) m.rostering = true;
-  cluster.rosterPuts.clear();
-  for (const w of cluster.roster.add(entries)) units.push(pageUnit(cluster, w));
-  let spare = limits.spare;
-  const needed: Unit[] = [];
-  const ends: Unit[] = [];
-  const partial: Unit[] = [];
+export function pendingWrites(cluster: ClusterState, limits: WriteBudget): DurableWrite[] {
+  const units: DurableWrite[] = [];
+  const entries = [...cluster.pendingRosterAdds].map(rosterEntry);
+  for (const m of cluster.pendingRosterAdds) m.rosterWritePending = true;
+  cluster.pendingRosterAdds.clear();
+  for (const w of cluster.roster.add(entries)) units.push(rosterPageWrite(cluster, w));
+  let spare = limits.progressChanges;
+  const needed: DurableWrite[] = [];
+  const ends: DurableWrite[] = [];
+  const partial: DurableWrite[] = [];
   for (const job of cluster.jobs.values()) {
-    if (job.upstreamCancelled) {
-      ends.push(cancelledUnit(cluster, job));
+    if (job.dependencyCancelled) {
+      ends.push(cascadeWrite(cluster, job));
       continue;
     }
-    if (job.complete) {
+    if (job.isComplete) {
       // Those that others wait for go first.
-      const list = cluster.graph.isNeeded(job.spec.id) ? needed : ends;
-      list.push(doneUnit(cluster, job, limits.wallNow));
+      const list = cluster.dependencies.hasDependents(job.spec.id) ? needed : ends;
+      list.push(completionWrite(cluster, job, limits.wallNow));
       continue;
     }
     spare = addProgress(cluster, job, spare, partial);
   }
   units.push(...needed, ...ends, ...partial);
-  for (const w of cluster.roster.clean(spare)) {
+  for (const w of cluster.roster.rewriteStalePages(spare)) {
     spare--;
-    units.push(pageUnit(cluster, w));
+    units.push(rosterPageWrite(cluster, w));
   }
-  for (const key of cluster.cleanup) {
+  for (const key of cluster.obsoleteKeys) {
     if (spare < 1) break;
     spare--;
-    units.push(deletion(key, () => cluster.cleanup.delete(key)));
+    units.push(deleteWrite(key, () => cluster.obsoleteKeys.delete(key)));
   }
   return units;
 }
 
 /** Adds the job's changed chunks as long as changes are to spare; returns how many are left. */
-function addProgress(cluster: Cluster, job: Job, spare: number, units: Unit[]): number {
+function addProgress(
+  cluster: ClusterState,
+  job: Job,
+  spare: number,
+  units: DurableWrite[],
+): number {
   let left = spare;
-  for (const [chunk, waiting] of job.dirty) {
+  for (const [chunk, waiting] of job.unsavedChunks) {
     if (left < 1) break;
-    const version = job.chunks.get(chunk);
+    const version = job.chunkVersions.get(chunk);
     if (version === null) continue;
     left--;
-    units.push(chunkUnit(cluster, job, chunk, waiting, version ?? 0));
+    units.push(bitmapWrite(cluster, job, chunk, waiting, version ?? 0));
   }
   return left;
 }
 
-function doneUnit(cluster: Cluster, job: Job, at: number): Unit {
+function completionWrite(cluster: ClusterState, job: Job, at: number): DurableWrite {
   const end: JobEnd = { state: 'done', at };
   // Refused: its live key is gone, so it has an end already, which may be a cancellation.
-  return endUnit(job, end, {
+  return endWrite(job, end, {
     applied: () => cluster.endJob(job.spec.id, end),
     conflict: () => cluster.endJob(job.spec.id, null),
   });
@@ -92,20 +97,24 @@
  * A job that needed a cancelled one is cancelled with it. It has never been
  * ready, so whoever has ended it meanwhile has cancelled it too.
  */
-function cancelledUnit(cluster: Cluster, job: Job): Unit {
+function cascadeWrite(cluster: ClusterState, job: Job): DurableWrite {
   const end: JobEnd = { state: 'cancelled', at: null };
   const ended = () => cluster.endJob(job.spec.id, end);
-  return endUnit(job, end, { applied: ended, conflict: ended });
+  return endWrite(job, end, { applied: ended, conflict: ended });
 }
 
 /** Moves a job to the ended ones in one transaction; an end is never rewritten. */
-function endUnit(job: Job, end: JobEnd, result: Pick<Unit, 'applied' | 'conflict'>): Unit {
+function endWrite(
+  job: Job,
+  end: JobEnd,
+  result: Pick<DurableWrite, 'applied' | 'conflict'>,
+): DurableWrite {
   const { id, tasks } = job.spec;
   return {
-    conditions: [{ key: liveKey(id), version: job.version }],
+    conditions: [{ key: liveJobKey(id), version: job.version }],
     changes: [
-      { op: 'put', key: overKey(id), value: encodeJobEnd(end, tasks) },
-      { op: 'delete', key: liveKey(id) },
+      { op: 'put', key: endedJobKey(id), value: encodeJobEnd(end, tasks) },
+      { op: 'delete', key: liveJobKey(id) },
     ],
     size: 400 + 2 * id.length,
     ...result,
@@ -118,50 +127,50 @@
  * late copy of an older write would take finished tasks back that their
  * workers have been told to forget.
  */
-function chunkUnit(
-  cluster: Cluster,
+function bitmapWrite(
+  cluster: ClusterState,
   job: Job,
   chunk: number,
-  waiting: Binding[],
+  waiting: TaskAttempt[],
   version: number,
-): Unit {
+): DurableWrite {
   const { id } = job.spec;
   const key = cluster.bitmaps.key(id, chunk);
   const bits = job.chunkBits(chunk, cluster.bitmaps.tasksPerChunk);
   const value = encodeFinishedTasks(bits);
-  job.dirty.delete(chunk);
+  job.unsavedChunks.delete(chunk);
   // A first write that gets no answer may still leave a key behind.
-  job.chunks.set(chunk, version);
+  job.chunkVersions.set(chunk, version);
   const settle = () => {
-    for (const b of waiting) b.settled = true;
+    for (const b of waiting) b.mayBeForgotten = true;
   };
   const again = (known: number | null) => {
-    if (job.over) return settle();
-    job.chunks.set(chunk, known);
-    job.dirty.set(chunk, [...waiting, ...(job.dirty.get(chunk) ?? [])]);
+    if (job.ended) return settle();
+    job.chunkVersions.set(chunk, known);
+    job.unsavedChunks.set(chunk, [...waiting, ...(job.unsavedChunks.get(chunk) ?? [])]);
   };
   return {
     conditions: [
-      { key: liveKey(id), version: job.version },
+      { key: liveJobKey(id), version: job.version },
       { key, version },
     ],
     changes: [{ op: 'put', key, value }],
     size: 500 + 2 * id.length + value.length,
     applied: (revision) => {
-      job.chunks.set(chunk, revision);
+      job.chunkVersions.set(chunk, revision);
       settle();
     },
-    conflict: (failed) => (failed.includes(liveKey(id)) ? settle() : again(null)),
+    conflict: (failed) => (failed.includes(liveJobKey(id)) ? settle() : again(null)),
     retry: (sent) => again(sent ? null : version),
   };
 }
 
 /** Bitmaps that are to be written once it is known which version of them stands. */
-export function unknownChunks(cluster: Cluster): { job: Job; chunk: number }[] {
+export function chunksOfUnknownVersion(cluster: ClusterState): { job: Job; chunk: number }[] {
   const out: { job: Job; chunk: number }[] = [];
   for (const job of cluster.jobs.values())
-    for (const chunk of job.dirty.keys())
-      if (job.chunks.get(chunk) === null) out.push({ job, chunk });
+    for (const chunk of job.unsavedChunks.keys())
+      if (job.chunkVersions.get(chunk) === null) out.push({ job, chunk });
   return out;
 }
 
@@ -169,16 +178,16 @@
   return { id: m.id, type: m.typeName, zone: m.zone, spot: m.spot, address: m.address };
 }
 
-function pageUnit(cluster: Cluster, w: PageWrite): Unit {
+function rosterPageWrite(cluster: ClusterState, w: PageWrite): DurableWrite {
   const key = rosterKey(w.key);
   const value = encodeRosterPage(w.entries);
   const settle = (done: boolean) => {
     for (const e of w.added) {
       const m = cluster.machines.get(e.id);
       if (!m) continue;
-      m.rostering = false;
-      if (done) m.rostered = true;
-      else if (!m.rostered) cluster.rosterPuts.add(m);
+      m.rosterWritePending = false;
+      if (done) m.inRoster = true;
+      else if (!m.inRoster) cluster.pendingRosterAdds.add(m);
     }
     if (done) cluster.roundDue = true;
   };
@@ -202,7 +211,7 @@
   };
 }
 
-function deletion(key: string, applied: () => void): Unit {
+function deleteWrite(key: string, applied: () => void): DurableWrite {
   return {
     conditions: [],
     changes: [{ op: 'delete', key }],
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -42,10 +42,10 @@
  */
 export class Roster {
   private readonly pages = new Set<Page>();
-  private readonly pageOf = new Map<string, Set<Page>>();
+  private readonly pagesOfMachine = new Map<string, Set<Page>>();
   /** Pages that may have room. One that is found without is left out until it loses a member. */
-  private readonly roomyPages = new Set<Page>();
-  private count = 0;
+  private readonly pagesWithSpace = new Set<Page>();
+  private pageCount = 0;
 
   constructor(
     private readonly term: number,
@@ -55,40 +55,40 @@
 
   /** A page as an earlier leader left it. */
   restore(key: string, version: number, entries: RosterEntry[]): void {
-    const page = this.page(key, version);
-    for (const e of entries) this.put(page, e);
+    const page = this.createPage(key, version);
+    for (const e of entries) this.addMember(page, e);
   }
 
-  gone(id: string): void {
-    for (const page of this.pageOf.get(id) ?? []) {
-      this.remove(page, id);
+  removeMachine(id: string): void {
+    for (const page of this.pagesOfMachine.get(id) ?? []) {
+      this.removeMember(page, id);
       page.stale = true;
     }
-    this.pageOf.delete(id);
+    this.pagesOfMachine.delete(id);
   }
 
   /** Adds the machines to pages with room; each page is written once, whatever it gains and loses. */
   add(entries: RosterEntry[]): PageWrite[] {
     const gains = new Map<Page, RosterEntry[]>();
     for (const e of entries) {
-      const page = this.roomy(entryBytes(e));
-      this.put(page, e);
+      const page = this.pageWithSpace(entryBytes(e));
+      this.addMember(page, e);
       const gain = gains.get(page);
       if (gain) gain.push(e);
       else gains.set(page, [e]);
     }
-    return [...gains].map(([page, gain]) => this.write(page, gain));
+    return [...gains].map(([page, gain]) => this.pageWrite(page, gain));
   }
 
   /** Up to `most` pages rid of what is gone. */
-  clean(most: number): PageWrite[] {
+  rewriteStalePages(most: number): PageWrite[] {
     const out: PageWrite[] = [];
     for (const page of this.pages) {
       if (out.length + 1 > most) break;
       if (!page.stale || page.writing) continue;
       if (page.version === null && page.members.size > 0) continue;
-      if (page.bytes > this.pageBytes) out.push(...this.relieve(page));
-      else out.push(this.write(page, []));
+      if (page.bytes > this.pageBytes) out.push(...this.splitOversizePage(page));
+      else out.push(this.pageWrite(page, []));
     }
     return out;
   }
@@ -98,38 +98,38 @@
    * before the other page is known to hold him; a machine that was moved
    * without an answer stands on both, which does no harm.
    */
-  private relieve(page: Page): PageWrite[] {
+  private splitOversizePage(page: Page): PageWrite[] {
     const surplus: RosterEntry[] = [];
     let bytes = page.bytes;
     for (const [id, e] of page.members) {
       if (bytes <= this.pageBytes) break;
-      if (this.pageOf.get(id)?.size === 1) surplus.push(e);
+      if (this.pagesOfMachine.get(id)?.size === 1) surplus.push(e);
       bytes -= entryBytes(e);
     }
     return this.add(surplus).map((write) => ({
       ...write,
       applied: (revision) => {
         write.applied(revision);
-        for (const e of write.added) this.take(page, e.id);
+        for (const e of write.added) this.forgetMember(page, e.id);
       },
     }));
   }
 
-  private roomy(bytes: number): Page {
-    for (const page of this.roomyPages) {
+  private pageWithSpace(bytes: number): Page {
+    for (const page of this.pagesWithSpace) {
       const hasRoom = page.bytes + bytes <= this.pageBytes;
-      if (!hasRoom || page.version === null) this.roomyPages.delete(page);
+      if (!hasRoom || page.version === null) this.pagesWithSpace.delete(page);
       else if (!page.writing) return page;
     }
-    return this.page(`${this.term}-${++this.count}`, 0);
+    return this.createPage(`${this.term}-${++this.pageCount}`, 0);
   }
 
-  private drop(page: Page): void {
+  private removePage(page: Page): void {
     this.pages.delete(page);
-    this.roomyPages.delete(page);
+    this.pagesWithSpace.delete(page);
   }
 
-  private page(key: string, version: number): Page {
+  private createPage(key: string, version: number): Page {
     const page: Page = {
       key,
       bytes: 0,
@@ -139,34 +139,34 @@
       writing: false,
     };
     this.pages.add(page);
-    this.roomyPages.add(page);
+    this.pagesWithSpace.add(page);
     return page;
   }
 
-  private put(page: Page, e: RosterEntry): void {
-    this.remove(page, e.id);
+  private addMember(page: Page, e: RosterEntry): void {
+    this.removeMember(page, e.id);
     page.members.set(e.id, e);
     page.bytes += entryBytes(e);
-    const on = this.pageOf.get(e.id);
+    const on = this.pagesOfMachine.get(e.id);
     if (on) on.add(page);
-    else this.pageOf.set(e.id, new Set([page]));
+    else this.pagesOfMachine.set(e.id, new Set([page]));
   }
 
-  private take(page: Page, id: string): void {
-    this.remove(page, id);
-    const on = this.pageOf.get(id);
-    if (on?.delete(page) && on.size === 0) this.pageOf.delete(id);
+  private forgetMember(page: Page, id: string): void {
+    this.removeMember(page, id);
+    const on = this.pagesOfMachine.get(id);
+    if (on?.delete(page) && on.size === 0) this.pagesOfMachine.delete(id);
   }
 
-  private remove(page: Page, id: string): void {
+  private removeMember(page: Page, id: string): void {
     const e = page.members.get(id);
     if (!e) return;
     page.members.delete(id);
     page.bytes -= entryBytes(e);
-    this.roomyPages.add(page);
+    this.pagesWithSpace.add(page);
   }
 
-  private write(page: Page, added: RosterEntry[]): PageWrite {
+  private pageWrite(page: Page, added: RosterEntry[]): PageWrite {
     page.stale = false;
     page.writing = true;
     const entries = [...page.members.values()];
@@ -178,13 +178,13 @@
       applied: (revision) => {
         page.writing = false;
         page.version = revision;
-        if (entries.length === 0 && page.members.size === 0) this.drop(page);
+        if (entries.length === 0 && page.members.size === 0) this.removePage(page);
       },
       dropped: () => {
         page.writing = false;
         page.stale = true;
-        for (const e of added) this.take(page, e.id);
-        if (page.version === 0 && page.members.size === 0) this.drop(page);
+        for (const e of added) this.forgetMember(page, e.id);
+        if (page.version === 0 && page.members.size === 0) this.removePage(page);
       },
       unknown: () => {
         page.writing = false;
--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -1,30 +1,30 @@
 import type { JobSpec } from '../../model/model.js';
-import type { Cluster } from '../state/cluster-state.js';
+import type { ClusterState } from '../state/cluster-state.js';
 import type { Machine } from '../state/machine.js';
 import type { Batch } from './ready-queue.js';
 
 /** What the rules of a job look at in a machine. */
-export type Placed = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
+export type MachineTraits = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
 
-export function allowed(m: Placed, spec: JobSpec): boolean {
+export function satisfiesConstraints(m: MachineTraits, spec: JobSpec): boolean {
   return (
-    (spec.types === null || spec.types.includes(m.typeName)) &&
+    (spec.machineTypes === null || spec.machineTypes.includes(m.typeName)) &&
     (spec.zone === null || spec.zone === m.zone) &&
-    (spec.spot || !m.spot)
+    (spec.allowsSpot || !m.spot)
   );
 }
 
 /** Takes new tasks at all. */
-export function open(cluster: Cluster, m: Machine, now: number): boolean {
+export function acceptsTasks(cluster: ClusterState, m: Machine, now: number): boolean {
   return (
     m.confirmed &&
-    m.rostered &&
+    m.inRoster &&
     m.type !== null &&
-    m.drain === null &&
+    m.drainReason === null &&
     m.unresponsiveSince === null &&
-    !m.strays &&
-    m.refusedUntil <= now &&
-    now - m.lastReport < cluster.timing.reportMs * 2
+    !m.hasUnknownTasks &&
+    m.admissionBackoffUntil <= now &&
+    now - m.lastHeartbeatAt < cluster.timing.heartbeatMs * 2
   );
 }
 
@@ -34,25 +34,35 @@
  * ones that were stopped long before it is enough for a large one: they would
  * take it again and be stopped again, for as long as the large one waits.
  */
-export function mayUse(m: Machine, batch: Batch): boolean {
+export function respectsReservation(m: Machine, batch: Batch): boolean {
   const { reservation } = m;
-  if (!reservation || batch.aged || batch.rank < reservation.rank) return true;
-  return batch.rank === reservation.rank && (batch.guaranteed || !reservation.guaranteed);
+  if (!reservation || batch.starving || batch.priority < reservation.priority) return true;
+  return (
+    batch.priority === reservation.priority &&
+    (batch.withinGuarantee || !reservation.withinGuarantee)
+  );
 }
 
 /** Keeps room that is being made on the machine for one more task of the batch. */
-export function reserve(m: Machine, batch: Batch, until: number): void {
-  const { rank, guaranteed } = batch;
+export function addReservation(m: Machine, batch: Batch, until: number): void {
+  const { priority: rank, withinGuarantee: guaranteed } = batch;
   const old = m.reservation;
-  if (old && old.rank === rank && old.guaranteed === guaranteed) {
-    old.tasks++;
-    old.until = until;
-  } else m.reservation = { rank, guaranteed, tasks: 1, until };
+  if (old && old.priority === rank && old.withinGuarantee === guaranteed) {
+    old.remainingTasks++;
+    old.expiresAt = until;
+  } else
+    m.reservation = {
+      priority: rank,
+      withinGuarantee: guaranteed,
+      remainingTasks: 1,
+      expiresAt: until,
+    };
 }
 
 /** A task was placed on the machine: of the same rank, it is what room was reserved for. */
-export function useReservation(m: Machine, batch: Batch): void {
+export function consumeReservation(m: Machine, batch: Batch): void {
   const { reservation } = m;
-  if (!reservation || batch.rank !== reservation.rank || !mayUse(m, batch)) return;
-  if (--reservation.tasks <= 0) m.reservation = null;
+  if (!reservation || batch.priority !== reservation.priority || !respectsReservation(m, batch))
+    return;
+  if (--reservation.remainingTasks <= 0) m.reservation = null;
 }
