--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -1,55 +1,60 @@
 import { EPSILON } from '../../model/model.js';
-import type { Use } from '../../model/policy.js';
-import type { Cluster } from '../state/cluster-state.js';
+import type { ResourceUsage } from '../../model/policy.js';
+import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/job.js';
-import { type Binding, fitsType, type Machine } from '../state/machine.js';
-import { allowed, mayUse, open, useReservation } from './feasibility.js';
-import { preempt, type Room } from './preemption.js';
+import { type Machine, slotsOnType, type TaskAttempt } from '../state/machine.js';
+import {
+  acceptsTasks,
+  consumeReservation,
+  respectsReservation,
+  satisfiesConstraints,
+} from './feasibility.js';
+import { type FreeCapacity, preempt } from './preemption.js';
 import { type Batch, isReady, readyBatches } from './ready-queue.js';
 
 /** About this part of the machines may be held free for such tasks at a time. */
-const HELD_SHARE = 0.1;
+const RESERVED_MACHINES_SHARE = 0.1;
 
-const NOTHING: Use = { cpus: 0, gpus: 0 };
+const NO_USAGE: ResourceUsage = { cpus: 0, gpus: 0 };
 
 /** How many more of the job's tasks may be put in the zone beside those on machines now. */
-function zoneRoom(job: Job, zone: string): number {
-  const { oneZone, spread, tasks } = job.spec;
-  if (oneZone) for (const [z, n] of job.zones) if (n > 0 && z !== zone) return 0;
+function remainingZoneSlots(job: Job, zone: string): number {
+  const { singleZone: oneZone, zoneAntiAffinity: spread, tasks } = job.spec;
+  if (oneZone) for (const [z, n] of job.attemptsByZone) if (n > 0 && z !== zone) return 0;
   if (!spread) return tasks;
-  return Math.ceil(tasks / 2) - (job.zones.get(zone) ?? 0);
+  return Math.ceil(tasks / 2) - (job.attemptsByZone.get(zone) ?? 0);
 }
 
 /** How many more tasks of the batch the team's limit allows, doubt and what is kept for others counted in. */
-function teamRoom(cluster: Cluster, batch: Batch, doubt: Use): number {
+function remainingQuotaSlots(cluster: ClusterState, batch: Batch, doubt: ResourceUsage): number {
   const { spec } = batch;
-  const team = cluster.teams.get(spec.team);
+  const team = cluster.quotas.get(spec.team);
   if (!team) return 0;
-  const use = cluster.teamUse.get(spec.team) ?? NOTHING;
-  const kept = batch.aged ? NOTHING : (cluster.keptRoom.get(spec.team) ?? NOTHING);
-  const cpus = team.cpusMax - use.cpus - doubt.cpus - kept.cpus + EPSILON;
-  const gpus = team.gpusMax - use.gpus - doubt.gpus - kept.gpus + EPSILON;
+  const use = cluster.quotaUsage.get(spec.team) ?? NO_USAGE;
+  const kept = batch.starving ? NO_USAGE : (cluster.reservedQuota.get(spec.team) ?? NO_USAGE);
+  const cpus = team.maxCpus - use.cpus - doubt.cpus - kept.cpus + EPSILON;
+  const gpus = team.maxGpus - use.gpus - doubt.gpus - kept.gpus + EPSILON;
   let n = 1e9;
-  if (team.cpusMax > 0 && spec.cpus > 0) n = Math.min(n, Math.floor(cpus / spec.cpus));
-  if (team.gpusMax > 0 && spec.gpus > 0) n = Math.min(n, Math.floor(gpus / spec.gpus));
+  if (team.maxCpus > 0 && spec.cpus > 0) n = Math.min(n, Math.floor(cpus / spec.cpus));
+  if (team.maxGpus > 0 && spec.gpus > 0) n = Math.min(n, Math.floor(gpus / spec.gpus));
   return Math.max(0, n);
 }
 
-export interface RoundResult {
-  started: Binding[];
+export interface PlacementResult {
+  started: TaskAttempt[];
   /** Tasks that found no machine. */
   unplaced: number;
 }
 
 /** What stays the same throughout a round, and what it has started so far. */
 interface RoundState {
-  readonly cluster: Cluster;
+  readonly cluster: ClusterState;
   readonly now: number;
   readonly limit: number;
-  readonly doubt: Use;
+  readonly doubt: ResourceUsage;
   /** The price of the dearest machine. */
   readonly dearest: number;
-  readonly started: Binding[];
+  readonly started: TaskAttempt[];
 }
 
 /**
@@ -57,30 +62,35 @@
  * the highest score until it is placed or nothing takes it. `limit` bounds the
  * starts; the caller widens it with the load.
  */
-export function round(cluster: Cluster, limit: number, now: number): RoundResult {
-  const started: Binding[] = [];
+export function runPlacementRound(
+  cluster: ClusterState,
+  limit: number,
+  now: number,
+): PlacementResult {
+  const started: TaskAttempt[] = [];
   const batches = readyBatches(cluster, now);
-  const doubt = cluster.doubt();
-  const openMachines = [...cluster.machines.values()].filter((m) => open(cluster, m, now));
+  const doubt = cluster.unconfirmedUsage();
+  const openMachines = [...cluster.machines.values()].filter((m) => acceptsTasks(cluster, m, now));
   // Most machines are full under load, and none of them needs to be scored for each batch.
-  const roomy = openMachines.filter((m) => m.hasRoom);
+  const roomy = openMachines.filter((m) => m.hasFreeCapacity);
   dropReservations(openMachines, now);
   const state = { cluster, now, limit, doubt, dearest: dearestPrice(cluster), started };
   let unplaced = 0;
   let held = 0;
-  cluster.waiting = [];
-  cluster.keptRoom.clear();
-  const promised = new Map<Machine, Room>();
+  cluster.unplacedBatches = [];
+  cluster.reservedQuota.clear();
+  const promised = new Map<Machine, FreeCapacity>();
   for (const batch of batches) {
     const left = placeBatch(state, batch, roomy);
     unplaced += left;
     if (left === 0) continue;
-    cluster.waiting.push(batch);
+    cluster.unplacedBatches.push(batch);
     // Room that smaller tasks of the team free piece by piece would go to the next small ones for ever.
     const { team, cpus, gpus } = batch.spec;
-    if (batch.aged && !cluster.keptRoom.has(team)) cluster.keptRoom.set(team, { cpus, gpus });
-    if (started.length >= limit || teamRoom(cluster, batch, doubt) === 0) continue;
-    if (batch.aged && held++ < openMachines.length * HELD_SHARE)
+    if (batch.starving && !cluster.reservedQuota.has(team))
+      cluster.reservedQuota.set(team, { cpus, gpus });
+    if (started.length >= limit || remainingQuotaSlots(cluster, batch, doubt) === 0) continue;
+    if (batch.starving && held++ < openMachines.length * RESERVED_MACHINES_SHARE)
       reserveMachine(batch, roomy, openMachines);
     preempt(cluster, batch, left, openMachines, promised, now);
   }
@@ -90,14 +100,14 @@
 /** Those of large tasks are made anew in each round; those of preempting ones stand until their time is over. */
 function dropReservations(machines: Machine[], now: number): void {
   for (const machine of machines) {
-    machine.heldFor = null;
-    if (machine.reservation && machine.reservation.until <= now) machine.reservation = null;
+    machine.reservedForJob = null;
+    if (machine.reservation && machine.reservation.expiresAt <= now) machine.reservation = null;
   }
 }
 
-function dearestPrice(cluster: Cluster): number {
+function dearestPrice(cluster: ClusterState): number {
   let dearest = 0;
-  for (const type of cluster.types.values())
+  for (const type of cluster.machineTypes.values())
     dearest = Math.max(dearest, type.price, type.spotPrice);
   return dearest;
 }
@@ -107,12 +117,12 @@
   const { cluster, now, limit, doubt, dearest, started } = state;
   let left = batch.count;
   const candidates = roomy.filter(
-    (machine) => allowed(machine, batch.spec) && mayUse(machine, batch),
+    (machine) => satisfiesConstraints(machine, batch.spec) && respectsReservation(machine, batch),
   );
   while (left > 0 && started.length < limit) {
-    const room = teamRoom(cluster, batch, doubt);
+    const room = remainingQuotaSlots(cluster, batch, doubt);
     if (room === 0) break;
-    const machine = best(cluster, batch, candidates, left, dearest);
+    const machine = highestScoring(cluster, batch, candidates, left, dearest);
     if (!machine) break;
     const want = Math.min(left, room, limit - started.length);
     const count = startTasks(cluster, batch, machine, want, started, now);
@@ -131,10 +141,10 @@
 function reserveMachine(batch: Batch, roomy: Machine[], machines: Machine[]): void {
   let held: Machine | null = null;
   for (const m of machines)
-    if (m.type && allowed(m, batch.spec) && fitsType(m.type, batch.spec) > 0)
-      if (!held || m.fill < held.fill) held = m;
+    if (m.type && satisfiesConstraints(m, batch.spec) && slotsOnType(m.type, batch.spec) > 0)
+      if (!held || m.utilization < held.utilization) held = m;
   if (!held) return;
-  held.heldFor = batch.jobs[0]?.spec.id ?? null;
+  held.reservedForJob = batch.jobs[0]?.spec.id ?? null;
   const at = roomy.indexOf(held);
   if (at >= 0) roomy.splice(at, 1);
 }
@@ -144,15 +154,21 @@
  * round left waiting, in that round's order: between rounds nothing is sorted
  * or scored, and the starts go with the report's answer.
  */
-export function fill(cluster: Cluster, m: Machine, limit: number, now: number): Binding[] {
-  const started: Binding[] = [];
-  if (cluster.waiting.length === 0 || !m.hasRoom || !open(cluster, m, now)) return started;
-  const doubt = cluster.doubt();
-  for (const batch of cluster.waiting) {
-    if (started.length >= limit || !m.hasRoom) break;
+export function placeOnMachine(
+  cluster: ClusterState,
+  m: Machine,
+  limit: number,
+  now: number,
+): TaskAttempt[] {
+  const started: TaskAttempt[] = [];
+  if (cluster.unplacedBatches.length === 0 || !m.hasFreeCapacity || !acceptsTasks(cluster, m, now))
+    return started;
+  const doubt = cluster.unconfirmedUsage();
+  for (const batch of cluster.unplacedBatches) {
+    if (started.length >= limit || !m.hasFreeCapacity) break;
     if (!mayFill(m, batch)) continue;
-    const most = batch.aged ? 1 : limit;
-    const room = Math.min(teamRoom(cluster, batch, doubt), most, limit - started.length);
+    const most = batch.starving ? 1 : limit;
+    const room = Math.min(remainingQuotaSlots(cluster, batch, doubt), most, limit - started.length);
     if (room === 0) continue;
     const jobs = batch.jobs.filter((job) => isReady(cluster, job, now));
     if (jobs.length > 0) startTasks(cluster, { ...batch, jobs }, m, room, started, now);
@@ -163,13 +179,14 @@
 /** The batch may take what has come free on the machine without a round. */
 function mayFill(machine: Machine, batch: Batch): boolean {
   const first = batch.jobs[0];
-  if (!allowed(machine, batch.spec) || machine.room(batch.spec) === 0) return false;
-  if (machine.heldFor !== null && machine.heldFor !== first?.spec.id) return false;
-  return mayUse(machine, batch) && !(batch.aged && first?.begun);
+  if (!satisfiesConstraints(machine, batch.spec) || machine.freeSlots(batch.spec) === 0)
+    return false;
+  if (machine.reservedForJob !== null && machine.reservedForJob !== first?.spec.id) return false;
+  return respectsReservation(machine, batch) && !(batch.starving && first?.started);
 }
 
-function best(
-  cluster: Cluster,
+function highestScoring(
+  cluster: ClusterState,
   batch: Batch,
   candidates: Machine[],
   left: number,
@@ -181,14 +198,17 @@
   let found: Machine | null = null;
   let top = Number.NEGATIVE_INFINITY;
   for (const m of candidates) {
-    const room = m.room(batch.spec);
+    const room = m.freeSlots(batch.spec);
     if (room === 0) continue;
     const score =
       (throughput * Math.min(room, left)) / left -
-      (dearest > 0 ? (cost * m.rate) / dearest : 0) +
+      (dearest > 0 ? (cost * m.price) / dearest : 0) +
       (m.images.has(batch.spec.image) ? locality : 0) -
-      (m.surplus ? surplus : 0);
-    if (score > top + EPSILON || (score > top - EPSILON && found && m.fill > found.fill)) {
+      (m.scaleInCandidate ? surplus : 0);
+    if (
+      score > top + EPSILON ||
+      (score > top - EPSILON && found && m.utilization > found.utilization)
+    ) {
       top = Math.max(top, score);
       found = m;
     }
@@ -198,24 +218,25 @@
 
 /** Starts up to `want` tasks of the batch on the machine, by arrival of their jobs. */
 function startTasks(
-  cluster: Cluster,
+  cluster: ClusterState,
   batch: Batch,
   m: Machine,
   want: number,
-  started: Binding[],
+  started: TaskAttempt[],
   now: number,
 ): number {
   let n = 0;
   for (const job of batch.jobs) {
     // A job that failed here goes elsewhere while there is an elsewhere.
-    if (job.failedOn.has(m.id) && job.failedOn.size < cluster.policy.faultyMachines) continue;
-    let room = Math.min(want - n, m.room(job.spec), zoneRoom(job, m.zone));
-    while (room > 0 && job.ready > 0) {
-      const index = job.next();
+    if (job.failedMachines.has(m.id) && job.failedMachines.size < cluster.policy.failingJobMachines)
+      continue;
+    let room = Math.min(want - n, m.freeSlots(job.spec), remainingZoneSlots(job, m.zone));
+    while (room > 0 && job.readyCount > 0) {
+      const index = job.takeReadyTask();
       if (index === null) break;
       const b = cluster.assign(job, index, m, now);
-      b.spared = batch.aged;
-      useReservation(m, batch);
+      b.exemptFromPreemption = batch.starving;
+      consumeReservation(m, batch);
       started.push(b);
       n++;
       room--;
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -1,25 +1,25 @@
 import { EPSILON, type JobSpec } from '../../model/model.js';
-import type { Use } from '../../model/policy.js';
-import type { Cluster } from '../state/cluster-state.js';
+import type { ResourceUsage } from '../../model/policy.js';
+import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/job.js';
 
 /** Every accepted job, the largest ones too, begins within this, whatever fresher work could still meet (protocol). */
-const BEGIN_WITHIN_MS = 240_000;
+const MAX_START_DELAY_MS = 240_000;
 /** From this part of it on a job that has not begun goes first with one task. */
-const AGED = 0.5;
+const STARVING_SHARE = 0.5;
 /** Below this step of waitingCost no aim is near enough to matter. */
-const LEAST_COST_STEP = -50;
+const MIN_COST_STEP = -50;
 
 /** Ready tasks of like image and request, in the order of the pool. */
 export interface Batch {
   spec: JobSpec;
   /** The rank of its jobs, which may be that of a job that needs them. */
-  rank: number;
-  guaranteed: boolean;
+  priority: number;
+  withinGuarantee: boolean;
   /** What waiting costs its jobs, in steps of a factor of two. */
   costStep: number;
   /** The first task of a job that has waited for too long. */
-  aged: boolean;
+  starving: boolean;
   jobs: Job[];
   count: number;
 }
@@ -30,14 +30,16 @@
  * machine may run on an unconfirmed one, so it waits for the last of those
  * that its job allows.
  */
-export function isReady(cluster: Cluster, job: Job, now: number): boolean {
-  return wantsRoom(job, now) && !(job.inherited && cluster.inherited.mayHold(job.spec));
+export function isReady(cluster: ClusterState, job: Job, now: number): boolean {
+  return (
+    hasPlaceableTasks(job, now) && !(job.inherited && cluster.inheritedMachines.mayHold(job.spec))
+  );
 }
 
 /** The same but for what an unconfirmed machine may hold: it will need room all the same. */
-export function wantsRoom(job: Job, now: number): boolean {
-  if (job.delayed > 0) job.wake(now);
-  return job.ready > 0 && !job.over && !job.isWaiting && job.heldUntil <= now;
+export function hasPlaceableTasks(job: Job, now: number): boolean {
+  if (job.backedOffCount > 0) job.releaseBackedOff(now);
+  return job.readyCount > 0 && !job.ended && !job.awaitsDependencies && job.backoffUntil <= now;
 }
 
 /**
@@ -46,29 +48,32 @@
  * not known: past the aim on guaranteed work it counts as not having fitted.
  * A job that waits for others holds no part of it until it may run.
  */
-function markGuaranteed(cluster: Cluster, byArrival: Job[], now: number): void {
-  const sums = new Map<string, Use>();
+function markGuaranteed(cluster: ClusterState, byArrival: Job[], now: number): void {
+  const sums = new Map<string, ResourceUsage>();
   for (const job of byArrival) {
-    if (job.isWaiting) continue;
+    if (job.awaitsDependencies) continue;
     const { team, cpus, gpus, tasks } = job.spec;
     const sum = sums.get(team) ?? { cpus: 0, gpus: 0 };
     sum.cpus += cpus * tasks;
     sum.gpus += gpus * tasks;
     sums.set(team, sum);
-    if (job.guaranteed !== null) continue;
-    const t = cluster.teams.get(team);
+    if (job.withinGuarantee !== null) continue;
+    const t = cluster.quotas.get(team);
     const late =
       job.inherited &&
-      cluster.aims.guaranteeS !== null &&
-      cluster.ageMs(job, now) > cluster.aims.guaranteeS * 1000;
-    job.guaranteed =
-      !late && t !== undefined && sum.cpus <= t.cpus + EPSILON && sum.gpus <= t.gpus + EPSILON;
+      cluster.objectives.guaranteedStartS !== null &&
+      cluster.ageMs(job, now) > cluster.objectives.guaranteedStartS * 1000;
+    job.withinGuarantee =
+      !late &&
+      t !== undefined &&
+      sum.cpus <= t.guaranteedCpus + EPSILON &&
+      sum.gpus <= t.guaranteedGpus + EPSILON;
   }
 }
 
-function likeKey(job: Job, costStep: number): string {
+function batchKey(job: Job, costStep: number): string {
   const s = job.spec;
-  return `${costStep}|${job.rank}|${job.guaranteed}|${s.team}|${s.image}|${s.cpus}|${s.gpus}|${s.memoryGb}|${s.types}|${s.zone}|${s.spot}|${s.oneZone || s.spread ? s.id : ''}`;
+  return `${costStep}|${job.priority}|${job.withinGuarantee}|${s.team}|${s.image}|${s.cpus}|${s.gpus}|${s.memoryGb}|${s.machineTypes}|${s.zone}|${s.allowsSpot}|${s.singleZone || s.zoneAntiAffinity ? s.id : ''}`;
 }
 
 /**
@@ -80,34 +85,36 @@
  * the least left first. Nothing starves by that: a job that has not begun for
  * long goes before everything with one task.
  */
-export function readyBatches(cluster: Cluster, now: number): Batch[] {
+export function readyBatches(cluster: ClusterState, now: number): Batch[] {
   const byArrival = [...cluster.jobs.values()].sort((a, b) => a.version - b.version);
   markGuaranteed(cluster, byArrival, now);
   const ready: { job: Job; waitingCost: number; work: number }[] = [];
   const aged: Batch[] = [];
   for (const job of byArrival) {
     if (!isReady(cluster, job, now)) continue;
-    const waitingCost = cluster.estimates.waitingCost(job, now + cluster.wallOffset);
-    const work = job.ready * job.spec.cpus * cluster.estimates.estimateS(job.spec);
-    if (!job.begun && cluster.ageMs(job, now) > BEGIN_WITHIN_MS * AGED)
-      aged.push(batchOf(job, LEAST_COST_STEP, true));
+    const waitingCost = cluster.estimates.waitingCost(job, now + cluster.wallClockOffset);
+    const work = job.readyCount * job.spec.cpus * cluster.estimates.estimateS(job.spec);
+    if (!job.started && cluster.ageMs(job, now) > MAX_START_DELAY_MS * STARVING_SHARE)
+      aged.push(batchOf(job, MIN_COST_STEP, true));
     else ready.push({ job, waitingCost, work });
   }
   ready.sort((a, b) => b.waitingCost - a.waitingCost || a.work - b.work);
   const batches = new Map<string, Batch>();
   for (const { job, waitingCost } of ready) {
-    const costStep = Math.max(LEAST_COST_STEP, Math.ceil(Math.log2(waitingCost)));
-    const key = likeKey(job, costStep);
+    const costStep = Math.max(MIN_COST_STEP, Math.ceil(Math.log2(waitingCost)));
+    const key = batchKey(job, costStep);
     const batch = batches.get(key);
     if (batch) {
       batch.jobs.push(job);
-      batch.count += job.ready;
+      batch.count += job.readyCount;
     } else batches.set(key, batchOf(job, costStep, false));
   }
   // The sort is stable: beyond this, the order of the jobs decides.
   const rest = [...batches.values()].sort(
     (a, b) =>
-      a.rank - b.rank || Number(b.guaranteed) - Number(a.guaranteed) || b.costStep - a.costStep,
+      a.priority - b.priority ||
+      Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
+      b.costStep - a.costStep,
   );
   return [...aged, ...rest];
 }
@@ -115,11 +122,11 @@
 function batchOf(job: Job, costStep: number, aged: boolean): Batch {
   return {
     spec: job.spec,
-    rank: job.rank,
-    guaranteed: job.guaranteed === true,
+    priority: job.priority,
+    withinGuarantee: job.withinGuarantee === true,
     costStep,
-    aged,
+    starving: aged,
     jobs: [job],
-    count: aged ? 1 : job.ready,
+    count: aged ? 1 : job.readyCount,
   };
 }
--- a/src/scheduler/reconcile/machine-tombstones.ts
+++ b/src/scheduler/reconcile/machine-tombstones.ts
@@ -9,33 +9,33 @@
  * machine known that is not newer than all of these. One that does exist shows
  * in the cloud's list.
  */
-export class GoneMachines {
+export class MachineTombstones {
   /** When each went; the longest gone first. */
-  private readonly goneAt = new Map<string, number>();
+  private readonly terminatedAt = new Map<string, number>();
   private newestForgotten = '';
 
   constructor(private readonly keepMs: number) {}
 
   add(id: string, now: number): void {
-    this.goneAt.delete(id);
-    this.goneAt.set(id, now);
-    for (const [old, at] of this.goneAt) {
+    this.terminatedAt.delete(id);
+    this.terminatedAt.set(id, now);
+    for (const [old, at] of this.terminatedAt) {
       if (now - at < this.keepMs) break;
-      this.goneAt.delete(old);
+      this.terminatedAt.delete(old);
       if (old > this.newestForgotten) this.newestForgotten = old;
     }
   }
 
   has(id: string): boolean {
-    return this.goneAt.has(id);
+    return this.terminatedAt.has(id);
   }
 
   /** A report of a machine that nothing else tells of may be a copy from before it went. */
-  mayHaveGone(id: string): boolean {
-    return this.goneAt.has(id) || id <= this.newestForgotten;
+  mayBeTerminated(id: string): boolean {
+    return this.terminatedAt.has(id) || id <= this.newestForgotten;
   }
 
   get size(): number {
-    return this.goneAt.size;
+    return this.terminatedAt.size;
   }
 }
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -1,22 +1,22 @@
-import { allowed } from '../placement/feasibility.js';
-import { wantsRoom } from '../placement/ready-queue.js';
-import type { Cluster } from '../state/cluster-state.js';
-import { type Drain, kindKey, type Machine } from '../state/machine.js';
+import { satisfiesConstraints } from '../placement/feasibility.js';
+import { hasPlaceableTasks } from '../placement/ready-queue.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { type DrainReason, type Machine, machinePoolKey } from '../state/machine.js';
 
 /** A machine that should go back to the cloud. */
-export interface MachineReturn {
+export interface MachineTermination {
   machine: Machine;
-  why: Drain;
+  reason: DrainReason;
 }
 
 /** Missed reports, with their jitter, that show a machine taken whose notice has run out. */
-const NOTICE_REPORTS = 1.5;
+const PREEMPTED_AFTER_HEARTBEATS = 1.5;
 /** When more than this part of a fleet or zone seems deaf or dead at once, it is the way there that is broken. */
-const MANY_SHARE = 0.2;
+const MASS_OUTAGE_SHARE = 0.2;
 /** Report intervals after a takeover in which a worker that can be reached has reported under the new token. */
-const CONFIRM_REPORTS = 2;
+const CONFIRM_HEARTBEATS = 2;
 /** The same for one that gave no answer to a direct question either: an interval with its jitter, and a redirection. */
-const UNANSWERED_REPORTS = 1.4;
+const UNANSWERED_HEARTBEATS = 1.4;
 
 /** What the fleet as a whole shows, which the judgement of one machine rests on. */
 interface FleetSigns {
@@ -30,59 +30,59 @@
  * on, and those that are silent, unresponsive, sick or never booted. A return
  * is also the way to prove that what an unreachable machine held is gone.
  */
-export class Returns {
-  constructor(private readonly cluster: Cluster) {}
+export class ScaleInPlanner {
+  constructor(private readonly cluster: ClusterState) {}
 
   /** Machines that should go back to the cloud now, with the reason. */
-  due(now: number): MachineReturn[] {
-    const out: MachineReturn[] = [];
+  plan(now: number): MachineTermination[] {
+    const out: MachineTermination[] = [];
     const signs = {
-      deafMayGo: this.deafAreFew(),
-      manySilent: this.zonesWithManySilent(now),
-      holdsUp: this.holdersUp(now),
+      deafMayGo: this.unresponsiveAreFew(),
+      manySilent: this.zonesWithManyUnreachable(now),
+      holdsUp: this.blockingInheritedMachines(now),
     };
     for (const machine of this.cluster.machines.values()) {
       const why = this.reason(machine, signs, now);
-      if (why) out.push({ machine, why });
+      if (why) out.push({ machine, reason: why });
     }
     return out;
   }
 
-  private reason(machine: Machine, signs: FleetSigns, now: number): Drain | null {
+  private reason(machine: Machine, signs: FleetSigns, now: number): DrainReason | null {
     const { policy, timing } = this.cluster;
     if (machine.upAt === null)
-      return now - machine.rentedAt > bootMs(machine) * policy.bootPatience ? 'no boot' : null;
-    if (machine.missing || this.taken(machine, now)) return 'missing';
+      return now - machine.provisionedAt > bootMs(machine) * policy.bootPatience ? 'no boot' : null;
+    if (machine.missingFromList || this.wasPreempted(machine, now)) return 'missing';
     if (signs.holdsUp.has(machine)) return 'silent';
-    if (now - this.cluster.silentFrom(machine) > timing.silentMs)
-      return this.deadLongEnough(machine, signs.manySilent, now) ? 'silent' : null;
+    if (now - this.cluster.silentSince(machine) > timing.unreachableAfterMs)
+      return this.isDeadLongEnough(machine, signs.manySilent, now) ? 'silent' : null;
     return this.reasonWhileHeard(machine, signs, now);
   }
 
-  private reasonWhileHeard(machine: Machine, signs: FleetSigns, now: number): Drain | null {
-    if (machine.drain === 'sick') return 'sick';
-    if (signs.deafMayGo && this.deafTooLong(machine, now)) return 'deaf';
-    if (machine.bindings.size > 0 || machine.inherited || machine.strays) return null;
-    return machine.drain ?? (this.idleTooLong(machine, now) ? 'idle' : null);
+  private reasonWhileHeard(machine: Machine, signs: FleetSigns, now: number): DrainReason | null {
+    if (machine.drainReason === 'sick') return 'sick';
+    if (signs.deafMayGo && this.isUnresponsiveTooLong(machine, now)) return 'deaf';
+    if (machine.attempts.size > 0 || machine.inherited || machine.hasUnknownTasks) return null;
+    return machine.drainReason ?? (this.idleTooLong(machine, now) ? 'idle' : null);
   }
 
   private idleTooLong(machine: Machine, now: number): boolean {
     const idleMs = now - machine.idleSince;
     const { idleBoots } = this.cluster.policy;
-    return machine.confirmed && machine.surplus && idleMs > bootMs(machine) * idleBoots;
+    return machine.confirmed && machine.scaleInCandidate && idleMs > bootMs(machine) * idleBoots;
   }
 
   /** It hears nothing although its reports arrive: what it runs and holds can only be had back by a return. */
-  private deafTooLong(m: Machine, now: number): boolean {
+  private isUnresponsiveTooLong(m: Machine, now: number): boolean {
     return (
       m.unresponsiveSince !== null &&
       !m.relayed &&
-      now - m.unresponsiveSince > this.cluster.timing.workerLeaseMs
+      now - m.unresponsiveSince > this.cluster.timing.agentLeaseMs
     );
   }
 
   /** When many are deaf at once, it is we who can't be heard: none of them is to blame. */
-  private deafAreFew(): boolean {
+  private unresponsiveAreFew(): boolean {
     let up = 0;
     let deaf = 0;
     for (const m of this.cluster.machines.values()) {
@@ -90,16 +90,16 @@
       up++;
       if (m.unresponsiveSince !== null) deaf++;
     }
-    return deaf <= Math.max(1, up * MANY_SHARE);
+    return deaf <= Math.max(1, up * MASS_OUTAGE_SHARE);
   }
 
   /** Its notice has run out and it has fallen silent. */
-  private taken(m: Machine, now: number): boolean {
-    const { reportMs } = this.cluster.timing;
+  private wasPreempted(m: Machine, now: number): boolean {
+    const { heartbeatMs: reportMs } = this.cluster.timing;
     return (
-      m.noticeUntil !== null &&
-      now > m.noticeUntil &&
-      now - m.lastReport > reportMs * NOTICE_REPORTS
+      m.preemptionNoticeUntil !== null &&
+      now > m.preemptionNoticeUntil &&
+      now - m.lastHeartbeatAt > reportMs * PREEMPTED_AFTER_HEARTBEATS
     );
   }
 
@@ -111,14 +111,18 @@
    * nobody can have found a way yet: they are given as long as new ones would
    * take. When it is heard again, its workers come back one after the other.
    */
-  private deadLongEnough(m: Machine, manySilent: Set<string>, now: number): boolean {
-    const { reportMs, silentMs, workerLeaseMs } = this.cluster.timing;
-    const silent = now - this.cluster.silentFrom(m);
+  private isDeadLongEnough(m: Machine, manySilent: Set<string>, now: number): boolean {
+    const {
+      heartbeatMs: reportMs,
+      unreachableAfterMs: silentMs,
+      agentLeaseMs: workerLeaseMs,
+    } = this.cluster.timing;
+    const silent = now - this.cluster.silentSince(m);
     if (silent <= silentMs) return false;
-    const zone = this.cluster.heard.get(m.zone);
-    const heard = zone && zone.last > m.lastReport + reportMs * 1.5;
+    const zone = this.cluster.zoneLiveness.get(m.zone);
+    const heard = zone && zone.last > m.lastHeartbeatAt + reportMs * 1.5;
     if (heard && now - zone.last <= reportMs * 1.5) {
-      if (zone.since > m.lastReport && now - zone.since <= silentMs * 1.5) return false;
+      if (zone.since > m.lastHeartbeatAt && now - zone.since <= silentMs * 1.5) return false;
       return !manySilent.has(m.zone) || silent > workerLeaseMs + reportMs;
     }
     return silent > Math.max(workerLeaseMs * 2, (m.type?.bootS ?? 0) * 1000 + workerLeaseMs);
@@ -130,16 +134,16 @@
    * waits. Waiting on costs more than what they run, so they are fenced. While
    * many of a zone are missing, a cut keeps them, and their tasks live on.
    */
-  private holdersUp(now: number): Set<Machine> {
+  private blockingInheritedMachines(now: number): Set<Machine> {
     const { late, up } = this.unconfirmedByZone();
     const out = new Set<Machine>();
     const waiting = new Map<string, number>();
     for (const [zone, machines] of late) {
-      if (machines.length > Math.max(1, (up.get(zone) ?? 0) * MANY_SHARE)) continue;
+      if (machines.length > Math.max(1, (up.get(zone) ?? 0) * MASS_OUTAGE_SHARE)) continue;
       for (const machine of machines) {
         if (!this.shouldHaveConfirmed(machine, now)) continue;
-        const key = kindKey(machine.typeName, machine.zone, machine.spot);
-        const cpus = waiting.get(key) ?? this.inheritedCpusFor(machine, now);
+        const key = machinePoolKey(machine.typeName, machine.zone, machine.spot);
+        const cpus = waiting.get(key) ?? this.blockedInheritedCpus(machine, now);
         waiting.set(key, cpus);
         if (cpus >= (machine.type?.cpus ?? 0)) out.add(machine);
       }
@@ -148,9 +152,9 @@
   }
 
   private shouldHaveConfirmed(machine: Machine, now: number): boolean {
-    const patience = machine.unanswered ? UNANSWERED_REPORTS : CONFIRM_REPORTS;
-    const silent = now - this.cluster.silentFrom(machine);
-    return silent > this.cluster.timing.reportMs * patience;
+    const patience = machine.confirmationUnanswered ? UNANSWERED_HEARTBEATS : CONFIRM_HEARTBEATS;
+    const silent = now - this.cluster.silentSince(machine);
+    return silent > this.cluster.timing.heartbeatMs * patience;
   }
 
   /** By zone: machines that may hold inherited work, and how many machines are up. */
@@ -173,24 +177,24 @@
    * hold. When it would fill the machine, were it free to start elsewhere, it
    * is waited for.
    */
-  private inheritedCpusFor(m: Machine, now: number): number {
+  private blockedInheritedCpus(m: Machine, now: number): number {
     let cpus = 0;
     for (const job of this.cluster.jobs.values())
-      if (job.inherited && wantsRoom(job, now) && allowed(m, job.spec))
-        cpus += job.ready * job.spec.cpus;
+      if (job.inherited && hasPlaceableTasks(job, now) && satisfiesConstraints(m, job.spec))
+        cpus += job.readyCount * job.spec.cpus;
     return cpus;
   }
 
-  private zonesWithManySilent(now: number): Set<string> {
+  private zonesWithManyUnreachable(now: number): Set<string> {
     const zones = new Map<string, { up: number; silent: number }>();
     for (const m of this.cluster.machines.values()) {
-      if (m.upAt === null || m.missing) continue;
+      if (m.upAt === null || m.missingFromList) continue;
       const z = zones.get(m.zone) ?? { up: 0, silent: 0 };
       zones.set(m.zone, z);
       z.up++;
-      if (now - this.cluster.silentFrom(m) > this.cluster.timing.silentMs) z.silent++;
+      if (now - this.cluster.silentSince(m) > this.cluster.timing.unreachableAfterMs) z.silent++;
     }
-    const many = [...zones].filter(([, z]) => z.silent > Math.max(1, z.up * MANY_SHARE));
+    const many = [...zones].filter(([, z]) => z.silent > Math.max(1, z.up * MASS_OUTAGE_SHARE));
     return new Set(many.map(([zone]) => zone));
   }
 }
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -8,12 +8,12 @@
 }
 
 /** Ends that are remembered, so that a job which names one of them need not look it up. */
-const ENDS_REMEMBERED = 2000;
+const MAX_REMEMBERED_ENDS = 2000;
 
 /** What the graph needs to know of the work to tell how long a path takes. */
-export interface RunLength {
+export interface DurationEstimator {
   /** Seconds that the longest task of the job is expected to take. */
-  longestS(job: Job): number;
+  longestTaskS(job: Job): number;
 }
 
 /**
@@ -26,161 +26,170 @@
  * are handed upstream: a job has the highest rank of itself and all jobs
  * downstream, and the goal whose deadline leaves it the least time.
  */
-export class JobGraph {
+export class DependencyGraph {
   /** Live jobs that need the one of this id, whether that is live or has ended. */
-  private readonly downstream = new Map<string, Set<Job>>();
-  private readonly ends = new Map<string, JobEnd>();
+  private readonly dependents = new Map<string, Set<Job>>();
+  private readonly knownEnds = new Map<string, JobEnd>();
   /** Jobs that others need and that are no longer live: how they ended has to be read. */
-  readonly unresolved = new Set<string>();
+  readonly unresolvedEnds = new Set<string>();
   /** Jobs with upstream ids in further records, which have to be read. */
-  readonly unread = new Set<Job>();
+  readonly unreadLists = new Set<Job>();
 
   constructor(
     /** The live jobs. */
     private readonly jobs: ReadonlyMap<string, Job>,
-    private readonly runLength: RunLength,
+    private readonly durations: DurationEstimator,
   ) {}
 
   /** Adds what a live job needs. */
-  link(job: Job, upstream: readonly string[]): void {
+  addDependencies(job: Job, upstream: readonly string[]): void {
     for (const id of upstream) {
-      const end = this.ends.get(id);
+      const end = this.knownEnds.get(id);
       if (end?.state === 'done') {
-        job.upstreamDone(id, end.at);
+        job.dependencyDone(id, end.at);
         continue;
       }
-      if (end?.state === 'cancelled') job.upstreamCancelled = true;
-      job.waitsFor.add(id);
-      const others = this.downstream.get(id);
+      if (end?.state === 'cancelled') job.dependencyCancelled = true;
+      job.pendingDependencies.add(id);
+      const others = this.dependents.get(id);
       if (others) others.add(job);
-      else this.downstream.set(id, new Set([job]));
+      else this.dependents.set(id, new Set([job]));
       const needed = this.jobs.get(id);
-      if (needed?.upstreamCancelled) job.upstreamCancelled = true;
-      if (needed) this.offer(needed, job);
-      else if (!end) this.unresolved.add(id);
+      if (needed?.dependencyCancelled) job.dependencyCancelled = true;
+      if (needed) this.propagateUrgency(needed, job);
+      else if (!end) this.unresolvedEnds.add(id);
     }
-    if (job.upstreamCancelled) this.cancelDownstream(job.spec.id);
+    if (job.dependencyCancelled) this.cancelDependents(job.spec.id);
   }
 
   /** What the job needs has to be read first. */
-  postpone(job: Job): void {
-    job.upstreamUnread = true;
-    this.unread.add(job);
+  deferDependencies(job: Job): void {
+    job.dependenciesUnread = true;
+    this.unreadLists.add(job);
   }
 
-  linkUnread(job: Job, upstream: readonly string[]): void {
-    job.upstreamUnread = false;
-    this.unread.delete(job);
-    this.link(job, upstream);
+  addReadDependencies(job: Job, upstream: readonly string[]): void {
+    job.dependenciesUnread = false;
+    this.unreadLists.delete(job);
+    this.addDependencies(job, upstream);
   }
 
   /** The job is not live any more; null: it is not known how it ended. */
-  ended(id: string, end: JobEnd | null): void {
+  jobEnded(id: string, end: JobEnd | null): void {
     const job = this.jobs.get(id);
-    if (job) this.unlink(job);
-    if (end) this.remember(id, end);
-    const known = end ?? this.ends.get(id) ?? null;
+    if (job) this.removeDependencies(job);
+    if (end) this.rememberEnd(id, end);
+    const known = end ?? this.knownEnds.get(id) ?? null;
     if (!known) {
-      if (this.downstream.has(id)) this.unresolved.add(id);
+      if (this.dependents.has(id)) this.unresolvedEnds.add(id);
       return;
     }
-    this.unresolved.delete(id);
-    if (known.state === 'cancelled') this.cancelDownstream(id);
-    else this.release(id, known.at);
+    this.unresolvedEnds.delete(id);
+    if (known.state === 'cancelled') this.cancelDependents(id);
+    else this.releaseDependents(id, known.at);
   }
 
   /** Whether others wait for the job: its end should not be late. */
-  isNeeded(id: string): boolean {
-    return this.downstream.has(id);
+  hasDependents(id: string): boolean {
+    return this.dependents.has(id);
   }
 
   /** All that the job waits for is running: it will be ready within the length of a task. */
-  isNext(job: Job): boolean {
-    if (job.upstreamCancelled || job.upstreamUnread || job.waitsFor.size === 0) return false;
-    for (const id of job.waitsFor) {
+  isAboutToBeReady(job: Job): boolean {
+    if (job.dependencyCancelled || job.dependenciesUnread || job.pendingDependencies.size === 0)
+      return false;
+    for (const id of job.pendingDependencies) {
       const needed = this.jobs.get(id);
-      if (!needed || needed.isWaiting || needed.ready > 0 || needed.delayed > 0) return false;
+      if (
+        !needed ||
+        needed.awaitsDependencies ||
+        needed.readyCount > 0 ||
+        needed.backedOffCount > 0
+      )
+        return false;
     }
     return true;
   }
 
-  private remember(id: string, end: JobEnd): void {
-    this.ends.set(id, end);
-    if (this.ends.size <= ENDS_REMEMBERED) return;
-    const oldest = this.ends.keys().next().value;
-    if (oldest !== undefined) this.ends.delete(oldest);
+  private rememberEnd(id: string, end: JobEnd): void {
+    this.knownEnds.set(id, end);
+    if (this.knownEnds.size <= MAX_REMEMBERED_ENDS) return;
+    const oldest = this.knownEnds.keys().next().value;
+    if (oldest !== undefined) this.knownEnds.delete(oldest);
   }
 
-  private release(id: string, at: number | null): void {
-    const waiting = this.downstream.get(id);
+  private releaseDependents(id: string, at: number | null): void {
+    const waiting = this.dependents.get(id);
     if (!waiting) return;
-    this.downstream.delete(id);
-    for (const job of waiting) job.upstreamDone(id, at);
+    this.dependents.delete(id);
+    for (const job of waiting) job.dependencyDone(id, at);
   }
 
   /** Marks all jobs that need this one; each is marked once, however many paths lead to it. */
-  private cancelDownstream(id: string): void {
+  private cancelDependents(id: string): void {
     const ids = [id];
     for (let next = ids.pop(); next !== undefined; next = ids.pop())
-      for (const job of this.downstream.get(next) ?? []) {
-        if (job.upstreamCancelled) continue;
-        job.upstreamCancelled = true;
+      for (const job of this.dependents.get(next) ?? []) {
+        if (job.dependencyCancelled) continue;
+        job.dependencyCancelled = true;
         ids.push(job.spec.id);
       }
   }
 
   /** The job has ended itself, so nothing of it has to be in time any more. */
-  private unlink(job: Job): void {
-    this.unread.delete(job);
-    for (const id of job.waitsFor) {
-      const others = this.downstream.get(id);
+  private removeDependencies(job: Job): void {
+    this.unreadLists.delete(job);
+    for (const id of job.pendingDependencies) {
+      const others = this.dependents.get(id);
       if (!others?.delete(job)) continue;
       if (others.size === 0) {
-        this.downstream.delete(id);
-        this.unresolved.delete(id);
+        this.dependents.delete(id);
+        this.unresolvedEnds.delete(id);
       }
       const needed = this.jobs.get(id);
-      if (needed) this.reconsider(needed);
+      if (needed) this.recomputeUrgency(needed);
     }
   }
 
   // Priority and goal
 
   /** A job needs this one: rank and goal go upstream as far as they change anything. */
-  private offer(needed: Job, by: Job): void {
+  private propagateUrgency(needed: Job, by: Job): void {
     const offers: { needed: Job; by: Job }[] = [{ needed, by }];
     for (let next = offers.pop(); next; next = offers.pop()) {
-      if (!this.improve(next.needed, next.by)) continue;
-      for (const id of next.needed.waitsFor) {
+      if (!this.inheritUrgency(next.needed, next.by)) continue;
+      for (const id of next.needed.pendingDependencies) {
         const job = this.jobs.get(id);
         if (job) offers.push({ needed: job, by: next.needed });
       }
     }
   }
 
-  private improve(needed: Job, by: Job): boolean {
-    const rank = Math.min(needed.rank, by.rank);
-    const goal = by.goal && {
-      job: by.goal.job,
-      restS: by.goal.restS + this.runLength.longestS(by),
+  private inheritUrgency(needed: Job, by: Job): boolean {
+    const rank = Math.min(needed.priority, by.priority);
+    const goal = by.effectiveDeadline && {
+      job: by.effectiveDeadline.job,
+      remainingPathS: by.effectiveDeadline.remainingPathS + this.durations.longestTaskS(by),
     };
     const tighter =
-      goal !== null && (needed.goal === null || latestEnd(goal) < latestEnd(needed.goal));
-    if (rank === needed.rank && !tighter) return false;
-    needed.rank = rank;
-    if (tighter) needed.goal = goal;
+      goal !== null &&
+      (needed.effectiveDeadline === null ||
+        latestEndAt(goal) < latestEndAt(needed.effectiveDeadline));
+    if (rank === needed.priority && !tighter) return false;
+    needed.priority = rank;
+    if (tighter) needed.effectiveDeadline = goal;
     return true;
   }
 
   /** A job downstream has gone: rank and goal are taken anew from those that are left. */
-  private reconsider(job: Job): void {
+  private recomputeUrgency(job: Job): void {
     const jobs = [job];
     for (let next = jobs.pop(); next; next = jobs.pop()) {
-      const { rank, goal } = next;
+      const { priority: rank, effectiveDeadline: goal } = next;
       next.resetPriority();
-      for (const by of this.downstream.get(next.spec.id) ?? []) this.improve(next, by);
-      if (next.rank === rank && sameGoal(next.goal, goal)) continue;
-      for (const id of next.waitsFor) {
+      for (const by of this.dependents.get(next.spec.id) ?? []) this.inheritUrgency(next, by);
+      if (next.priority === rank && sameDeadline(next.effectiveDeadline, goal)) continue;
+      for (const id of next.pendingDependencies) {
         const needed = this.jobs.get(id);
         if (needed) jobs.push(needed);
       }
@@ -189,18 +198,21 @@
 }
 
 /** A job with a deadline that another job serves. */
-export interface Goal {
+export interface EffectiveDeadline {
   job: Job;
   /** Seconds that are expected to pass between the end of the job that serves it and its own. */
-  restS: number;
+  remainingPathS: number;
 }
 
 /** Time of day in milliseconds by which the job that serves the goal has to be done. */
-function latestEnd(goal: Goal): number {
-  const { job, restS } = goal;
+function latestEndAt(goal: EffectiveDeadline): number {
+  const { job, remainingPathS: restS } = goal;
   return job.acceptedAt + ((job.spec.deadlineS ?? Number.POSITIVE_INFINITY) - restS) * 1000;
 }
 
-function sameGoal(a: Goal | null, b: Goal | null): boolean {
-  return a === b || (a !== null && b !== null && a.job === b.job && a.restS === b.restS);
+function sameDeadline(a: EffectiveDeadline | null, b: EffectiveDeadline | null): boolean {
+  return (
+    a === b ||
+    (a !== null && b !== null && a.job === b.job && a.remainingPathS === b.remainingPathS)
+  );
 }
--- a/src/scheduler/state/job.ts
+++ b/src/scheduler/state/job.ts
@@ -1,36 +1,36 @@
 import type { JobSpec } from '../../model/model.js';
-import type { Goal } from './dependency-graph.js';
-import type { Binding } from './machine.js';
+import type { EffectiveDeadline } from './dependency-graph.js';
+import type { TaskAttempt } from './machine.js';
 
 const READY = 0;
-const BOUND = 1;
+const ASSIGNED = 1;
 const DONE = 2;
-const DELAYED = 3;
+const BACKED_OFF = 3;
 
 /** A live job and where each of its tasks stands. */
 export class Job {
   /** Tasks on a machine, or possibly on one: each is bound until proven ended. */
-  readonly bound = new Map<number, Binding>();
+  readonly activeAttempts = new Map<number, TaskAttempt>();
   /** Tasks bound in each zone. */
-  readonly zones = new Map<string, number>();
+  readonly attemptsByZone = new Map<string, number>();
   /** Machines on which a task failed since the job's last success. */
-  readonly failedOn = new Set<string>();
+  readonly failedMachines = new Set<string>();
   /** Bits that changed since the last flush, by chunk, with the exits that wait for them. */
-  readonly dirty = new Map<number, Binding[]>();
+  readonly unsavedChunks = new Map<number, TaskAttempt[]>();
   /** Versions of the chunks that may exist in the state service; null: a write had no answer. */
-  readonly chunks = new Map<number, number | null>();
+  readonly chunkVersions = new Map<number, number | null>();
   /** Further keys of it in the state service, which are only read and go when it ends. */
-  readonly otherKeys: string[] = [];
-  ready: number;
-  done = 0;
+  readonly ownedKeys: string[] = [];
+  readyCount: number;
+  doneCount = 0;
   succeeded = false;
   /** A task of it has been started at some time. */
-  begun = false;
+  started = false;
   failures = 0;
   /** A job that fails everywhere waits until this time. */
-  heldUntil = 0;
+  backoffUntil = 0;
   /** Cancelled or moved to the ended jobs: nothing of it may start. */
-  over = false;
+  ended = false;
   /** The transaction that ends it is on its way. */
   ending = false;
   /**
@@ -39,23 +39,23 @@
    * would come to fit in its turn, and the oldest work of all teams would
    * pass, and stop, what can still be in time.
    */
-  guaranteed: boolean | null = null;
+  withinGuarantee: boolean | null = null;
   /** Jobs that have to be done before a task of this one starts. */
-  readonly waitsFor = new Set<string>();
+  readonly pendingDependencies = new Set<string>();
   /** Some of the ids that it needs stand in records that have not been read. */
-  upstreamUnread = false;
+  dependenciesUnread = false;
   /** A job that it needs, directly or through others, was cancelled: so will this one be. */
-  upstreamCancelled = false;
+  dependencyCancelled = false;
   /** Time of day from which its waits are counted: its acceptance, or the end of the last job that it needed. */
   eligibleAt: number;
   /** Index into RANKS: the highest of its own and of all jobs that need it. */
-  rank: number;
+  priority: number;
   /** The deadline that leaves it the least time, its own or one downstream. */
-  goal: Goal | null = null;
+  effectiveDeadline: EffectiveDeadline | null = null;
   private readonly status: Uint8Array;
   private cursor = 0;
-  private readonly returned: number[] = [];
-  private readonly delays: { index: number; until: number }[] = [];
+  private readonly requeued: number[] = [];
+  private readonly backedOff: { index: number; until: number }[] = [];
 
   constructor(
     readonly spec: JobSpec,
@@ -67,31 +67,31 @@
     readonly inherited: boolean,
   ) {
     this.status = new Uint8Array(spec.tasks);
-    this.ready = spec.tasks;
+    this.readyCount = spec.tasks;
     this.eligibleAt = acceptedAt;
-    this.rank = spec.rank;
+    this.priority = spec.priority;
     this.resetPriority();
   }
 
   /** Rank and deadline as its own user set them. */
   resetPriority(): void {
-    this.rank = this.spec.rank;
-    this.goal = this.spec.deadlineS === null ? null : { job: this, restS: 0 };
+    this.priority = this.spec.priority;
+    this.effectiveDeadline = this.spec.deadlineS === null ? null : { job: this, remainingPathS: 0 };
   }
 
   /** Not all of what it needs is done: nothing of it may start, and it counts for nothing. */
-  get isWaiting(): boolean {
-    return this.upstreamCancelled || this.upstreamUnread || this.waitsFor.size > 0;
+  get awaitsDependencies(): boolean {
+    return this.dependencyCancelled || this.dependenciesUnread || this.pendingDependencies.size > 0;
   }
 
   /** A job that it needs is durably done. */
-  upstreamDone(id: string, at: number | null): void {
-    this.waitsFor.delete(id);
+  dependencyDone(id: string, at: number | null): void {
+    this.pendingDependencies.delete(id);
     if (at !== null) this.eligibleAt = Math.max(this.eligibleAt, at);
   }
 
-  get complete(): boolean {
-    return this.done === this.spec.tasks;
+  get isComplete(): boolean {
+    return this.doneCount === this.spec.tasks;
   }
 
   isDone(index: number): boolean {
@@ -99,9 +99,9 @@
   }
 
   /** The next ready task, which the caller binds; null when there is none. */
-  next(): number | null {
-    while (this.returned.length > 0) {
-      const index = this.returned.pop() as number;
+  takeReadyTask(): number | null {
+    while (this.requeued.length > 0) {
+      const index = this.requeued.pop() as number;
       if (this.status[index] === READY) return index;
     }
     while (this.cursor < this.spec.tasks) {
@@ -111,58 +111,58 @@
     return null;
   }
 
-  bind(binding: Binding): void {
+  addAttempt(binding: TaskAttempt): void {
     const { index, machine } = binding;
-    if (this.status[index] === READY) this.ready--;
-    this.status[index] = BOUND;
-    this.begun = true;
-    this.bound.set(index, binding);
-    this.zones.set(machine.zone, (this.zones.get(machine.zone) ?? 0) + 1);
+    if (this.status[index] === READY) this.readyCount--;
+    this.status[index] = ASSIGNED;
+    this.started = true;
+    this.activeAttempts.set(index, binding);
+    this.attemptsByZone.set(machine.zone, (this.attemptsByZone.get(machine.zone) ?? 0) + 1);
   }
 
   /** The binding has ended; unless done, its task is ready again, at once or at `until`. */
-  unbind(binding: Binding, until: number): void {
+  removeAttempt(binding: TaskAttempt, until: number): void {
     const { index, machine } = binding;
-    if (this.bound.get(index) !== binding) return;
-    this.bound.delete(index);
-    this.zones.set(machine.zone, (this.zones.get(machine.zone) ?? 1) - 1);
-    if (this.status[index] !== BOUND) return;
+    if (this.activeAttempts.get(index) !== binding) return;
+    this.activeAttempts.delete(index);
+    this.attemptsByZone.set(machine.zone, (this.attemptsByZone.get(machine.zone) ?? 1) - 1);
+    if (this.status[index] !== ASSIGNED) return;
     if (until > 0) {
-      this.status[index] = DELAYED;
-      this.delays.push({ index, until });
+      this.status[index] = BACKED_OFF;
+      this.backedOff.push({ index, until });
     } else {
       this.status[index] = READY;
-      this.ready++;
-      this.returned.push(index);
+      this.readyCount++;
+      this.requeued.push(index);
     }
   }
 
   /** True when the task was not known as done before. */
-  finish(index: number): boolean {
+  markDone(index: number): boolean {
     const old = this.status[index];
     if (old === undefined || old === DONE) return false;
-    if (old === READY) this.ready--;
+    if (old === READY) this.readyCount--;
     this.status[index] = DONE;
-    this.begun = true;
-    this.done++;
+    this.started = true;
+    this.doneCount++;
     return true;
   }
 
   /** Lets tasks whose delay is over become ready again. */
-  wake(now: number): void {
-    for (let i = this.delays.length - 1; i >= 0; i--) {
-      const delay = this.delays[i] as { index: number; until: number };
+  releaseBackedOff(now: number): void {
+    for (let i = this.backedOff.length - 1; i >= 0; i--) {
+      const delay = this.backedOff[i] as { index: number; until: number };
       if (delay.until > now) continue;
-      this.delays.splice(i, 1);
-      if (this.status[delay.index] !== DELAYED) continue;
+      this.backedOff.splice(i, 1);
+      if (this.status[delay.index] !== BACKED_OFF) continue;
       this.status[delay.index] = READY;
-      this.ready++;
-      this.returned.push(delay.index);
+      this.readyCount++;
+      this.requeued.push(delay.index);
     }
   }
 
-  get delayed(): number {
-    return this.delays.length;
+  get backedOffCount(): number {
+    return this.backedOff.length;
   }
 
   /** The bits of a chunk of finished tasks, lowest task first. */
@@ -178,6 +178,6 @@
   /** Takes over bits that an earlier leader wrote, from this task on. */
   loadBits(firstTask: number, bits: Uint8Array): void {
     for (let i = 0; i < bits.length * 8 && firstTask + i < this.spec.tasks; i++)
-      if (((bits[i >> 3] as number) >> (i & 7)) & 1) this.finish(firstTask + i);
+      if (((bits[i >> 3] as number) >> (i & 7)) & 1) this.markDone(firstTask + i);
   }
 }
--- a/src/scheduler/state/machine.ts
+++ b/src/scheduler/state/machine.ts
@@ -1,14 +1,14 @@
 import { EPSILON, type JobSpec, type MachineType, type TaskState } from '../../model/model.js';
 import type { Job } from './job.js';
 
-export interface Binding {
+export interface TaskAttempt {
   job: Job;
   index: number;
   attempt: number;
   machine: Machine;
   state: 'assigned' | TaskState;
   /** The report in whose answer the start went out; null while it has not left. */
-  sentSeq: number | null;
+  startSentSequence: number | null;
   /**
    * The machine's fence under which a direct command carried the start; null
    * when none did, or when the machine has reported a later fence. Until then
@@ -16,83 +16,83 @@
    * exit proves that it won't, and to forget the attempt would let the copy
    * start it again.
    */
-  direct: number | null;
-  boundAt: number;
+  directCommandFence: number | null;
+  assignedAt: number;
   runningSince: number | null;
   /** `told`: a direct command has carried it; reports' answers repeat it all the same. */
-  stop: { graceS: number; told: boolean } | null;
+  stopRequest: { graceS: number; commandSent: boolean } | null;
   /** The first task of a job that has waited for too long: it is not stopped for other work. */
-  spared: boolean;
+  exemptFromPreemption: boolean;
   /** What its exit reported is durable, or needs no keeping: the worker may forget it. */
-  settled: boolean;
+  mayBeForgotten: boolean;
 }
 
 /** Room for which other work was stopped, until the work that it was stopped for has it. */
 export interface Reservation {
-  rank: number;
-  guaranteed: boolean;
+  priority: number;
+  withinGuarantee: boolean;
   /** Tasks that are yet to come. */
-  tasks: number;
-  until: number;
+  remainingTasks: number;
+  expiresAt: number;
 }
 
-export type Drain = 'notice' | 'sick' | 'deaf' | 'idle' | 'no boot' | 'silent' | 'missing';
+export type DrainReason = 'notice' | 'sick' | 'deaf' | 'idle' | 'no boot' | 'silent' | 'missing';
 
-export function bindingKey(job: string, index: number, attempt: number): string {
+export function attemptKey(job: string, index: number, attempt: number): string {
   return `${job}/${index}/${attempt}`;
 }
 
 /** A machine as the leader knows it. */
 export class Machine {
-  readonly bindings = new Map<string, Binding>();
+  readonly attempts = new Map<string, TaskAttempt>();
   readonly images = new Map<string, number>();
   /** Jobs whose tasks failed here since the last success here. */
   readonly failedJobs = new Map<string, number>();
   address = '';
-  session = 0;
-  seq = -1;
+  agentEpoch = 0;
+  lastSequence = -1;
   /** A report of the current session carried our own token: its list of tasks is whole. */
   confirmed = false;
   /** The fence under which the machine is answered and commanded: the low part of its token. */
   fence = 0;
   /** The highest fence that it has reported: it refuses commands from under an earlier one. */
-  fenced = 0;
+  acknowledgedFence = 0;
   /** Since when something waits for a later fence. */
-  fenceSince: number | null = null;
+  fenceRaiseDueSince: number | null = null;
   /** Written to the durable roster. */
-  rostered = false;
-  rostering = false;
+  inRoster = false;
+  rosterWritePending = false;
   /** Stands in the roster of an earlier leader and is neither confirmed nor gone. */
   inherited = false;
   /** After the takeover it was asked directly and gave no answer. */
-  unanswered = false;
+  confirmationUnanswered = false;
   /** Its reports come by way of another node: a cut keeps commands from it. */
   relayed = false;
   /** It lists tasks of jobs that are not known: what they use is in doubt. */
-  strays = false;
+  hasUnknownTasks = false;
   /** When the machine was first known to exist, by this leader. */
   readonly knownAt: number;
   /** It has been up, is silent and stands in no list: gone most likely, and returned to make sure. */
-  missing = false;
+  missingFromList = false;
   /** When it last reported under our own token. */
-  lastReport = 0;
+  lastHeartbeatAt = 0;
   /** Answers in a row whose starts showed no effect. */
-  lostAnswers = 0;
+  missedAcknowledgements = 0;
   /** Since when nothing shows that it hears us, though its reports arrive; null while it does. */
   unresponsiveSince: number | null = null;
   upAt: number | null = null;
   /** No need was laid on it: it gets new work only when nothing else has room, so that it empties and can go back. */
-  surplus = false;
+  scaleInCandidate = false;
   /** Its room is kept for a task of this job, which no gap is large enough for. */
-  heldFor: string | null = null;
+  reservedForJob: string | null = null;
   reservation: Reservation | null = null;
-  noticeUntil: number | null = null;
-  drain: Drain | null = null;
+  preemptionNoticeUntil: number | null = null;
+  drainReason: DrainReason | null = null;
   idleSince: number;
-  refusedUntil = 0;
-  cpus = 0;
-  gpus = 0;
-  memoryGb = 0;
+  admissionBackoffUntil = 0;
+  usedCpus = 0;
+  usedGpus = 0;
+  usedMemoryGb = 0;
 
   constructor(
     readonly id: string,
@@ -101,80 +101,90 @@
     readonly zone: string,
     readonly spot: boolean,
     /** When the rental was asked for, on our clock. */
-    readonly rentedAt: number,
+    readonly provisionedAt: number,
     now: number,
   ) {
     this.knownAt = now;
     this.idleSince = now;
   }
 
-  get rate(): number {
+  get price(): number {
     if (!this.type) return 0;
     return this.spot ? this.type.spotPrice : this.type.price;
   }
 
   /** How many tasks like this one the free room takes. */
-  room(spec: JobSpec): number {
+  freeSlots(spec: JobSpec): number {
     const t = this.type;
     if (!t) return 0;
-    return fits(t.cpus - this.cpus, t.gpus - this.gpus, t.memoryGb - this.memoryGb, spec);
+    return slotsWithin(
+      t.cpus - this.usedCpus,
+      t.gpus - this.usedGpus,
+      t.memoryGb - this.usedMemoryGb,
+      spec,
+    );
   }
 
   /** Anything at all is free. */
-  get hasRoom(): boolean {
+  get hasFreeCapacity(): boolean {
     const t = this.type;
-    return t !== null && t.cpus - this.cpus > EPSILON && t.memoryGb - this.memoryGb > EPSILON;
+    return (
+      t !== null && t.cpus - this.usedCpus > EPSILON && t.memoryGb - this.usedMemoryGb > EPSILON
+    );
   }
 
-  get fill(): number {
+  get utilization(): number {
     const t = this.type;
     if (!t) return 0;
-    return Math.max(t.cpus > 0 ? this.cpus / t.cpus : 0, this.memoryGb / Math.max(1, t.memoryGb));
+    return Math.max(
+      t.cpus > 0 ? this.usedCpus / t.cpus : 0,
+      this.usedMemoryGb / Math.max(1, t.memoryGb),
+    );
   }
 
-  add(b: Binding): void {
-    this.bindings.set(bindingKey(b.job.spec.id, b.index, b.attempt), b);
-    if (b.state !== 'exited') this.use(b.job.spec, 1);
+  addAttempt(b: TaskAttempt): void {
+    this.attempts.set(attemptKey(b.job.spec.id, b.index, b.attempt), b);
+    if (b.state !== 'exited') this.charge(b.job.spec, 1);
   }
 
-  remove(b: Binding): void {
-    if (this.bindings.delete(bindingKey(b.job.spec.id, b.index, b.attempt)) && b.state !== 'exited')
-      this.use(b.job.spec, -1);
+  removeAttempt(b: TaskAttempt): void {
+    if (this.attempts.delete(attemptKey(b.job.spec.id, b.index, b.attempt)) && b.state !== 'exited')
+      this.charge(b.job.spec, -1);
   }
 
   /** The task holds no resources any more. */
-  exited(b: Binding): void {
+  markExited(b: TaskAttempt): void {
     if (b.state === 'exited') return;
     b.state = 'exited';
-    this.use(b.job.spec, -1);
+    this.charge(b.job.spec, -1);
   }
 
   get busy(): boolean {
-    return this.cpus > EPSILON || this.memoryGb > EPSILON || this.gpus > EPSILON;
+    return this.usedCpus > EPSILON || this.usedMemoryGb > EPSILON || this.usedGpus > EPSILON;
   }
 
   /** Notes that the image is here; the least recently used ones make room, as on the machine itself. */
-  touchImage(spec: JobSpec): void {
+  recordImageUse(spec: JobSpec): void {
     this.images.delete(spec.image);
     this.images.set(spec.image, spec.imageGb);
     let total = 0;
     for (const gb of this.images.values()) total += gb;
     for (const [image, gb] of this.images) {
-      if (total <= (this.type?.cacheGb ?? 0) || image === spec.image) break;
+      if (total <= (this.type?.imageCacheGb ?? 0) || image === spec.image) break;
       this.images.delete(image);
       total -= gb;
     }
   }
 
-  private use(spec: JobSpec, sign: number): void {
-    this.cpus += sign * spec.cpus;
-    this.gpus += sign * spec.gpus;
-    this.memoryGb += sign * spec.memoryGb;
+  private charge(spec: JobSpec, sign: number): void {
+    this.usedCpus += sign * spec.cpus;
+    this.usedGpus += sign * spec.gpus;
+    this.usedMemoryGb += sign * spec.memoryGb;
   }
 }
 
 /** How many tasks of the shape fit the room, counted at most as far as any array goes. */
-export function fits(cpus: number, gpus: number, memoryGb: number, spec: JobSpec): number {
+export function slotsWithin(cpus: number, gpus: number, memoryGb: number, spec: JobSpec): number {
   let n = 100_000;
   if (spec.cpus > 0) n = Math.min(n, Math.floor((cpus + EPSILON) / spec.cpus));
   if (spec.gpus > 0) n = Math.min(n, Math.floor((gpus + EPSILON) / spec.gpus));
@@ -182,11 +192,11 @@
   return Math.max(0, n);
 }
 
-export function fitsType(type: MachineType, spec: JobSpec): number {
-  return fits(type.cpus, type.gpus, type.memoryGb, spec);
+export function slotsOnType(type: MachineType, spec: JobSpec): number {
+  return slotsWithin(type.cpus, type.gpus, type.memoryGb, spec);
 }
 
 /** Names what a machine is for the cloud: its type, zone and kind. */
-export function kindKey(type: string, zone: string, spot: boolean): string {
+export function machinePoolKey(type: string, zone: string, spot: boolean): string {
   return `${type}|${zone}|${spot}`;
 }
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -56,10 +56,10 @@
     p.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
     const t = timingOf(parsePlatform(JSON.stringify(p), 'f'));
     // Proof ends before another node could hold the lease.
-    assert.ok(t.provenMs < t.leaseMs * (1 - DRIFT));
-    assert.ok(t.renewMs * 2 < t.provenMs);
+    assert.ok(t.leadershipProofMs < t.leaseMs * (1 - DRIFT));
+    assert.ok(t.renewMs * 2 < t.leadershipProofMs);
     // With answers to reports over, leases end in time for a cancellation.
-    assert.ok((t.answerMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
-    assert.ok((t.deputyMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
+    assert.ok((t.agentRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
+    assert.ok((t.delegatedRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
   }
 });
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -2,31 +2,31 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { MachineReport, Order } from '../src/model/model.js';
+import type { Heartbeat, TaskCommand } from '../src/model/model.js';
 import {
-  flushUnits,
-  type Unit,
-  unknownChunks,
+  chunksOfUnknownVersion,
+  type DurableWrite,
+  pendingWrites,
 } from '../src/scheduler/persistence/durable-writes.js';
 import type { RosterEntry } from '../src/scheduler/persistence/roster.js';
-import { allowed } from '../src/scheduler/placement/feasibility.js';
-import { round } from '../src/scheduler/placement/placement-round.js';
-import { pendingOrders, raiseFence } from '../src/scheduler/reconcile/task-commands.js';
-import type { Cluster } from '../src/scheduler/state/cluster-state.js';
-import type { Binding, Machine } from '../src/scheduler/state/machine.js';
-import { cluster, ScriptedWorker, spec, team } from './support/scheduler.js';
+import { satisfiesConstraints } from '../src/scheduler/placement/feasibility.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
+import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
+import type { Machine, TaskAttempt } from '../src/scheduler/state/machine.js';
+import { createCluster, jobSpec, ScriptedAgent, teamQuota } from './support/scheduler.js';
 
 const LIMIT = 24;
 const STEPS = 500;
 
 interface Command {
-  worker: ScriptedWorker;
-  term: Cluster;
+  worker: ScriptedAgent;
+  term: ClusterState;
   machine: Machine;
   session: number;
   fence: number;
-  orders: Order[];
-  starts: Binding[];
+  orders: TaskCommand[];
+  starts: TaskAttempt[];
   /** It was carried out or refused before: this is a copy, whose answer nobody takes. */
   copied: boolean;
 }
@@ -39,8 +39,8 @@
 class World {
   private readonly rng;
   private now = 0;
-  private c: Cluster;
-  private readonly workers: ScriptedWorker[] = [];
+  private c: ClusterState;
+  private readonly workers: ScriptedAgent[] = [];
   private readonly done = new Set<string>();
   private readonly live = new Map<string, number>();
   /** Pages of the roster as they stand in the state service. */
@@ -49,9 +49,9 @@
   private readonly bits = new Map<string, number>();
   private revision = 0;
   /** Roster writes that had no answer and may still be applied. */
-  private lateWrites: { term: Cluster; unit: Unit }[] = [];
+  private lateWrites: { term: ClusterState; unit: DurableWrite }[] = [];
   /** Reports on their way, each with the leader it was sent to. */
-  private lateReports: { report: MachineReport; term: Cluster }[] = [];
+  private lateReports: { report: Heartbeat; term: ClusterState }[] = [];
   private commands: Command[] = [];
   private version = 0;
   private machines = 0;
@@ -72,8 +72,8 @@
     return list.length > 0 ? list[this.pick(list.length)] : undefined;
   }
 
-  private leader(term: number): Cluster {
-    const c = cluster({ term, teams: [team({ name: 'ops', cpusMax: LIMIT })] });
+  private leader(term: number): ClusterState {
+    const c = createCluster({ term, teams: [teamQuota({ name: 'ops', maxCpus: LIMIT })] });
     // The leader key's version fences what an earlier leader still has on its way.
     this.lateWrites = [];
     for (const [key, page] of this.roster) {
@@ -81,15 +81,15 @@
       for (const m of page.machines) c.inheritMachine(m.id, m.type, m.zone, m.spot, '', this.now);
     }
     for (const [id, version] of this.live) {
-      const job = c.addJob(spec({ id, tasks: 3 }), version, 0, true);
-      for (let i = 0; i < 3; i++) if (this.done.has(`${id}/${i}`)) job?.finish(i);
-      if (this.bits.has(id)) job?.chunks.set(0, this.bits.get(id) as number);
+      const job = c.addJob(jobSpec({ id, tasks: 3 }), version, 0, true);
+      for (let i = 0; i < 3; i++) if (this.done.has(`${id}/${i}`)) job?.markDone(i);
+      if (this.bits.has(id)) job?.chunkVersions.set(0, this.bits.get(id) as number);
     }
     return c;
   }
 
   private addWorker(): void {
-    this.workers.push(new ScriptedWorker(`n-${++this.machines}`));
+    this.workers.push(new ScriptedAgent(`n-${++this.machines}`));
   }
 
   step(): void {
@@ -114,7 +114,7 @@
     14: () => this.commandIn(),
   };
 
-  private workerEvent(event: number, worker: ScriptedWorker): void {
+  private workerEvent(event: number, worker: ScriptedAgent): void {
     switch (event) {
       case 2:
         if (this.pick(2) === 0) worker.lapse();
@@ -123,7 +123,7 @@
         if (this.pick(6) === 0) this.die(worker);
         break;
       case 8:
-        this.lateReports.push({ report: worker.report(), term: this.c });
+        this.lateReports.push({ report: worker.heartbeat(), term: this.c });
         break;
       case 10:
         this.endTasks(worker);
@@ -135,7 +135,7 @@
 
   private submit(): void {
     this.live.set(`req-${++this.version}`, this.version);
-    this.c.addJob(spec({ id: `req-${this.version}`, tasks: 3 }), this.version, this.now, false);
+    this.c.addJob(jobSpec({ id: `req-${this.version}`, tasks: 3 }), this.version, this.now, false);
   }
 
   private cancel(): void {
@@ -152,13 +152,13 @@
     this.commands = this.commands.filter((x) => x.term.term >= this.c.term - 1);
   }
 
-  private die(worker: ScriptedWorker): void {
+  private die(worker: ScriptedAgent): void {
     this.workers.splice(this.workers.indexOf(worker), 1);
-    this.c.machineGone(worker.id, 'died', this.now);
+    this.c.markTerminated(worker.id, 'died', this.now);
     this.addWorker();
   }
 
-  private endTasks(worker: ScriptedWorker): void {
+  private endTasks(worker: ScriptedAgent): void {
     for (const [key, task] of worker.tasks)
       if (task.state === 'running' && this.pick(2) === 0)
         worker.exit(key, this.pick(5) === 0 ? 'error' : 'done');
@@ -172,36 +172,36 @@
     this.answer(late.report, late.term);
   }
 
-  private reportIn(worker: ScriptedWorker): void {
+  private reportIn(worker: ScriptedAgent): void {
     const term = this.c;
-    const orders = this.answer(worker.report(), term);
+    const orders = this.answer(worker.heartbeat(), term);
     const fence = term.machines.get(worker.id)?.fence ?? 0;
     if (this.pick(4) > 0) worker.execute(term.term, orders, fence);
   }
 
-  private answer(report: MachineReport, c: Cluster): Order[] {
+  private answer(report: Heartbeat, c: ClusterState): TaskCommand[] {
     if (report.term > c.term) return [];
-    if (!c.report(report, true, this.now)) return [];
+    if (!c.applyHeartbeat(report, true, this.now)) return [];
     // A leader that another has followed has no proof any more and starts nothing.
     if (c !== this.c) return [];
-    this.started += round(c, 32, this.now).started.length;
-    const m = c.machines.get(report.machine);
+    this.started += runPlacementRound(c, 32, this.now).started.length;
+    const m = c.machines.get(report.machineId);
     if (!m) return [];
-    raiseFence(m, c.timing, this.now);
-    return c.orders(m);
+    raiseFenceIfDue(m, c.timing, this.now);
+    return c.heartbeatCommands(m);
   }
 
   private commandsOut(): void {
     for (const machine of [...this.c.pendingCommands]) {
       this.c.pendingCommands.delete(machine);
       const worker = this.workers.find((w) => w.id === machine.id);
-      const { orders, starts } = pendingOrders(machine);
+      const { commands: orders, starts } = takePendingCommands(machine);
       if (worker && orders.length > 0)
         this.commands.push({
           worker,
           term: this.c,
           machine,
-          session: machine.session,
+          session: machine.agentEpoch,
           fence: machine.fence,
           orders,
           starts,
@@ -219,18 +219,18 @@
     else this.commands.splice(this.commands.indexOf(cmd), 1);
     if (!this.workers.includes(cmd.worker)) return;
     const executed =
-      cmd.session === cmd.worker.session &&
+      cmd.session === cmd.worker.agentEpoch &&
       cmd.worker.execute(cmd.term.term, cmd.orders, cmd.fence);
     if (copied || this.pick(3) === 0) return;
-    const report = cmd.worker.report();
-    if (report.term <= cmd.term.term) cmd.term.report(report, false, this.now);
-    cmd.term.answered(cmd.starts, executed, report.seq);
+    const report = cmd.worker.heartbeat();
+    if (report.term <= cmd.term.term) cmd.term.applyHeartbeat(report, false, this.now);
+    cmd.term.applyCommandResult(cmd.starts, executed, report.sequence);
   }
 
   private flush(): void {
-    for (const { job, chunk } of unknownChunks(this.c))
-      job.chunks.set(chunk, this.bits.get(job.spec.id) ?? 0);
-    for (const unit of flushUnits(this.c, { spare: 9, wallNow: 0 })) {
+    for (const { job, chunk } of chunksOfUnknownVersion(this.c))
+      job.chunkVersions.set(chunk, this.bits.get(job.spec.id) ?? 0);
+    for (const unit of pendingWrites(this.c, { progressChanges: 9, wallNow: 0 })) {
       const fate = this.pick(8);
       if (fate < 2) {
         if (fate === 0) this.lateWrites.push({ term: this.c, unit });
@@ -252,13 +252,13 @@
     return (kind === 'live' ? this.live : this.bits).get(id) ?? 0;
   }
 
-  private failed(unit: Unit): string[] {
+  private failed(unit: DurableWrite): string[] {
     const failed = unit.conditions.filter((c) => this.versionOf(c.key) !== c.version);
     return failed.map((c) => c.key);
   }
 
   /** The state service's part: all or nothing, over the versions of its keys. */
-  private apply(unit: Unit): boolean {
+  private apply(unit: DurableWrite): boolean {
     if (this.failed(unit).length > 0) return false;
     this.revision++;
     for (const change of unit.changes) {
@@ -298,14 +298,24 @@
     // What is kept up as machines are confirmed and go must equal a count made anew.
     for (const zone of [null, 'a', 'b'])
       for (const spot of [true, false]) {
-        const job = spec({ zone, spot });
-        const held = [...this.c.machines.values()].some((m) => m.inherited && allowed(m, job));
-        assert.equal(this.c.inherited.mayHold(job), held, 'inherited machines are miscounted');
+        const job = jobSpec({ zone, allowsSpot: spot });
+        const held = [...this.c.machines.values()].some(
+          (m) => m.inherited && satisfiesConstraints(m, job),
+        );
+        assert.equal(
+          this.c.inheritedMachines.mayHold(job),
+          held,
+          'inherited machines are miscounted',
+        );
       }
     let used = 0;
     for (const m of this.c.machines.values())
-      for (const b of m.bindings.values()) if (b.state !== 'exited') used += b.job.spec.cpus;
-    assert.equal(this.c.teamUse.get('ops')?.cpus ?? 0, used, 'the use of the team is miscounted');
+      for (const b of m.attempts.values()) if (b.state !== 'exited') used += b.job.spec.cpus;
+    assert.equal(
+      this.c.quotaUsage.get('ops')?.cpus ?? 0,
+      used,
+      'the use of the team is miscounted',
+    );
   }
 }
 
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -2,11 +2,11 @@
 import type { AddressInfo } from 'node:net';
 import net from 'node:net';
 import { mock, test } from 'node:test';
-import { WorkerClient } from '../src/clients/agent-client.js';
+import { AgentClient } from '../src/clients/agent-client.js';
 import { StateClient } from '../src/clients/state-client.js';
-import { HttpClient, NotSent } from '../src/http/client.js';
+import { HttpClient, NotSentError } from '../src/http/client.js';
 import { type Handler, serve } from '../src/http/server.js';
-import { Budget, Priority } from '../src/runtime/request-budget.js';
+import { RequestBudget, RequestPriority } from '../src/runtime/request-budget.js';
 import { FakeClock, settle } from './support/clock.js';
 
 async function serving(
@@ -67,7 +67,7 @@
     await assert.rejects(broken);
     // The next connection is on its way when the request that it was meant for gives up.
     mock.timers.tick(500);
-    await assert.rejects(impatient, NotSent);
+    await assert.rejects(impatient, NotSentError);
     assert.equal((await client.request('POST', '/', {}, 5000)).status, 200);
   } finally {
     mock.timers.reset();
@@ -204,7 +204,7 @@
   const { port } = server.address() as AddressInfo;
   await new Promise((resolve) => server.close(resolve));
   const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
-  await assert.rejects(client.request('GET', '/', undefined, 5000), NotSent);
+  await assert.rejects(client.request('GET', '/', undefined, 5000), NotSentError);
 });
 
 test('what waited until its sender was no longer entitled does not leave', async () => {
@@ -222,7 +222,7 @@
     // Waits for the only connection while the process stands still and its proof runs out.
     const second = client.request('POST', '/', {}, 5000, undefined, fit);
     assert.equal((await first).status, 200);
-    await assert.rejects(second, NotSent);
+    await assert.rejects(second, NotSentError);
     assert.equal(served, 1);
     entitled = true;
     assert.equal((await client.request('POST', '/', {}, 5000, undefined, fit)).status, 200);
@@ -231,11 +231,11 @@
 });
 
 test('users who ask without end keep neither budget nor connections from what leads, nor ends from being written', async () => {
-  const budget = new Budget(10, 10, 0);
-  while (budget.take(1, Priority.questions, 0) === 0);
-  assert.equal(budget.take(1, Priority.ends, 0), 0);
-  while (budget.take(1, Priority.users, 0) === 0);
-  assert.equal(budget.take(1, Priority.lead, 0), 0);
+  const budget = new RequestBudget(10, 10, 0);
+  while (budget.take(1, RequestPriority.questions, 0) === 0);
+  assert.equal(budget.take(1, RequestPriority.ends, 0), 0);
+  while (budget.take(1, RequestPriority.users, 0) === 0);
+  assert.equal(budget.take(1, RequestPriority.lead, 0), 0);
 
   const held: (() => void)[] = [];
   const handler: Handler = (request) =>
@@ -252,7 +252,7 @@
       clock: new FakeClock(),
     });
     // More than the connections for users.
-    const asked = Array.from({ length: 5 }, () => state.get('live/x', Priority.users));
+    const asked = Array.from({ length: 5 }, () => state.get('live/x', RequestPriority.users));
     assert.equal(await state.touch(7), true);
     const drain = async () => {
       while (held.length > 0) held.pop()?.();
@@ -289,11 +289,11 @@
     serving(
       () => ({ status: 200, body: answer }),
       async (b) => {
-        const workers = new WorkerClient(60_000, 1);
+        const workers = new AgentClient(60_000, 1);
         const send = (port: number) =>
           workers.command(`127.0.0.1:${port}`, 1, 1, [], new AbortController().signal, () => true);
         const first = send(a);
-        await assert.rejects(send(b), NotSent);
+        await assert.rejects(send(b), NotSentError);
         while (!release) await new Promise(setImmediate);
         release();
         assert.equal((await first).executed, true);
--- a/test/leadership.test.ts
+++ b/test/leadership.test.ts
@@ -1,25 +1,29 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEADER_KEY, Leadership, type Term } from '../src/controller/election/leader-election.js';
-import { inTime } from '../src/runtime/clock.js';
+import {
+  LEADER_KEY,
+  LeaderElection,
+  type LeaderTerm,
+} from '../src/controller/election/leader-election.js';
+import { waitWhileLagging } from '../src/runtime/clock.js';
 import { FakeClock } from './support/clock.js';
-import { context } from './support/context.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 
 function world() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
-  const terms: Term[] = [];
+  const terms: LeaderTerm[] = [];
   const node = (name: string, incarnation = `${name}-1`) => {
-    const state = new FakeState(store);
-    const ctx = { ...context(name, state, clock), incarnation };
+    const state = new FakeStateService(store);
+    const ctx = { ...createContext(name, state, clock), incarnation };
     const own = new AbortController();
     stop.signal.addEventListener('abort', () => own.abort());
-    const leadership = new Leadership(ctx, (term) => {
+    const leadership = new LeaderElection(ctx, (term) => {
       terms.push(term);
       // The stand-in of a leader has read all jobs at once.
-      term.informed(clock.now());
+      term.setCancellationsKnownAt(clock.now());
       return new Promise((resolve) => {
         term.signal.addEventListener('abort', () => resolve(), { once: true });
       });
@@ -49,18 +53,18 @@
   await w.clock.advance(3000);
   const old = first.leadership.current;
   assert.ok(old);
-  assert.ok(old.proven());
+  assert.ok(old.isProven());
   // The node loses the state service alone; its lease runs out there.
   first.state.fault = 'refuse';
   for (let i = 0; i < 200 && !second.leadership.current; i++) {
     await w.clock.advance(50);
-    assert.ok(!(old.proven() && second.leadership.current));
+    assert.ok(!(old.isProven() && second.leadership.current));
   }
-  assert.equal(second.leadership.current?.term, old.term + 1);
-  assert.ok(old.mayAnswer());
+  assert.equal(second.leadership.current?.number, old.number + 1);
+  assert.ok(old.mayRenewAgentLeases());
   // A peer tells of the later term.
-  first.leadership.heardOf(old.term + 1);
-  assert.equal(old.mayAnswer(), false);
+  first.leadership.observeTerm(old.number + 1);
+  assert.equal(old.mayRenewAgentLeases(), false);
   w.stop.abort();
 });
 
@@ -74,7 +78,7 @@
   w.store.grant(1);
   const again = w.node('n-0', 'n-0-2');
   await w.clock.advance(500);
-  assert.equal(again.leadership.current?.term, 2);
+  assert.equal(again.leadership.current?.number, 2);
   w.stop.abort();
 });
 
@@ -104,8 +108,8 @@
   const record = w.store.entries.get(LEADER_KEY)?.value as { incarnation: string; term: number };
   assert.ok(['n-0-3', 'n-1-1'].includes(record.incarnation), record.incarnation);
   assert.equal([third, other].filter((n) => n.leadership.current).length, 1);
-  assert.equal(w.terms.at(-1)?.term, record.term);
-  assert.equal(new Set(w.terms.map((t) => t.term)).size, w.terms.length);
+  assert.equal(w.terms.at(-1)?.number, record.term);
+  assert.equal(new Set(w.terms.map((t) => t.number)).size, w.terms.length);
   w.stop.abort();
 });
 
@@ -119,12 +123,12 @@
   const { touch } = node.state;
   let n = 0;
   node.state.touch = async (lease) => {
-    if (n++ % 2 === 0) await w.clock.sleep(node.ctx.timing.provenMs * 1.2);
+    if (n++ % 2 === 0) await w.clock.sleep(node.ctx.timing.leadershipProofMs * 1.2);
     return touch.call(node.state, lease);
   };
   for (let i = 0; i < 40; i++) {
     await w.clock.advance(500);
-    assert.ok(term.proven(), `unproven after ${i}`);
+    assert.ok(term.isProven(), `unproven after ${i}`);
   }
   assert.equal(w.terms.length, 1);
   w.stop.abort();
@@ -137,7 +141,7 @@
   await w.clock.advance(3000);
   a.state.fault = null;
   await w.clock.advance(4000);
-  const term = a.leadership.current?.term;
+  const term = a.leadership.current?.number;
   assert.ok(term);
   const held = w.store.entries.get(LEADER_KEY)?.version;
   for (const late of a.state.late) {
@@ -158,11 +162,11 @@
   const term = a.leadership.current;
   assert.ok(term);
   a.state.fault = 'refuse';
-  await w.clock.advance(a.ctx.timing.provenMs);
-  assert.equal(term.proven(), false);
-  assert.equal(term.mayAnswer(), true);
-  await w.clock.advance(a.ctx.timing.answerMs);
-  assert.equal(term.mayAnswer(), false);
+  await w.clock.advance(a.ctx.timing.leadershipProofMs);
+  assert.equal(term.isProven(), false);
+  assert.equal(term.mayRenewAgentLeases(), true);
+  await w.clock.advance(a.ctx.timing.agentRenewalMs);
+  assert.equal(term.mayRenewAgentLeases(), false);
   w.stop.abort();
 });
 
@@ -180,11 +184,11 @@
     },
   };
   const { signal } = new AbortController();
-  await inTime(clock, 100, 60_000, signal);
+  await waitWhileLagging(clock, 100, 60_000, signal);
   assert.deepEqual(waits, [10, 800, 10, 180, 10]);
   // Late without end: it is put off no longer than asked for.
   waits.length = 0;
   behind.push(...Array(9).fill(100));
-  await inTime(clock, 100, 500, signal);
+  await waitWhileLagging(clock, 100, 500, signal);
   assert.deepEqual(waits, [10, 200, 10]);
 });
--- a/test/mail.test.ts
+++ b/test/mail.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Mail } from '../src/controller/heartbeats/mailbox.js';
+import { Mailbox } from '../src/controller/heartbeats/mailbox.js';
 import { FakeClock, settle } from './support/clock.js';
-import { context } from './support/context.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 
 test('mail is asked and answered through the state service, and leaves nothing behind', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
   const node = (name: string, answer: (text: string) => Promise<unknown>) => {
-    const mail = new Mail(context(name, new FakeState(store), clock), answer);
+    const mail = new Mailbox(createContext(name, new FakeStateService(store), clock), answer);
     void mail.run(stop.signal);
     return mail;
   };
@@ -18,12 +18,12 @@
   node('n-1', (text) => Promise.resolve({ got: text }));
   await settle();
   const [one, two] = await Promise.all([
-    a.ask('n-1', 'm-1', 'first', 1000),
-    a.ask('n-1', 'm-2', 'second', 1000),
+    a.request('n-1', 'm-1', 'first', 1000),
+    a.request('n-1', 'm-2', 'second', 1000),
   ]);
   assert.deepEqual([one, two], [{ got: 'first' }, { got: 'second' }]);
   // A node that is not there answers nothing.
-  const lost = assert.rejects(a.ask('n-2', 'm-1', 'x', 1000), /not answered/);
+  const lost = assert.rejects(a.request('n-2', 'm-1', 'x', 1000), /not answered/);
   await clock.advance(1000);
   await lost;
   await clock.advance(60_000);
--- a/test/meetings-history.test.ts
+++ b/test/meetings-history.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { Controller } from './support/controller.js';
-import type { PlayedMachine } from './support/scripted-machine.js';
+import type { ScriptedController } from './support/controller.js';
+import type { ScriptedMachine } from './support/scripted-machine.js';
 import { World } from './support/world.js';
 
 const SEEDS = 12;
@@ -135,14 +135,14 @@
     this.carryOut();
   }
 
-  private machine(m: PlayedMachine, what: 'deaf' | 'mute', ms: number): void {
+  private machine(m: ScriptedMachine, what: 'deaf' | 'mute', ms: number): void {
     m[what] = true;
     this.world.later(ms, () => {
       m[what] = false;
     });
   }
 
-  private refuse(c: Controller, ms: number): void {
+  private refuse(c: ScriptedController, ms: number): void {
     if (c.dead) return;
     c.state.fault = 'refuse';
     this.world.later(ms, () => {
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ScriptedWorker } from './support/scheduler.js';
+import { ScriptedAgent } from './support/scheduler.js';
 import { onWire } from './support/wire.js';
 import { World } from './support/world.js';
 
@@ -78,8 +78,8 @@
     await w.run(5);
     const c = w.controllers.find((x) => x.leader);
     if (!c) continue;
-    assert.equal(c.leadership.current?.mayAnswer(), false);
-    const answer = c.reports.handle(onWire(new ScriptedWorker('n-1').report()));
+    assert.equal(c.leadership.current?.mayRenewAgentLeases(), false);
+    const answer = c.reports.handle(onWire(new ScriptedAgent('n-1').heartbeat()));
     await w.run(2);
     assert.equal((await answer).status, 503);
     c.leadership.current?.resign('by script');
@@ -103,11 +103,11 @@
   const leader = w.leading;
   assert.ok(leader);
   // Its first report goes through, then it is cut off for good: the answer has to do.
-  const report = m.worker.report();
-  assert.ok(report.term < (leader.leadership.current?.term ?? 0));
-  const { orders } = leader.leader?.report(report, false) ?? { orders: [] };
+  const report = m.worker.heartbeat();
+  assert.ok(report.term < (leader.leadership.current?.number ?? 0));
+  const { orders } = leader.leader?.handleHeartbeat(report, false) ?? { orders: [] };
   const stops = orders.filter((o) => o.op === 'stop' && o.job === ids[0]);
-  assert.equal(stops.length, report.tasks.filter((t) => t.job === ids[0]).length);
+  assert.equal(stops.length, report.tasks.filter((t) => t.jobId === ids[0]).length);
   assert.ok(stops.length > 0);
   // Under a later term's own token, without proof, the same.
   assert.equal(orders.length, stops.length);
@@ -135,8 +135,8 @@
   assert.ok(await w.cancel(ids[0] as string, w.other));
   await w.run(22);
   // It leads on, its renewals are answered, and it starts nothing.
-  assert.ok(leader.leadership.current?.proven());
-  assert.equal(leader.leadership.current?.mayStart(), false);
+  assert.ok(leader.leadership.current?.isProven());
+  assert.equal(leader.leadership.current?.mayStartTasks(), false);
   // In the end another leads.
   await w.run(38);
   assert.equal(runningOf(w, ids[0] as string), 0);
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -1,31 +1,31 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { RosterEntry } from '../src/model/model.js';
-import { FrameReader, frame } from '../src/peer/frames.js';
+import { FrameReader, packFrame } from '../src/peer/frames.js';
 import {
   decodeFirstPage,
-  decodeLoad,
-  decodeLoads,
+  decodeForecast,
+  decodeForecasts,
   encodeFirstPage,
+  encodeForecast,
   encodeFurtherPage,
-  encodeLoad,
-  type StoredTaskShape,
+  type StoredResourceRequest,
 } from '../src/records/demand-record.js';
 import {
+  decodeDependencyListHeader,
   decodeJobIds,
-  decodeListHeader,
+  encodeDependencyListHeader,
   encodeJobIds,
-  encodeListHeader,
   encodeRemoval,
 } from '../src/records/dependency-list-record.js';
 import { decodeFinishedTasks, encodeFinishedTasks } from '../src/records/finished-tasks-record.js';
 import { decodeJobEnd, encodeJobEnd } from '../src/records/job-end-record.js';
 import {
   decodeJobSpec,
-  decodeLiveRecord,
+  decodeLiveJob,
   encodeJobSpec,
-  encodeLiveRecord,
-  type LiveRecord,
+  encodeLiveJob,
+  type LiveJobRecord,
 } from '../src/records/job-record.js';
 import {
   decodeLeaderRecord,
@@ -38,7 +38,11 @@
   decodeMachineTypes,
   encodeMachineTypes,
 } from '../src/records/machine-type-record.js';
-import { decodeMail, encodeMailAnswer, encodeMailQuestion } from '../src/records/mailbox-record.js';
+import {
+  decodeMailboxMessage,
+  encodeMailboxRequest,
+  encodeMailboxResponse,
+} from '../src/records/mailbox-record.js';
 import { decodeFrame, encodeFrame } from '../src/records/peer-frames.js';
 import {
   decodeCancellation,
@@ -54,9 +58,9 @@
   encodeRosterPage,
 } from '../src/records/roster-record.js';
 import { mapObject } from '../src/records/stored-form.js';
-import type { Load } from '../src/scheduler/scaling/scale-out.js';
+import type { DemandForecast } from '../src/scheduler/scaling/scale-out.js';
 import { PEER_FRAMES, WRITTEN } from './support/records.js';
-import { spec, TYPE } from './support/scheduler.js';
+import { jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 
 /** Reads a stored value into the model and writes the model again; throws when it is not readable. */
 type RoundTrip = (value: unknown, key: string) => unknown;
@@ -68,12 +72,12 @@
 
 /** The codec of each key by the first part of its name. */
 const ROUND_TRIPS: Record<string, RoundTrip> = {
-  live: (value) => encodeLiveRecord(readable(decodeLiveRecord(value))),
+  live: (value) => encodeLiveJob(readable(decodeLiveJob(value))),
   upstream: (value) => encodeJobIds(decodeJobIds(value)),
   needs: (value) => encodeJobIds(decodeJobIds(value)),
   lists: (value) => {
-    const header = readable(decodeListHeader(value));
-    return header.removing ? encodeRemoval(header) : encodeListHeader(header);
+    const header = readable(decodeDependencyListHeader(value));
+    return header.removing ? encodeRemoval(header) : encodeDependencyListHeader(header);
   },
   over: (value) => {
     const record = readable(decodeJobEnd(value));
@@ -82,14 +86,15 @@
   bits: (value) => encodeFinishedTasks(readable(decodeFinishedTasks(value))),
   roster: (value, key) => encodeRosterPage(decodeRosterPage(key, value)),
   loads: (value, key) => {
-    if (key !== 'loads') return encodeFurtherPage(readable(decodeLoads(value)).map(encodeLoad));
+    if (key !== 'loads')
+      return encodeFurtherPage(readable(decodeForecasts(value)).map(encodeForecast));
     const { loads, upTo, more } = readable(decodeFirstPage(value));
-    return encodeFirstPage(loads.map(encodeLoad), upTo, more);
+    return encodeFirstPage(loads.map(encodeForecast), upTo, more);
   },
   types: (value) => encodeMachineTypes(readable(decodeMachineTypes(value))),
   mail: (value) => {
-    const mail = readable(decodeMail(value));
-    return mail.kind === 'ask' ? encodeMailQuestion(mail) : encodeMailAnswer(mail);
+    const mail = readable(decodeMailboxMessage(value));
+    return mail.kind === 'ask' ? encodeMailboxRequest(mail) : encodeMailboxResponse(mail);
   },
   leader: (value) => encodeLeaderRecord(readable(decodeLeaderRecord(value))),
   term: (value) => encodeTerm(readable(decodeTerm(value))),
@@ -111,7 +116,7 @@
   for (const [name, hex] of Object.entries(PEER_FRAMES)) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
     const read = readable(decodeFrame(value));
-    assert.equal(frame(encodeFrame(read)).toString('hex'), hex, name);
+    assert.equal(packFrame(encodeFrame(read)).toString('hex'), hex, name);
   }
   const payloads: [string, (value: unknown) => unknown][] = [
     [PEER_FRAMES.user, (v) => encodeRequest(readable(decodeRequest(v)))],
@@ -124,32 +129,39 @@
     const read = readable(decodeFrame(value));
     assert.ok(read.kind !== 'status');
     const again = encodeFrame({ ...read, payload: roundTrip(read.payload) });
-    assert.equal(frame(again).toString('hex'), hex);
+    assert.equal(packFrame(again).toString('hex'), hex);
   }
 });
 
 test('a model that is written is read as it was', () => {
-  const job = spec({ types: ['m16'], zone: 'b', deadlineS: 30 });
+  const job = jobSpec({ machineTypes: ['m16'], zone: 'b', deadlineS: 30 });
   const throughText = (stored: unknown): unknown => JSON.parse(JSON.stringify(stored));
   assert.deepEqual(decodeJobSpec(throughText(encodeJobSpec(job))), job);
-  const records: LiveRecord[] = [
-    { spec: job, at: 7 },
-    { spec: job, at: 7, upstream: ['req-1'], upstreamPages: 2 },
-    { spec: job, at: 7, upstream: ['req-1/list'], upstreamList: { token: 'ab', pages: 3 } },
+  const records: LiveJobRecord[] = [
+    { spec: job, acceptedAt: 7 },
+    { spec: job, acceptedAt: 7, dependencies: ['req-1'], dependencyPages: 2 },
+    {
+      spec: job,
+      acceptedAt: 7,
+      dependencies: ['req-1/list'],
+      dependencyList: { token: 'ab', pages: 3 },
+    },
   ];
   for (const record of records)
-    assert.deepEqual(decodeLiveRecord(throughText(encodeLiveRecord(record))), record);
-  const load: Load = {
+    assert.deepEqual(decodeLiveJob(throughText(encodeLiveJob(record))), record);
+  const load: DemandForecast = {
     spec: job,
     mean: 0.5,
     variance: 2,
-    shape: { cpus: 1.5, gpus: 0, memoryGb: 3 },
-    holdS: 20.6,
-    gapMs: null,
-    quietMs: 9,
+    meanRequest: { cpus: 1.5, gpus: 0, memoryGb: 3 },
+    occupancyS: 20.6,
+    arrivalIntervalMs: null,
+    sinceLastArrivalMs: 9,
   };
-  assert.deepEqual(decodeLoad(throughText(encodeLoad(load))), load);
-  assert.deepEqual(decodeMachineTypes(throughText(encodeMachineTypes([TYPE]))), [TYPE]);
+  assert.deepEqual(decodeForecast(throughText(encodeForecast(load))), load);
+  assert.deepEqual(decodeMachineTypes(throughText(encodeMachineTypes([MACHINE_TYPE]))), [
+    MACHINE_TYPE,
+  ]);
   const machine: RosterEntry = {
     id: 'n-1',
     type: 'm16',
@@ -166,15 +178,15 @@
 test('what is no object is no record, and is left to its reader as it stands', () => {
   const decoders: Record<string, (value: unknown) => unknown> = {
     decodeJobSpec,
-    decodeLiveRecord,
+    decodeLiveJob,
     decodeJobEnd,
-    decodeListHeader,
+    decodeDependencyListHeader,
     decodeRosterEntry,
-    decodeLoad,
-    decodeLoads,
+    decodeForecast,
+    decodeForecasts,
     decodeFirstPage,
     decodeMachineType,
-    decodeMail,
+    decodeMailboxMessage,
     decodeLeaderRecord,
     decodeFrame,
     decodeRequest,
@@ -193,15 +205,15 @@
 });
 
 test('records that lack fields are read without them, and those that must be whole are not', () => {
-  for (const decode of [decodeJobSpec, decodeMachineType, decodeLoad]) {
+  for (const decode of [decodeJobSpec, decodeMachineType, decodeForecast]) {
     const model = readable<object>(decode({}));
     assert.ok(Object.values(model).every((value) => value === undefined));
   }
-  const live = readable(decodeLiveRecord({ spec: null, at: 'x' }));
-  assert.deepEqual([live.spec, live.at], [null, 'x']);
+  const live = readable(decodeLiveJob({ spec: null, at: 'x' }));
+  assert.deepEqual([live.spec, live.acceptedAt], [null, 'x']);
   // Null is not the same as absent to those who ask whether there is a list.
-  assert.equal(readable(decodeLiveRecord({ upstreamList: null })).upstreamList, null);
-  assert.equal(readable(decodeLiveRecord({})).upstreamList, undefined);
+  assert.equal(readable(decodeLiveJob({ upstreamList: null })).dependencyList, null);
+  assert.equal(readable(decodeLiveJob({})).dependencyList, undefined);
   const end = readable(decodeJobEnd({}));
   assert.deepEqual([end.state, end.tasks, end.at], [undefined, undefined, undefined]);
   const alone: RosterEntry = { id: 'n-7', type: 'm16', zone: 'a', spot: false, address: '' };
@@ -209,7 +221,7 @@
   assert.deepEqual(decodeRosterPage('p', { machines: [null, 5] }), []);
   assert.deepEqual(decodeFirstPage({ loads: [], upTo: 3 }), { loads: [], upTo: 3, more: 0 });
   for (const odd of [{}, { kind: 'ask' }, { kind: 'ask', text: 5 }, { kind: 'status' }])
-    assert.equal(decodeMail(odd), null);
+    assert.equal(decodeMailboxMessage(odd), null);
   for (const odd of [{}, { kind: 'odd' }, { kind: 'status' }, { kind: 'status', status: [] }])
     assert.equal(decodeFrame(odd), null);
   const leader = { node: 'n-0', incarnation: 'i', term: 1, lease: 2 };
@@ -220,21 +232,24 @@
 test('in what is read and written again, fields of a later version stay where they are', () => {
   const stored = {
     later: 1,
-    spec: { region: 'r', ...encodeJobSpec(spec()) },
+    spec: { region: 'r', ...encodeJobSpec(jobSpec()) },
     mean: 1,
     variance: 2,
     shape: { disks: 2, cpus: 1, gpus: 0, memoryGb: 1 },
     gapMs: 5,
     quietMs: 6,
   };
-  const load = readable(decodeLoad(stored));
+  const load = readable(decodeForecast(stored));
   load.mean = 4;
-  load.holdS = 9;
-  assert.equal(JSON.stringify(encodeLoad(load)), JSON.stringify({ ...stored, mean: 4, holdS: 9 }));
+  load.occupancyS = 9;
+  assert.equal(
+    JSON.stringify(encodeForecast(load)),
+    JSON.stringify({ ...stored, mean: 4, holdS: 9 }),
+  );
   // What is made anew has nothing of it.
-  load.shape = { cpus: 2, gpus: 0, memoryGb: 2 };
-  const shape: StoredTaskShape = { cpus: 2, gpus: 0, memoryGb: 2 };
-  assert.deepEqual(encodeLoad(load).shape, shape);
-  const header = readable(decodeListHeader({ by: 'n-1', pages: 2, removing: false }));
+  load.meanRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
+  const shape: StoredResourceRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
+  assert.deepEqual(encodeForecast(load).shape, shape);
+  const header = readable(decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }));
   assert.equal(JSON.stringify(encodeRemoval(header)), '{"by":"n-1","pages":2,"removing":true}');
 });
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -3,14 +3,14 @@
 import net from 'node:net';
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { Context } from '../src/controller/context.js';
+import type { ControllerContext } from '../src/controller/context.js';
 import { Peers } from '../src/controller/membership/peers.js';
-import type { Status } from '../src/peer/peer-network.js';
+import type { PeerStatus } from '../src/peer/peer-network.js';
 import { FakeClock, settle } from './support/clock.js';
 import { recordingNode } from './support/recording.js';
 import { PEER_FRAMES } from './support/records.js';
 
-const SENT_STATUS: Status = {
+const SENT_STATUS: PeerStatus = {
   node: 'n-0',
   incarnation: 'n-0-1',
   sentAt: 1_800_000_001_000,
@@ -52,7 +52,7 @@
   await once(free, 'close');
   const node = recordingNode(clock);
   const peerPort = (listener.address() as net.AddressInfo).port;
-  const ctx: Context = {
+  const ctx: ControllerContext = {
     ...node.ctx,
     platform: {
       ...node.ctx.platform,
@@ -115,7 +115,7 @@
     );
     assert.equal(m.heard().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
     m.send(PEER_FRAMES.peerStatus);
-    await until(() => m.peers.hears('n-1'), settle);
+    await until(() => m.peers.isReachable('n-1'), settle);
     assert.deepEqual(m.taken, [['term', 2]]);
     const ask = async (question: () => Promise<unknown>, sent: string, answer: string) => {
       m.forget();
@@ -124,10 +124,14 @@
       m.reply(answer);
       return asked;
     };
-    await ask(() => m.peers.announce('req-000412', 90), PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
+    await ask(
+      () => m.peers.announceCancellation('req-000412', 90),
+      PEER_FRAMES.cancelled,
+      PEER_FRAMES.nothing,
+    );
     assert.deepEqual(
       await ask(
-        () => m.peers.passUser('n-1', 'POST', '/v1/jobs', Buffer.from('{"id":"req-1"}')),
+        () => m.peers.forwardRequest('n-1', 'POST', '/v1/jobs', Buffer.from('{"id":"req-1"}')),
         PEER_FRAMES.user,
         PEER_FRAMES.userReply,
       ),
@@ -135,7 +139,7 @@
     );
     assert.deepEqual(
       await ask(
-        () => m.peers.passReport('n-1', Buffer.from('{"cart":"m-7"}')),
+        () => m.peers.forwardHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
         PEER_FRAMES.report,
         PEER_FRAMES.reportReply,
       ),
@@ -172,11 +176,11 @@
   const m = await meeting();
   try {
     m.send(PEER_FRAMES.earlierStatus);
-    await until(() => m.peers.hears('n-1'), settle);
+    await until(() => m.peers.isReachable('n-1'), settle);
     assert.equal(m.peers.leaderMemoryIsShort(), false);
-    assert.deepEqual(m.peers.countsOf('req-000412'), { done: 9, running: 4 });
-    assert.equal(m.peers.heardLeading('n-1', 3), m.clock.now());
-    assert.equal(m.peers.served(), 'n-1');
+    assert.deepEqual(m.peers.taskCountsOf('req-000412'), { done: 9, running: 4 });
+    assert.equal(m.peers.lastLedAt('n-1', 3), m.clock.now());
+    assert.equal(m.peers.servedPeer(), 'n-1');
   } finally {
     m.end();
   }
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -2,23 +2,23 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../src/config/policy.js';
-import { Users } from '../src/controller/api/job-api.js';
+import { JobApi } from '../src/controller/api/job-api.js';
 import { JobStore } from '../src/controller/api/job-store.js';
-import type { Context } from '../src/controller/context.js';
-import { Leadership } from '../src/controller/election/leader-election.js';
-import { Mail } from '../src/controller/heartbeats/mailbox.js';
-import { Loads } from '../src/controller/leader/demand-store.js';
-import { UpstreamListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
-import { corePolicy, Leader } from '../src/controller/leader/leader.js';
-import { readTypes, storeTypes } from '../src/controller/machine-types.js';
+import type { ControllerContext } from '../src/controller/context.js';
+import { LeaderElection } from '../src/controller/election/leader-election.js';
+import { Mailbox } from '../src/controller/heartbeats/mailbox.js';
+import { DemandStore } from '../src/controller/leader/demand-store.js';
+import { DependencyListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
+import { Leader, schedulerPolicy } from '../src/controller/leader/leader.js';
+import { readMachineTypes, storeMachineTypes } from '../src/controller/machine-types.js';
 import type { JobSpec } from '../src/model/model.js';
-import type { OverRecord } from '../src/records/job-end-record.js';
-import { Priority } from '../src/runtime/request-budget.js';
-import { Renting } from '../src/scheduler/scaling/scale-out.js';
+import type { EndedJobRecord } from '../src/records/job-end-record.js';
+import { RequestPriority } from '../src/runtime/request-budget.js';
+import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
 import { recordingNode } from './support/recording.js';
 import { LONG_IDS, WRITTEN } from './support/records.js';
-import { cluster, spec, TYPE } from './support/scheduler.js';
+import { createCluster, jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 import type { FakeStore } from './support/state.js';
 
 const never = new AbortController().signal;
@@ -40,28 +40,32 @@
 const LOADS = textOf(WRITTEN.loads, 'loads');
 
 /** A leader that takes over what the store holds, and what it logs. */
-async function takeover(ctx: Context) {
+async function takeover(ctx: ControllerContext) {
   const logged: { level: number; msg: string; key?: string }[] = [];
   const log = pino({ level: 'info' }, { write: (line: string) => logged.push(JSON.parse(line)) });
   const stop = new AbortController();
   const term = {
-    term: 4,
+    number: 4,
     version: 1000,
     signal: stop.signal,
-    proven: () => true,
-    mayStart: () => true,
-    mayAnswer: () => true,
-    informed: () => {},
+    isProven: () => true,
+    mayStartTasks: () => true,
+    mayRenewAgentLeases: () => true,
+    setCancellationsKnownAt: () => {},
     resign: () => {},
   };
   const cloud = {
-    types: async () => [TYPE],
+    types: async () => [MACHINE_TYPE],
     list: async () => ({ machines: [], more: false }),
-    rent: async () => null,
-    giveBack: async () => {},
+    provision: async () => null,
+    terminate: async () => {},
   };
-  const workers = { command: () => Promise.reject(new Error()), keep: () => {}, close: () => {} };
-  const leader = new Leader({ ...ctx, log }, cloud, term, corePolicy(DEFAULT_POLICY), workers);
+  const workers = {
+    command: () => Promise.reject(new Error()),
+    retainOnly: () => {},
+    close: () => {},
+  };
+  const leader = new Leader({ ...ctx, log }, cloud, term, schedulerPolicy(DEFAULT_POLICY), workers);
   const ended = leader.run().catch(() => {});
   await settle();
   assert.ok(leader.ready);
@@ -87,29 +91,32 @@
     ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'],
   );
   const full: JobSpec = {
-    ...spec(),
+    ...jobSpec(),
     id: 'req-000002',
-    rank: 0,
+    priority: 0,
     tasks: 2,
     cpus: 2,
     gpus: 1,
     memoryGb: 4,
-    types: ['m16', 'g8'],
+    machineTypes: ['m16', 'g8'],
     zone: 'b',
-    oneZone: true,
-    spread: true,
-    estimateS: 10.5,
-    checkpointS: 60,
-    saveS: 2,
+    singleZone: true,
+    zoneAntiAffinity: true,
+    estimatedDurationS: 10.5,
+    checkpointIntervalS: 60,
+    checkpointCostS: 2,
     deadlineS: 300,
   };
   assert.deepEqual(jobs.get('req-000002')?.spec, full);
   const acceptedAt = [...jobs.values()].map((job) => job.acceptedAt);
   assert.deepEqual(acceptedAt, Array(5).fill(1_800_000_001_000));
-  assert.deepEqual([...(jobs.get('req-000003')?.waitsFor ?? [])], ['req-000001', 'req-000002']);
-  assert.deepEqual([...(jobs.get('req-000004')?.waitsFor ?? [])], LONG_IDS);
-  assert.deepEqual([...(jobs.get('req-000005')?.waitsFor ?? [])], LONG_IDS);
-  assert.equal(jobs.get('req-000001')?.done, 1);
+  assert.deepEqual(
+    [...(jobs.get('req-000003')?.pendingDependencies ?? [])],
+    ['req-000001', 'req-000002'],
+  );
+  assert.deepEqual([...(jobs.get('req-000004')?.pendingDependencies ?? [])], LONG_IDS);
+  assert.deepEqual([...(jobs.get('req-000005')?.pendingDependencies ?? [])], LONG_IDS);
+  assert.equal(jobs.get('req-000001')?.doneCount, 1);
   assert.equal(jobs.get('req-000002')?.isDone(1), true);
   assert.deepEqual(
     [...machines.values()].map((m) => [m.id, m.typeName, m.zone, m.spot, m.address]),
@@ -160,7 +167,7 @@
     errors,
     ['live/a', 'live/b', 'live/c', 'live/d'].map((key) => ['live job is not readable', key]),
   );
-  assert.equal(leader.cluster.jobs.get('req-000001')?.done, 0);
+  assert.equal(leader.cluster.jobs.get('req-000001')?.doneCount, 0);
   await end();
 });
 
@@ -170,17 +177,17 @@
   seed(store, ['live/odd', 'null'], ['live/req-000009', FULL]);
   const jobs = new JobStore(ctx);
   for (const id of ['req-000004', 'req-000005']) {
-    const found = await jobs.find(id, Priority.users);
+    const found = await jobs.find(id, RequestPriority.users);
     assert.ok(found?.live);
-    assert.deepEqual(await jobs.upstreamOf(id, found.record, Priority.users), LONG_IDS);
+    assert.deepEqual(await jobs.dependenciesOf(id, found.record, RequestPriority.users), LONG_IDS);
   }
-  const done = await jobs.find('req-000001', Priority.users);
-  const doneEnd: OverRecord = { state: 'done', tasks: 3, at: 1_800_000_001_000 };
+  const done = await jobs.find('req-000001', RequestPriority.users);
+  const doneEnd: EndedJobRecord = { state: 'done', tasks: 3, at: 1_800_000_001_000 };
   assert.deepEqual(done?.record, doneEnd);
-  const cancelled = await jobs.findEnd('req-000002', Priority.users);
-  const cancelledEnd: OverRecord = { state: 'cancelled', tasks: 3 };
+  const cancelled = await jobs.findEnd('req-000002', RequestPriority.users);
+  const cancelledEnd: EndedJobRecord = { state: 'cancelled', tasks: 3 };
   assert.deepEqual(cancelled?.record, cancelledEnd);
-  const users = new Users(
+  const users = new JobApi(
     ctx,
     () => null,
     async () => {},
@@ -198,7 +205,7 @@
 test('a record that is none is not believed, and ends nothing', async () => {
   const { ctx, store } = recordingNode(new FakeClock());
   seed(store, ['live/req-000001', 'null'], ['live/req-000002', '5'], ['over/req-000003', 'null']);
-  const users = new Users(
+  const users = new JobApi(
     ctx,
     () => null,
     async () => {},
@@ -216,15 +223,15 @@
   const live = PLAIN.replace('"oneZone"', '"region":"r","oneZone"');
   seed(store, ['loads', loads], ['live/req-000001', live]);
   const stop = new AbortController();
-  const term = { term: 1, version: 0, signal: stop.signal } as never;
-  const first = new Renting(cluster());
-  const kept = new Loads(ctx, term, first);
+  const term = { number: 1, version: 0, signal: stop.signal } as never;
+  const first = new ScaleOutPlanner(createCluster());
+  const kept = new DemandStore(ctx, term, first);
   await kept.read();
-  const found = await new JobStore(ctx).find('req-000001', Priority.users);
+  const found = await new JobStore(ctx).find('req-000001', RequestPriority.users);
   assert.ok(found?.live);
-  kept.arrived(found.record.spec, 99);
+  kept.recordArrival(found.record.spec, 99);
   void kept.run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.loadsMs + 1);
+  await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
   const { spec } = JSON.parse(live) as { spec: object };
@@ -238,23 +245,23 @@
 
 test('machine types are read, and kept as they stand unless more than a price differs', async () => {
   const { ctx, store, state } = recordingNode(new FakeClock());
-  const cloud = { types: async () => [TYPE] };
-  const g8 = { ...TYPE, name: 'g8', gpus: 8 };
+  const cloud = { types: async () => [MACHINE_TYPE] };
+  const g8 = { ...MACHINE_TYPE, name: 'g8', gpus: 8 };
   seed(store, ...WRITTEN.types);
-  assert.deepEqual(await readTypes(ctx, cloud, never), [TYPE, g8]);
-  await storeTypes(ctx, [TYPE, g8], never);
+  assert.deepEqual(await readMachineTypes(ctx, cloud, never), [MACHINE_TYPE, g8]);
+  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
   assert.deepEqual(state.written, []);
   // A later version's field is no longer there once this one has written.
   seed(store, ['types', textOf(WRITTEN.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1')]);
   assert.deepEqual(
-    (await readTypes(ctx, cloud, never)).map((t) => t.gpus),
+    (await readMachineTypes(ctx, cloud, never)).map((t) => t.gpus),
     [0, 8],
   );
-  await storeTypes(ctx, [TYPE, g8], never);
+  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
   assert.deepEqual(state.written, WRITTEN.types);
   for (const odd of ['{}', '[]', 'null', '"x"']) {
     seed(store, ['types', odd]);
-    assert.deepEqual(await readTypes(ctx, cloud, never), [TYPE]);
+    assert.deepEqual(await readMachineTypes(ctx, cloud, never), [MACHINE_TYPE]);
   }
 });
 
@@ -265,8 +272,8 @@
   const [[key] = ['']] = WRITTEN.upstreamList;
   seed(store, [key, '{"by":"n-1","pages":2}']);
   const stop = new AbortController();
-  void new UpstreamListCleaner(ctx, new Map()).run(stop.signal);
-  await clock.advance(ctx.timing.orphanListMs + ctx.timing.workerLeaseMs * 3);
+  void new DependencyListCleaner(ctx, new Map()).run(stop.signal);
+  await clock.advance(ctx.timing.orphanListMs + ctx.timing.agentLeaseMs * 3);
   stop.abort();
   assert.deepEqual(state.written, [[key, '{"by":"n-1","pages":2,"removing":true}']]);
   assert.deepEqual([...store.entries.keys()], []);
@@ -277,13 +284,13 @@
   const { ctx, store } = recordingNode(clock);
   seed(store, ['leader', '{"node":"n-1","incarnation":"n-1-1","term":6,"lease":3}'], ['term', '6']);
   const stop = new AbortController();
-  const leadership = new Leadership(ctx, () => new Promise(() => {}));
+  const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
   void leadership.run(stop.signal);
   await settle();
-  assert.deepEqual([leadership.leader, leadership.knownTerm], ['n-1', 6]);
+  assert.deepEqual([leadership.leader, leadership.observedTerm], ['n-1', 6]);
   store.transact([], [{ op: 'delete', key: 'leader' }]);
   await clock.advance(5000);
-  assert.equal(leadership.current?.term, 7);
+  assert.equal(leadership.current?.number, 7);
   stop.abort();
 });
 
@@ -292,10 +299,10 @@
   const { ctx, store, state } = recordingNode(clock);
   const stop = new AbortController();
   const texts: string[] = [];
-  const mail = new Mail(ctx, async (text) => texts.push(text));
+  const mail = new Mailbox(ctx, async (text) => texts.push(text));
   void mail.run(stop.signal);
   await settle();
-  const late = assert.rejects(mail.ask('n-1', 'm-7', 'x', 1000), /not answered/);
+  const late = assert.rejects(mail.request('n-1', 'm-7', 'x', 1000), /not answered/);
   await settle();
   seed(
     store,
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -1,43 +1,49 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { round } from '../src/scheduler/placement/placement-round.js';
-import { Renting } from '../src/scheduler/scaling/scale-out.js';
-import { beat, cluster, joined, ScriptedWorker, spec } from './support/scheduler.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
+import {
+  createCluster,
+  jobSpec,
+  joinCluster,
+  ScriptedAgent,
+  sendHeartbeat,
+} from './support/scheduler.js';
 
 const sum = (plans: { count: number }[]) => plans.reduce((n, p) => n + p.count, 0);
 
 test('unplaced work is rented for, cheapest kind first, and what boots counts', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  c.addJob(spec({ tasks: 24, estimateS: 60 }), 1, 0, false);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  c.addJob(jobSpec({ tasks: 24, estimatedDurationS: 60 }), 1, 0, false);
   const plans = r.plan(0);
   assert.ok(sum(plans) >= 5 && sum(plans) <= 7);
   assert.ok(plans.every((p) => p.spot));
   let n = 0;
   for (const p of plans)
-    for (let i = 0; i < p.count; i++) c.machine(`n-${++n}`, p.type, p.zone, p.spot, 0, 0);
+    for (let i = 0; i < p.count; i++) c.ensureMachine(`n-${++n}`, p.type, p.zone, p.spot, 0, 0);
   assert.equal(sum(r.plan(1000)), 0);
 });
 
 test('a large need is rented for at once, over all zones, within the bound of one rental', () => {
-  const c = cluster();
+  const c = createCluster();
   const plans = () => {
-    const r = new Renting(c);
+    const r = new ScaleOutPlanner(c);
     return r.plan(0);
   };
-  c.addJob(spec({ tasks: 200, estimateS: 60 }), 1, 0, false);
+  c.addJob(jobSpec({ tasks: 200, estimatedDurationS: 60 }), 1, 0, false);
   const some = plans();
   assert.deepEqual(new Set(some.map((p) => p.zone)), new Set(['a', 'b']));
   assert.ok(some.every((p) => p.spot));
   assert.ok(Math.abs((some[0]?.count ?? 0) - (some[1]?.count ?? 0)) <= 1);
-  c.addJob(spec({ id: 'req-000002', tasks: 4000, estimateS: 60 }), 2, 0, false);
+  c.addJob(jobSpec({ id: 'req-000002', tasks: 4000, estimatedDurationS: 60 }), 2, 0, false);
   assert.equal(Math.max(...plans().map((p) => p.count)), 50);
 });
 
 test('work that may not use spot machines gets ordinary ones', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  c.addJob(spec({ tasks: 8, spot: false }), 1, 0, false);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  c.addJob(jobSpec({ tasks: 8, allowsSpot: false }), 1, 0, false);
   const plans = r.plan(0);
   assert.ok(sum(plans) > 0);
   assert.ok(plans.every((p) => !p.spot));
@@ -45,12 +51,12 @@
 
 test('a long job among short ones does not hide their backlog', () => {
   const rented = (first: number) => {
-    const c = cluster();
-    const r = new Renting(c);
+    const c = createCluster();
+    const r = new ScaleOutPlanner(c);
     let version = 0;
     const arrive = (tasks: number, estimateS: number) => {
-      const s = spec({ id: `req-${++version}`, tasks, estimateS });
-      r.arrived(s);
+      const s = jobSpec({ id: `req-${++version}`, tasks, estimatedDurationS: estimateS });
+      r.recordArrival(s);
       c.addJob(s, version, 0, false);
     };
     arrive(1, first);
@@ -63,43 +69,43 @@
 });
 
 test('a refusal is remembered for its type, zone and kind, longer each time', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  c.addJob(spec({ tasks: 8, zone: 'a' }), 1, 0, false);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  c.addJob(jobSpec({ tasks: 8, zone: 'a' }), 1, 0, false);
   const [first] = r.plan(0);
   assert.ok(first?.spot);
-  r.refused(first, 0);
+  r.recordRefusal(first, 0);
   assert.equal(r.plan(0)[0]?.spot, false);
   const back = 40_000 * 0.3;
   assert.equal(r.plan(back + 1)[0]?.spot, true);
-  r.refused(first, back + 1);
+  r.recordRefusal(first, back + 1);
   assert.equal(r.plan(2 * back + 2)[0]?.spot, false);
-  r.granted(first);
+  r.recordSuccess(first);
   assert.equal(r.plan(2 * back + 2)[0]?.spot, true);
 });
 
 test('idle machines go back once nothing needs them, not at each report anew', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  const w = joined(c, new ScriptedWorker('n-1'), 0);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
   for (let now = 0; now <= 24_000; now += 3000) {
-    beat(c, w, now);
+    sendHeartbeat(c, w, now);
     r.plan(now);
-    assert.deepEqual(r.returns(now), []);
+    assert.deepEqual(r.planScaleIn(now), []);
   }
-  beat(c, w, 24_500);
+  sendHeartbeat(c, w, 24_500);
   r.plan(24_500);
   assert.deepEqual(
-    r.returns(24_500).map((x) => [x.machine.id, x.why]),
+    r.planScaleIn(24_500).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'idle']],
   );
 });
 
 test('a stream of work that stops is soon forgotten', () => {
-  const c = cluster();
-  const r = new Renting(c);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
   for (let now = 0; now <= 200_000; now += 5000) {
-    r.arrived(spec({ tasks: 4 }));
+    r.recordArrival(jobSpec({ tasks: 4 }));
     r.plan(now);
   }
   const usual = sum(r.plan(200_000));
@@ -109,18 +115,18 @@
 });
 
 test('a machine that never boots, a sick one and a dead one are returned; a cut zone is not', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  c.machine('n-1', 'm16', 'a', false, 0, 0);
-  const dead = joined(c, new ScriptedWorker('n-2', 'a'), 150_000);
-  const alive = joined(c, new ScriptedWorker('n-3', 'a'), 150_000);
-  const cut = ['n-4', 'n-5'].map((id) => joined(c, new ScriptedWorker(id, 'b'), 150_000));
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  c.ensureMachine('n-1', 'm16', 'a', false, 0, 0);
+  const dead = joinCluster(c, new ScriptedAgent('n-2', 'a'), 150_000);
+  const alive = joinCluster(c, new ScriptedAgent('n-3', 'a'), 150_000);
+  const cut = ['n-4', 'n-5'].map((id) => joinCluster(c, new ScriptedAgent(id, 'b'), 150_000));
   for (const w of [dead, alive, ...cut]) {
-    c.addJob(spec({ id: `req-${w.id.slice(2)}`, tasks: 4 }), 1, 0, false);
-    round(c, 4, 150_000);
+    c.addJob(jobSpec({ id: `req-${w.id.slice(2)}`, tasks: 4 }), 1, 0, false);
+    runPlacementRound(c, 4, 150_000);
   }
-  for (let now = 150_000; now <= 161_000; now += 1000) beat(c, alive, now);
-  const back = () => r.returns(161_000).map((x) => [x.machine.id, x.why]);
+  for (let now = 150_000; now <= 161_000; now += 1000) sendHeartbeat(c, alive, now);
+  const back = () => r.planScaleIn(161_000).map((x) => [x.machine.id, x.reason]);
   assert.deepEqual(back(), [
     ['n-1', 'no boot'],
     ['n-2', 'silent'],
@@ -132,93 +138,95 @@
 });
 
 test('when many machines of a zone fall silent at once, a cut is likelier than their deaths', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  const workers = Array.from({ length: 20 }, (_, i) => joined(c, new ScriptedWorker(`n-${i}`), 0));
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  const workers = Array.from({ length: 20 }, (_, i) =>
+    joinCluster(c, new ScriptedAgent(`n-${i}`), 0),
+  );
   const returned = (silent: number, until: number) => {
     for (let now = 1000; now <= until; now += 1000)
-      for (const w of workers.slice(silent)) beat(c, w, now);
-    return r.returns(until).filter((x) => x.why === 'silent').length;
+      for (const w of workers.slice(silent)) sendHeartbeat(c, w, now);
+    return r.planScaleIn(until).filter((x) => x.reason === 'silent').length;
   };
   // Some found their way round the cut at once, so the zone was never silent as a whole.
   assert.equal(returned(8, 22_000), 0);
   // Their leases have run out, and so have their tasks: new machines are better.
   assert.equal(returned(8, 24_000), 8);
   // A few alone are dead, most likely, and not waited for.
-  const again = new Renting(c);
-  for (const w of workers) beat(c, w, 30_000);
+  const again = new ScaleOutPlanner(c);
+  for (const w of workers) sendHeartbeat(c, w, 30_000);
   for (let now = 30_000; now <= 40_000; now += 1000)
-    for (const w of workers.slice(4)) beat(c, w, now);
-  assert.equal(again.returns(40_000).filter((x) => x.why === 'silent').length, 4);
+    for (const w of workers.slice(4)) sendHeartbeat(c, w, now);
+  assert.equal(again.planScaleIn(40_000).filter((x) => x.reason === 'silent').length, 4);
 });
 
 test('a refusal is tried again soon once a machine of its kind has gone', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  c.onGone = (m) => r.freed(m, 20_000);
-  joined(c, new ScriptedWorker('n-1', 'a', true), 0);
-  c.addJob(spec({ tasks: 40, zone: 'a' }), 1, 0, false);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  c.onMachineTerminated = (m) => r.capacityFreed(m, 20_000);
+  joinCluster(c, new ScriptedAgent('n-1', 'a', true), 0);
+  c.addJob(jobSpec({ tasks: 40, zone: 'a' }), 1, 0, false);
   const [first] = r.plan(0);
   assert.ok(first?.spot);
-  for (let i = 0; i < 4; i++) r.refused(first, 10_000);
+  for (let i = 0; i < 4; i++) r.recordRefusal(first, 10_000);
   assert.ok(r.plan(40_000).every((p) => !p.spot));
-  c.machineGone('n-1', 'died', 32_000);
+  c.markTerminated('n-1', 'died', 32_000);
   assert.ok(r.plan(32_001).some((p) => p.spot));
 });
 
 test('after a cut the machines of a zone are given time to find their way back', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  const first = joined(c, new ScriptedWorker('n-1'), 0);
-  joined(c, new ScriptedWorker('n-2'), 0);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  const first = joinCluster(c, new ScriptedAgent('n-1'), 0);
+  joinCluster(c, new ScriptedAgent('n-2'), 0);
   // Nobody of the zone is heard for half a minute, then one is.
   for (let now = 30_000; now <= 42_000; now += 1000) {
-    beat(c, first, now);
-    assert.deepEqual(r.returns(now), []);
+    sendHeartbeat(c, first, now);
+    assert.deepEqual(r.planScaleIn(now), []);
   }
-  for (let now = 43_000; now <= 45_000; now += 1000) beat(c, first, now);
+  for (let now = 43_000; now <= 45_000; now += 1000) sendHeartbeat(c, first, now);
   assert.deepEqual(
-    r.returns(45_000).map((x) => [x.machine.id, x.why]),
+    r.planScaleIn(45_000).map((x) => [x.machine.id, x.reason]),
     [['n-2', 'silent']],
   );
 });
 
 test('a machine whose notice has run out is returned as soon as it is silent', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  const w = joined(c, new ScriptedWorker('n-1', 'a', true), 0);
-  c.addJob(spec({ tasks: 1 }), 1, 0, false);
-  round(c, 32, 0);
-  beat(c, w, 0);
-  w.noticeS = 4;
-  beat(c, w, 1000);
-  assert.deepEqual(r.returns(4900), []);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  const w = joinCluster(c, new ScriptedAgent('n-1', 'a', true), 0);
+  c.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
+  runPlacementRound(c, 32, 0);
+  sendHeartbeat(c, w, 0);
+  w.preemptionNoticeS = 4;
+  sendHeartbeat(c, w, 1000);
+  assert.deepEqual(r.planScaleIn(4900), []);
   assert.deepEqual(
-    r.returns(5600).map((x) => [x.machine.id, x.why]),
+    r.planScaleIn(5600).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'missing']],
   );
 });
 
 test('a leader that is late itself takes no machine for silent, but not for longer than a lease', () => {
-  const c = cluster({ term: 2 });
-  const r = new Renting(c);
-  const workers = Array.from({ length: 10 }, (_, i) => new ScriptedWorker(`n-${i}`));
+  const c = createCluster({ term: 2 });
+  const r = new ScaleOutPlanner(c);
+  const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
   for (const w of workers) c.inheritMachine(w.id, 'm16', 'a', false, '', 0);
-  c.addJob(spec({ tasks: 50 }), 1, 0, true);
+  c.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
   const returned = (now: number) => {
-    for (const w of workers.slice(0, 9)) joined(c, w, now);
-    return r.returns(now).map((x) => x.machine.id);
+    for (const w of workers.slice(0, 9)) joinCluster(c, w, now);
+    return r.planScaleIn(now).map((x) => x.machine.id);
   };
   // One has not been served two reports after the takeover, and work waits for it.
-  c.behind(6000);
+  c.markLagging(6000);
   assert.deepEqual(returned(8500), []);
-  c.behind(13_000);
+  c.markLagging(13_000);
   assert.deepEqual(returned(14_000), []);
   // The leader is behind all the while: a lease after the takeover that is no excuse any more.
   for (let now = 15_000; now <= 26_000; now += 1000) {
-    c.behind(now);
+    c.markLagging(now);
     assert.deepEqual(returned(now), []);
   }
-  c.behind(27_000);
+  c.markLagging(27_000);
   assert.deepEqual(returned(27_000), ['n-9']);
 });
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,39 +1,39 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reports } from '../src/controller/heartbeats/heartbeat-handler.js';
+import { HeartbeatHandler } from '../src/controller/heartbeats/heartbeat-handler.js';
 import type { Reply } from '../src/http/server.js';
-import { tokenOf } from '../src/protocol/wire.js';
+import { fencingToken } from '../src/protocol/wire.js';
 import { FakeClock } from './support/clock.js';
-import { context } from './support/context.js';
-import { ScriptedWorker } from './support/scheduler.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import { ScriptedAgent } from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 
 function world() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
-  const state = new FakeState(store);
-  const ctx = context('n-1', state, clock);
+  const state = new FakeStateService(store);
+  const ctx = createContext('n-1', state, clock);
   const peers = {
     reachable: true,
     heardAt: clock.now() as number | null,
     passed: 0,
-    hears: () => peers.reachable,
-    heardLeading: () => peers.heardAt,
+    isReachable: () => peers.reachable,
+    lastLedAt: () => peers.heardAt,
     mail: null as Reply | null,
-    mailReport: (): Promise<Reply> =>
+    forwardThroughMailbox: (): Promise<Reply> =>
       peers.mail ? Promise.resolve(peers.mail) : Promise.reject(new Error('not answered')),
-    passReport: (): Promise<Reply> => {
+    forwardHeartbeat: (): Promise<Reply> => {
       peers.passed++;
-      return Promise.resolve({ status: 200, body: { baton: tokenOf(7, 0), orders: [] } });
+      return Promise.resolve({ status: 200, body: { baton: fencingToken(7, 0), orders: [] } });
     },
   };
-  const leadership = { leader: 'n-0' as string | null, knownTerm: 7, current: null };
+  const leadership = { leader: 'n-0' as string | null, observedTerm: 7, current: null };
   const machine = { term: 7, answers: true };
   const show = () =>
     machine.answers
-      ? Promise.resolve({ ...new ScriptedWorker('n-000001').report(), term: machine.term })
+      ? Promise.resolve({ ...new ScriptedAgent('n-000001').heartbeat(), term: machine.term })
       : Promise.reject(new Error('not answered'));
-  const reports = new Reports(ctx, leadership, () => null, peers, show);
+  const reports = new HeartbeatHandler(ctx, leadership, () => null, peers, show);
   const report = (term = 7, fence = 0) =>
     reports.handle(
       Buffer.from(
@@ -45,7 +45,7 @@
           loaner: false,
           shift: 1,
           tally: 1,
-          baton: tokenOf(term, fence),
+          baton: fencingToken(term, fence),
           recallS: null,
           hands: [
             { hand: 'req-1/0', try: 1, standing: 'running' },
@@ -80,7 +80,7 @@
   assert.deepEqual(await w.report(), {
     status: 200,
     body: {
-      baton: tokenOf(7, 0),
+      baton: fencingToken(7, 0),
       orders: [{ verb: 'kill', hand: 'req-2/0', try: 1, windDownS: 0 }],
     },
   });
@@ -89,7 +89,7 @@
   assert.equal((await w.report()).status, 503);
   w.state.fault = null;
   assert.equal((await w.report(8)).status, 421);
-  await w.clock.advance(w.ctx.timing.deputyMs + 1);
+  await w.clock.advance(w.ctx.timing.delegatedRenewalMs + 1);
   assert.deepEqual(await w.report(), { status: 421, body: {} });
 });
 
@@ -114,7 +114,7 @@
   w.machine.term = 7;
   await w.clock.advance(3000);
   assert.equal((await w.report(7)).status, 200);
-  await w.clock.advance(w.ctx.timing.deputyMs);
+  await w.clock.advance(w.ctx.timing.delegatedRenewalMs);
   assert.equal((await w.report(7)).status, 421);
   // A late copy from before the term does not start the time anew.
   assert.equal((await w.report(6)).status, 421);
@@ -123,13 +123,13 @@
 test('a leader behind a cut is reached through the state service', async () => {
   const w = world();
   w.peers.reachable = false;
-  w.peers.mail = { status: 200, body: { baton: tokenOf(7, 0), orders: [] } };
+  w.peers.mail = { status: 200, body: { baton: fencingToken(7, 0), orders: [] } };
   assert.deepEqual(await w.report(), w.peers.mail);
 });
 
 test('a malformed report is refused', async () => {
   const w = world();
-  const reports = new Reports(w.ctx, w.leadership, () => null, w.peers, w.show);
+  const reports = new HeartbeatHandler(w.ctx, w.leadership, () => null, w.peers, w.show);
   for (const body of ['', '{', 'null', '{"cart":3}'])
     assert.equal((await reports.handle(Buffer.from(body))).status, 400);
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -3,20 +3,27 @@
 import { type TestContext, test } from 'node:test';
 import { CloudClient } from '../src/clients/cloud-client.js';
 import { StateClient } from '../src/clients/state-client.js';
-import { Users } from '../src/controller/api/job-api.js';
-import { Fleet } from '../src/controller/leader/fleet-controller.js';
+import { JobApi } from '../src/controller/api/job-api.js';
+import { FleetController } from '../src/controller/leader/fleet-controller.js';
 import { MemoryGuard } from '../src/controller/memory-guard.js';
 import { type Handler, serve } from '../src/http/server.js';
 import { Roster, type RosterEntry } from '../src/scheduler/persistence/roster.js';
-import { fill, round } from '../src/scheduler/placement/placement-round.js';
-import { GoneMachines } from '../src/scheduler/reconcile/machine-tombstones.js';
-import { Renting } from '../src/scheduler/scaling/scale-out.js';
-import type { Cluster } from '../src/scheduler/state/cluster-state.js';
+import { placeOnMachine, runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { MachineTombstones } from '../src/scheduler/reconcile/machine-tombstones.js';
+import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
+import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
 import type { Machine } from '../src/scheduler/state/machine.js';
 import { FakeClock, settle } from './support/clock.js';
-import { context } from './support/context.js';
-import { beat, cluster, joined, ScriptedWorker, spec, team } from './support/scheduler.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import {
+  createCluster,
+  jobSpec,
+  joinCluster,
+  ScriptedAgent,
+  sendHeartbeat,
+  teamQuota,
+} from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
 /** Half as many again as the largest fleet that is served. */
@@ -39,35 +46,35 @@
   }
 }
 
-function counting(c: Cluster): CountingMap {
+function counting(c: ClusterState): CountingMap {
   const machines = new CountingMap(c.machines);
   (c as { machines: Map<string, Machine> }).machines = machines;
   return machines;
 }
 
 /** A fleet in which every machine reports, half of them in each zone. */
-function fleet(size: number, options: Parameters<typeof cluster>[0] = {}) {
-  const c = cluster(options);
+function fleet(size: number, options: Parameters<typeof createCluster>[0] = {}) {
+  const c = createCluster(options);
   const machines = counting(c);
   const workers = Array.from({ length: size }, (_, i) =>
-    joined(c, new ScriptedWorker(name(i + 1), i % 2 === 0 ? 'a' : 'b'), 0),
+    joinCluster(c, new ScriptedAgent(name(i + 1), i % 2 === 0 ? 'a' : 'b'), 0),
   );
   return { c, machines, workers };
 }
 
 test('a report and the answer that fills its room look at no other machine, however many there are', () => {
-  const teams = [team({ name: 'ops', cpusMax: 1e6 })];
+  const teams = [teamQuota({ name: 'ops', maxCpus: 1e6 })];
   for (const size of [SMALL, MACHINES]) {
     const { c, machines, workers } = fleet(size, { teams });
-    c.addJob(spec({ tasks: size * 5, cpus: 4 }), 1, 0, false);
-    round(c, size * 8, 10);
-    assert.ok(c.waiting.length > 0);
-    const worker = workers[0] as ScriptedWorker;
-    beat(c, worker, 20);
+    c.addJob(jobSpec({ tasks: size * 5, cpus: 4 }), 1, 0, false);
+    runPlacementRound(c, size * 8, 10);
+    assert.ok(c.unplacedBatches.length > 0);
+    const worker = workers[0] as ScriptedAgent;
+    sendHeartbeat(c, worker, 20);
     for (const key of [...worker.tasks.keys()]) worker.exit(key, 'done');
     machines.steps = 0;
-    c.report(worker.report(), true, 30);
-    const started = fill(c, c.machines.get(worker.id) as Machine, 32, 30);
+    c.applyHeartbeat(worker.heartbeat(), true, 30);
+    const started = placeOnMachine(c, c.machines.get(worker.id) as Machine, 32, 30);
     assert.ok(started.length > 0);
     assert.equal(machines.steps, 0, `${size} machines`);
   }
@@ -76,12 +83,12 @@
 test('a look at renting and returns goes through the machines a fixed number of times', () => {
   const passes = [SMALL, MACHINES].map((size) => {
     const { c, machines } = fleet(size);
-    const renting = new Renting(c);
+    const renting = new ScaleOutPlanner(c);
     for (let i = 1; i <= 20; i++)
-      c.addJob(spec({ id: `req-${i}`, jobClass: `class-${i}`, tasks: size }), i, 0, false);
+      c.addJob(jobSpec({ id: `req-${i}`, jobClass: `class-${i}`, tasks: size }), i, 0, false);
     machines.steps = 0;
     assert.ok(renting.plan(1000).length > 0);
-    renting.returns(1000);
+    renting.planScaleIn(1000);
     return machines.steps / size;
   });
   assert.equal(passes[0], passes[1]);
@@ -90,11 +97,11 @@
 
 test('a zone of thousands that goes at once stays gone, whatever copies and lists come afterwards', () => {
   const { c, workers } = fleet(MACHINES);
-  const job = c.addJob(spec({ tasks: MACHINES }), 1, 0, false);
+  const job = c.addJob(jobSpec({ tasks: MACHINES }), 1, 0, false);
   assert.ok(job);
-  round(c, MACHINES, 10);
+  runPlacementRound(c, MACHINES, 10);
   const lost = workers.filter((w) => w.zone === 'a');
-  const copies = lost.map((w) => w.report());
+  const copies = lost.map((w) => w.heartbeat());
   const list = workers.map((w) => ({
     id: w.id,
     address: '10.0.0.1:9000',
@@ -104,32 +111,32 @@
     state: 'running' as const,
     ageS: 60,
   }));
-  for (const w of lost) c.machineGone(w.id, 'returned', 1000);
+  for (const w of lost) c.markTerminated(w.id, 'returned', 1000);
   const left = c.machines.size;
   assert.equal(left, MACHINES - lost.length);
-  for (const copy of copies) assert.equal(c.report(copy, true, 2000), false);
+  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, true, 2000), false);
   // The list is late: it still shows them all.
-  c.listed(list, 1500, 2500);
+  c.applyMachineList(list, 1500, 2500);
   assert.equal(c.machines.size, left);
   // Much later, when their names are forgotten, a copy still proves nothing.
   const later = c.timing.listProofMs * 20;
-  c.machineGone(name(MACHINES), 'returned', later);
-  assert.equal(c.gone.size, 1);
-  for (const copy of copies) assert.equal(c.report(copy, true, later + 1), false);
+  c.markTerminated(name(MACHINES), 'returned', later);
+  assert.equal(c.tombstones.size, 1);
+  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, true, later + 1), false);
   assert.equal(c.machines.size, left - 1);
-  assert.equal(job.ready + job.bound.size, MACHINES);
+  assert.equal(job.readyCount + job.activeAttempts.size, MACHINES);
 });
 
 test('names of gone machines are kept for a time, and after it bar only reports of older machines', () => {
-  const gone = new GoneMachines(1000);
+  const gone = new MachineTombstones(1000);
   for (let n = 1; n <= MACHINES; n++) gone.add(name(n), 0);
   assert.equal(gone.size, MACHINES);
   assert.equal(gone.has(name(1)), true);
   gone.add(name(MACHINES + 5), 2000);
   assert.equal(gone.size, 1);
   assert.equal(gone.has(name(1)), false);
-  assert.equal(gone.mayHaveGone(name(1)), true);
-  assert.equal(gone.mayHaveGone(name(MACHINES + 1)), false);
+  assert.equal(gone.mayBeTerminated(name(1)), true);
+  assert.equal(gone.mayBeTerminated(name(MACHINES + 1)), false);
 });
 
 function entry(n: number): RosterEntry {
@@ -152,13 +159,17 @@
   // A later leader reads it, loses half and gains as many: pages with room are used again.
   const next = new Roster(4, pageBytes);
   for (const [key, members] of stored) next.restore(key, 1, members);
-  for (let n = 1; n <= MACHINES; n += 2) next.gone(name(n));
+  for (let n = 1; n <= MACHINES; n += 2) next.removeMachine(name(n));
   const gained = Array.from({ length: MACHINES / 2 }, (_, i) => entry(MACHINES + i + 1));
   for (const write of next.add(gained)) {
     stored.set(write.key, write.entries);
     write.applied(++revision);
   }
-  for (let writes = next.clean(1e9); writes.length > 0; writes = next.clean(1e9))
+  for (
+    let writes = next.rewriteStalePages(1e9);
+    writes.length > 0;
+    writes = next.rewriteStalePages(1e9)
+  )
     for (const write of writes) {
       if (write.entries.length > 0) stored.set(write.key, write.entries);
       else stored.delete(write.key);
@@ -259,30 +270,30 @@
 
 test('thousands of returns leave as many at a time as the cloud has calls for', async () => {
   const clock = new FakeClock();
-  const ctx = context('n-0', new FakeState(new FakeStore(clock)), clock);
+  const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   ctx.platform.settings.cloud.rps = 40;
   const { c } = fleet(MACHINES);
-  for (const m of c.machines.values()) m.drain = 'sick';
+  for (const m of c.machines.values()) m.drainReason = 'sick';
   const calls: { count: number; at: number }[] = [];
   const stop = new AbortController();
   const cloud = {
     types: async () => [],
     list: async () => ({ machines: [], more: false }),
-    rent: async () => null,
-    giveBack: async (ids: string[]) => {
+    provision: async () => null,
+    terminate: async (ids: string[]) => {
       calls.push({ count: ids.length, at: clock.now() });
     },
   };
-  const term = { term: 1, signal: stop.signal, proven: () => true } as never;
-  const duty = new Fleet(ctx, term, c, new Renting(c), cloud, () => {});
-  void duty.rent(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.listMs + ctx.timing.reportMs * 2);
+  const term = { number: 1, signal: stop.signal, isProven: () => true } as never;
+  const duty = new FleetController(ctx, term, c, new ScaleOutPlanner(c), cloud, () => {});
+  void duty.runScaling(stop.signal).catch(() => {});
+  await clock.advance(ctx.timing.listMs + ctx.timing.heartbeatMs * 2);
   assert.equal(c.machines.size, 0);
   assert.equal(calls.length, MACHINES / 100);
   assert.ok(calls.every((call) => call.count <= 100));
   const perLook = new Map<number, number>();
   for (const { at } of calls) perLook.set(at, (perLook.get(at) ?? 0) + 1);
-  const most = (40 * ctx.timing.rentMs * 0.5) / 1000;
+  const most = (40 * ctx.timing.scalingMs * 0.5) / 1000;
   assert.ok([...perLook.values()].every((n) => n <= most));
   stop.abort();
 });
@@ -313,7 +324,7 @@
   const closed = () => {
     open--;
   };
-  const rented = cloud.rent(request, signal, () => true);
+  const rented = cloud.provision(request, signal, () => true);
   void rented.finally(closed);
   void waiting.finally(closed);
   while (open > 0) await clock.advance(1);
@@ -323,7 +334,7 @@
 
 test('while memory is short new jobs are put off and known ones are not, and it is said once', async () => {
   const clock = new FakeClock();
-  const ctx = context('n-0', new FakeState(new FakeStore(clock)), clock);
+  const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   let share = 0.5;
   let said = 0;
   ctx.log.error = (() => {
@@ -332,14 +343,14 @@
   const guard = new MemoryGuard(ctx, () => share);
   const stop = new AbortController();
   void guard.run(stop.signal);
-  const users = new Users(
+  const users = new JobApi(
     ctx,
     () => null,
     async () => {},
     () => guard.isShort,
   );
   const submit = (id: string) => users.submit(Buffer.from(JSON.stringify({ ...SUBMISSION, id })));
-  const look = () => clock.advance(ctx.timing.reportMs);
+  const look = () => clock.advance(ctx.timing.heartbeatMs);
   await look();
   assert.equal((await submit('req-000001')).status, 201);
   share = 0.95;
--- a/test/support/clock.ts
+++ b/test/support/clock.ts
@@ -1,4 +1,4 @@
-import { type Clock, Stopped } from '../../src/runtime/clock.js';
+import { AbortedError, type Clock } from '../../src/runtime/clock.js';
 
 interface Sleeper {
   at: number;
@@ -24,11 +24,11 @@
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
-      if (signal?.aborted) return reject(new Stopped());
+      if (signal?.aborted) return reject(new AbortedError());
       const stop = () => {
         const at = this.sleepers.indexOf(sleeper);
         if (at >= 0) this.sleepers.splice(at, 1);
-        reject(new Stopped());
+        reject(new AbortedError());
       };
       const sleeper: Sleeper = {
         at: this.time + ms,
--- a/test/support/context.ts
+++ b/test/support/context.ts
@@ -1,11 +1,11 @@
 import { pino } from 'pino';
-import { parsePlatform, teamsOf } from '../../src/config/settings.js';
+import { parsePlatform, quotasOf } from '../../src/config/settings.js';
 import { stateLimitsOf } from '../../src/config/state-limits.js';
 import { timingOf } from '../../src/config/timing.js';
-import type { Context } from '../../src/controller/context.js';
+import type { ControllerContext } from '../../src/controller/context.js';
 import type { FakeClock } from './clock.js';
-import { TYPE } from './scheduler.js';
-import type { FakeState } from './state.js';
+import { MACHINE_TYPE } from './scheduler.js';
+import type { FakeStateService } from './state.js';
 
 const SETTINGS = {
   size: 3,
@@ -25,12 +25,12 @@
   write_rps: number;
 }
 
-export function context(
+export function createContext(
   node: string,
-  state: FakeState,
+  state: FakeStateService,
   clock: FakeClock,
   next: NextLimits | null = null,
-): Context {
+): ControllerContext {
   const platform = parsePlatform(
     JSON.stringify({
       node,
@@ -49,10 +49,10 @@
     platform,
     timing: timingOf(platform),
     limits: stateLimitsOf(platform),
-    teams: teamsOf(platform),
+    quotas: quotasOf(platform),
     state,
     clock,
     log: pino({ level: 'silent' }),
-    types: [TYPE],
+    machineTypes: [MACHINE_TYPE],
   };
 }
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -1,25 +1,25 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../../src/config/policy.js';
-import { Users } from '../../src/controller/api/job-api.js';
-import type { Context } from '../../src/controller/context.js';
-import { Leadership } from '../../src/controller/election/leader-election.js';
-import { Reports } from '../../src/controller/heartbeats/heartbeat-handler.js';
-import { corePolicy, Leader } from '../../src/controller/leader/leader.js';
-import { NoAnswer } from '../../src/http/client.js';
-import { context, type NextLimits } from './context.js';
-import { FakeState } from './state.js';
+import { JobApi } from '../../src/controller/api/job-api.js';
+import type { ControllerContext } from '../../src/controller/context.js';
+import { LeaderElection } from '../../src/controller/election/leader-election.js';
+import { HeartbeatHandler } from '../../src/controller/heartbeats/heartbeat-handler.js';
+import { Leader, schedulerPolicy } from '../../src/controller/leader/leader.js';
+import { NoResponseError } from '../../src/http/client.js';
+import { createContext, type NextLimits } from './context.js';
+import { FakeStateService } from './state.js';
 import type { World } from './world.js';
 
 /** Limits that the state service has from some moment on. */
 export const NEXT: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 20 };
 
 /** One controller with its real duties; its sockets are played. */
-export class Controller {
-  readonly state: FakeState;
-  readonly ctx: Context;
-  readonly leadership: Leadership;
-  readonly reports: Reports;
-  readonly users: Users;
+export class ScriptedController {
+  readonly state: FakeStateService;
+  readonly ctx: ControllerContext;
+  readonly leadership: LeaderElection;
+  readonly reports: HeartbeatHandler;
+  readonly users: JobApi;
   leader: Leader | null = null;
   /** Reaches no other controller, and no worker reaches or hears it. */
   cutFromPeers = false;
@@ -33,17 +33,17 @@
     life: number,
   ) {
     const { clock, store } = world;
-    this.state = new FakeState(store);
+    this.state = new FakeStateService(store);
     this.state.holdsBack = () => world.random() < world.lateShare;
     const next = world.upgraded.has(name) ? NEXT : null;
-    this.ctx = { ...context(name, this.state, clock, next), incarnation: `${name}-${life}` };
+    this.ctx = { ...createContext(name, this.state, clock, next), incarnation: `${name}-${life}` };
     this.ctx.log = pino({ level: 'silent' });
-    this.leadership = new Leadership(this.ctx, async (term) => {
+    this.leadership = new LeaderElection(this.ctx, async (term) => {
       const leader = new Leader(
         this.ctx,
         world.cloud(this),
         term,
-        corePolicy(DEFAULT_POLICY),
+        schedulerPolicy(DEFAULT_POLICY),
         world.commands(this),
       );
       this.leader = leader;
@@ -54,39 +54,39 @@
         this.leader = null;
       }
     });
-    this.users = new Users(
+    this.users = new JobApi(
       this.ctx,
       () => null,
       async (id, revision) => {
-        this.leader?.cancelled(id, revision);
-        for (const peer of this.peersHeard()) peer.leader?.cancelled(id, revision);
+        this.leader?.announceCancellation(id, revision);
+        for (const peer of this.peersHeard()) peer.leader?.announceCancellation(id, revision);
       },
     );
     const peer = (node: string) => this.peersHeard().find((c) => c.name === node);
-    this.reports = new Reports(
+    this.reports = new HeartbeatHandler(
       this.ctx,
       this.leadership,
       () => this.leader,
       {
-        hears: (node) => peer(node) !== undefined,
-        heardLeading: (node) => world.heardLeading(this, node),
-        passReport: async (node, body) => {
+        isReachable: (node) => peer(node) !== undefined,
+        lastLedAt: (node) => world.heardLeading(this, node),
+        forwardHeartbeat: async (node, body) => {
           const other = peer(node);
           if (!other) throw new Error('not heard');
           return other.reports.handle(body);
         },
-        mailReport: () => Promise.reject(new Error('no mail')),
+        forwardThroughMailbox: () => Promise.reject(new Error('no mail')),
       },
       async (address) => {
         const m = world.byAddress(address);
-        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoAnswer('not asked');
-        return m.worker.report();
+        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('not asked');
+        return m.worker.heartbeat();
       },
     );
     void this.leadership.run(this.stop.signal);
   }
 
-  private peersHeard(): Controller[] {
+  private peersHeard(): ScriptedController[] {
     if (this.cutFromPeers) return [];
     return this.world.controllers.filter((c) => c !== this && !c.dead && !c.cutFromPeers);
   }
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -1,12 +1,12 @@
 import type { StateLimits } from '../../src/config/state-limits.js';
-import type { Context } from '../../src/controller/context.js';
+import type { ControllerContext } from '../../src/controller/context.js';
 import type { Change } from '../../src/protocol/store.js';
 import type { FakeClock } from './clock.js';
-import { context } from './context.js';
-import { FakeState, FakeStore } from './state.js';
+import { createContext } from './context.js';
+import { FakeStateService, FakeStore } from './state.js';
 
 /** A state service that keeps the text of every value that is written to it, in order. */
-export class RecordingState extends FakeState {
+export class RecordingState extends FakeStateService {
   /** Key and JSON text of each value, as they leave the writer. */
   readonly written: [key: string, text: string][] = [];
 
@@ -28,7 +28,7 @@
 export function recordingNode(clock: FakeClock, limits: Partial<StateLimits> = {}) {
   const store = new FakeStore(clock);
   const state = new RecordingState(store);
-  const base = context('n-0', state, clock);
-  const ctx: Context = { ...base, limits: { ...base.limits, ...limits } };
+  const base = createContext('n-0', state, clock);
+  const ctx: ControllerContext = { ...base, limits: { ...base.limits, ...limits } };
   return { store, state, ctx };
 }
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -1,20 +1,20 @@
 import type { Reply } from '../../src/http/server.js';
-import type { Order } from '../../src/model/model.js';
-import { tokenOf } from '../../src/protocol/wire.js';
-import type { Controller } from './controller.js';
-import { ScriptedWorker } from './scheduler.js';
+import type { TaskCommand } from '../../src/model/model.js';
+import { fencingToken } from '../../src/protocol/wire.js';
+import type { ScriptedController } from './controller.js';
+import { ScriptedAgent } from './scheduler.js';
 import { fromWire, onWire, type WireOrder } from './wire.js';
 import type { World } from './world.js';
 
-const FENCES = tokenOf(1, 0);
+const FENCES = fencingToken(1, 0);
 /** A worker gives a report up after this long (protocol). */
 const REPORT_TIMEOUT_MS = 4000;
 /** Steps of a worker's own time. */
 export const TICK_MS = 500;
 
 /** A machine with its worker, as the protocol describes it. */
-export class PlayedMachine {
-  readonly worker: ScriptedWorker;
+export class ScriptedMachine {
+  readonly worker: ScriptedAgent;
   hangs = false;
   deaf = false;
   mute = false;
@@ -32,7 +32,7 @@
     id: string,
     zone: string,
   ) {
-    this.worker = new ScriptedWorker(id, zone);
+    this.worker = new ScriptedAgent(id, zone);
     this.leaseFrom = world.clock.now();
     this.at = world.pick(3);
     void this.run();
@@ -57,20 +57,20 @@
       else if (end <= now) {
         this.worker.exit(key, 'done');
         this.ends.delete(key);
-        this.world.ended(t.job, t.index);
+        this.world.ended(t.jobId, t.index);
       }
     }
   }
 
-  execute(token: number, orders: Order[]): boolean {
+  execute(token: number, orders: TaskCommand[]): boolean {
     this.sync();
     const before = new Set(this.worker.tasks.keys());
     const took = this.worker.execute(Math.floor(token / FENCES), orders, token % FENCES);
     for (const [key, t] of this.worker.tasks)
       if (!before.has(key) && t.state === 'running') {
-        if (this.world.completed.has(`${t.job}/${t.index}`)) this.worker.exit(key, 'done');
+        if (this.world.completed.has(`${t.jobId}/${t.index}`)) this.worker.exit(key, 'done');
         else {
-          this.world.starts(t.job);
+          this.world.starts(t.jobId);
           this.ends.set(key, this.world.clock.now() + this.world.runMs());
         }
       }
@@ -78,9 +78,9 @@
   }
 
   /** A direct command. */
-  command(token: number, session: number, orders: Order[]) {
-    const took = session === this.worker.session && this.execute(token, orders);
-    return { executed: took, report: this.worker.report() };
+  command(token: number, session: number, orders: TaskCommand[]) {
+    const took = session === this.worker.agentEpoch && this.execute(token, orders);
+    return { executed: took, heartbeat: this.worker.heartbeat() };
   }
 
   hold(work: () => void): void {
@@ -103,7 +103,7 @@
       this.sync();
       if (this.hangs) continue;
       const { worker } = this;
-      const now = `${worker.session} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
+      const now = `${worker.agentEpoch} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
       if (clock.now() < due && now === this.reported) continue;
       this.reported = now;
       due = clock.now() + every * (0.75 + this.world.random() * 0.5);
@@ -123,7 +123,7 @@
   /** A copy of the report arrives at any controller, long after it. */
   private sendCopyLater(body: Buffer): void {
     this.world.later(2000 + this.world.random() * 30_000, () => {
-      const to = this.world.controllers[this.world.pick(3)] as Controller;
+      const to = this.world.controllers[this.world.pick(3)] as ScriptedController;
       if (!to.dead) void to.reports.handle(body);
     });
   }
@@ -131,9 +131,9 @@
   private async report(): Promise<void> {
     const { clock, controllers } = this.world;
     const sentAt = clock.now();
-    const node = controllers[this.at] as Controller;
-    const { session } = this.worker;
-    const body = onWire(this.worker.report());
+    const node = controllers[this.at] as ScriptedController;
+    const { agentEpoch: session } = this.worker;
+    const body = onWire(this.worker.heartbeat());
     let reply: Reply | null = null;
     if (!this.mute && !node.dead && !node.cutFromWorkers) {
       if (this.world.random() < this.world.copyShare) this.sendCopyLater(body);
@@ -146,8 +146,8 @@
     this.sync();
     if (reply?.status === 200) {
       const answer = reply.body as { baton: number; orders: WireOrder[] };
-      if (session !== this.worker.session) return;
-      if (answer.baton < tokenOf(this.worker.term, this.worker.fence)) return;
+      if (session !== this.worker.agentEpoch) return;
+      if (answer.baton < fencingToken(this.worker.term, this.worker.fence)) return;
       this.execute(answer.baton, answer.orders.map(fromWire));
       this.leaseFrom = Math.max(this.leaseFrom, sentAt);
       return;
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -1,10 +1,10 @@
 import {
-  Refused,
-  Rejected,
-  type StateService,
-  type Transaction,
+  type KeyValueStore,
+  RequestRefusedError,
+  RequestRejectedError,
+  type TransactionResult,
 } from '../../src/clients/state-client.js';
-import { NoAnswer } from '../../src/http/client.js';
+import { NoResponseError } from '../../src/http/client.js';
 import type { Change, Condition, Entry, StoreEvent } from '../../src/protocol/store.js';
 import type { FakeClock } from './clock.js';
 
@@ -64,12 +64,12 @@
     return true;
   }
 
-  transact(conditions: Condition[], changes: Change[]): Transaction {
+  transact(conditions: Condition[], changes: Change[]): TransactionResult {
     this.expire();
     this.checkSize(conditions, changes);
     for (const c of changes)
       if (c.op === 'put' && c.lease !== undefined && !this.leases.has(c.lease))
-        throw new NoAnswer('400 no such lease');
+        throw new NoResponseError('400 no such lease');
     const failed = conditions
       .filter((c) => (this.entries.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
@@ -87,7 +87,7 @@
     if (changes.length > most || conditions.length > most * 4) large.push(...changes);
     if (large.length === 0) return;
     this.oversize.push(...large.map((c) => c.key));
-    throw new Rejected(`400 too large: ${large.map((c) => c.key).join(', ')}`);
+    throw new RequestRejectedError(`400 too large: ${large.map((c) => c.key).join(', ')}`);
   }
 
   private change(changes: Change[]): void {
@@ -119,7 +119,7 @@
 }
 
 /** One node's way to the store. */
-export class FakeState implements StateService {
+export class FakeStateService implements KeyValueStore {
   /** What happens to requests from now on. */
   fault: Fault = null;
   /** Transactions held back: applied when the test says so. */
@@ -138,15 +138,15 @@
   }
 
   private async serve<T>(work: () => T): Promise<T> {
-    if (this.fault === 'dead') throw new NoAnswer('the process has ended');
-    if (this.refused) throw new Refused(100);
+    if (this.fault === 'dead') throw new NoResponseError('the process has ended');
+    if (this.refused) throw new RequestRefusedError(100);
     if (this.fault === 'lose request') {
       this.late.push(() => void work());
-      throw new NoAnswer('timed out');
+      throw new NoResponseError('timed out');
     }
     this.store.expire();
     const result = work();
-    if (this.fault === 'lose answer') throw new NoAnswer('timed out');
+    if (this.fault === 'lose answer') throw new NoResponseError('timed out');
     return result;
   }
 
@@ -169,12 +169,12 @@
     });
   }
 
-  transact(conditions: Condition[], changes: Change[]): Promise<Transaction> {
+  transact(conditions: Condition[], changes: Change[]): Promise<TransactionResult> {
     this.requests++;
     this.onTransact(changes);
     if (!this.refused && this.fault !== 'dead' && this.holdsBack()) {
       this.late.push(() => void this.store.transact(conditions, changes));
-      return Promise.reject(new NoAnswer('timed out'));
+      return Promise.reject(new NoResponseError('timed out'));
     }
     return this.serve(() => this.store.transact(conditions, changes));
   }
@@ -212,7 +212,7 @@
       const wait = clock.sleep(this.refused ? Math.max(left, 100) : left, signal);
       await Promise.race([changed, wait]);
       wait.catch(() => {});
-      if (this.fault === 'dead') throw new NoAnswer('the process has ended');
+      if (this.fault === 'dead') throw new NoResponseError('the process has ended');
       if (this.refused) continue;
       if (ready().events.length > 0 || clock.now() >= until) return ready();
     }
--- a/test/support/trace/time.ts
+++ b/test/support/trace/time.ts
@@ -1,4 +1,4 @@
-import { type Clock, Stopped } from '../../../src/runtime/clock.js';
+import { AbortedError, type Clock } from '../../../src/runtime/clock.js';
 import { draw } from './draw.js';
 
 interface Timer {
@@ -44,10 +44,10 @@
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
-      if (signal?.aborted) return reject(new Stopped());
+      if (signal?.aborted) return reject(new AbortedError());
       const stop = () => {
         timer.run = null;
-        reject(new Stopped());
+        reject(new AbortedError());
       };
       const timer = this.later(ms, () => {
         signal?.removeEventListener('abort', stop);
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -2,7 +2,7 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../../../src/config/policy.js';
 import { parsePlatform } from '../../../src/config/settings.js';
-import { Node } from '../../../src/controller/controller.js';
+import { Controller } from '../../../src/controller/controller.js';
 import { type Cart, PlayedCloud } from './cloud.js';
 import { draw } from './draw.js';
 import { PlayedMachine } from './machine.js';
@@ -172,7 +172,7 @@
     const log = pino({ level: 'silent' });
     const life = `${name}-${this.started}`;
     this.time.laterOn(host, 0, () => {
-      void new Node(platform, DEFAULT_POLICY, this.time, log, life).run(stop.signal);
+      void new Controller(platform, DEFAULT_POLICY, this.time, log, life).run(stop.signal);
     });
   }
 
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -1,24 +1,24 @@
 /** Workers' messages in the wire's words. */
-import type { MachineReport, Order } from '../../src/model/model.js';
-import { tokenOf } from '../../src/protocol/wire.js';
+import type { Heartbeat, TaskCommand } from '../../src/model/model.js';
+import { fencingToken } from '../../src/protocol/wire.js';
 
 const STANDINGS = { fetching: 'pulling', running: 'running', saving: 'saving', exited: 'exited' };
 
 /** A report in the wire's words. */
-export function onWire(r: MachineReport): Buffer {
+export function onWire(r: Heartbeat): Buffer {
   return Buffer.from(
     JSON.stringify({
-      cart: r.machine,
+      cart: r.machineId,
       endpoint: r.address,
       rig: r.type,
       hall: r.zone,
       loaner: r.spot,
-      shift: r.session,
-      tally: r.seq,
-      baton: tokenOf(r.term, r.fence),
-      recallS: r.noticeS,
+      shift: r.agentEpoch,
+      tally: r.sequence,
+      baton: fencingToken(r.term, r.fence),
+      recallS: r.preemptionNoticeS,
       hands: r.tasks.map((t) => ({
-        hand: `${t.job}/${t.index}`,
+        hand: `${t.jobId}/${t.index}`,
         try: t.attempt,
         standing: STANDINGS[t.state],
         ...(t.cause ? { cause: t.cause === 'stopped' ? 'halted' : t.cause } : {}),
@@ -34,7 +34,7 @@
   windDownS?: number;
 }
 
-export function fromWire(o: WireOrder): Order {
+export function fromWire(o: WireOrder): TaskCommand {
   const [job = '', index = ''] = o.hand.split('/');
   const base = { job, index: Number(index), attempt: o.try };
   if (o.verb === 'run') return { op: 'start', ...base };
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
-import { NoAnswer, NotTried } from '../../src/http/client.js';
-import type { ListedMachine, Order } from '../../src/model/model.js';
+import { NoResponseError, NotAttemptedError } from '../../src/http/client.js';
+import type { ListedMachine, TaskCommand } from '../../src/model/model.js';
 import { FakeClock } from './clock.js';
-import { Controller, NEXT } from './controller.js';
-import { TYPE } from './scheduler.js';
-import { PlayedMachine, TICK_MS } from './scripted-machine.js';
+import { NEXT, ScriptedController } from './controller.js';
+import { MACHINE_TYPE } from './scheduler.js';
+import { ScriptedMachine, TICK_MS } from './scripted-machine.js';
 import { FakeStore } from './state.js';
 
 interface Told {
@@ -20,10 +20,10 @@
 export class World {
   readonly clock = new FakeClock(4);
   readonly store = new FakeStore(this.clock);
-  readonly controllers: Controller[] = [];
-  machines: PlayedMachine[] = [];
+  readonly controllers: ScriptedController[] = [];
+  machines: ScriptedMachine[] = [];
   /** Who has won a term, in order. */
-  readonly terms: Controller[] = [];
+  readonly terms: ScriptedController[] = [];
   /** What users were told last. */
   readonly told = new Map<string, Told>();
   readonly asked = new Set<string>();
@@ -58,28 +58,28 @@
   ) {
     for (let i = 0; i < 3; i++) this.controllers.push(this.controller(i));
     for (let i = 1; i <= machines; i++)
-      this.machines.push(new PlayedMachine(this, `n-${i}`, i % 2 === 0 ? 'a' : 'b'));
+      this.machines.push(new ScriptedMachine(this, `n-${i}`, i % 2 === 0 ? 'a' : 'b'));
   }
 
   pick(n: number): number {
     return Math.floor(this.random() * n);
   }
 
-  private controller(i: number): Controller {
-    return new Controller(this, `c-${i}`, ++this.lives);
+  private controller(i: number): ScriptedController {
+    return new ScriptedController(this, `c-${i}`, ++this.lives);
   }
 
-  get leading(): Controller | undefined {
-    return this.controllers.find((c) => c.leader?.ready && c.leadership.current?.proven());
+  get leading(): ScriptedController | undefined {
+    return this.controllers.find((c) => c.leader?.ready && c.leadership.current?.isProven());
   }
 
   /** A controller that is not the leader. */
-  get other(): Controller {
-    return this.controllers.find((c) => !c.dead && !c.leader) as Controller;
+  get other(): ScriptedController {
+    return this.controllers.find((c) => !c.dead && !c.leader) as ScriptedController;
   }
 
   /** Another process in its place, unless there is one already. */
-  restart(c: Controller): void {
+  restart(c: ScriptedController): void {
     const i = this.controllers.indexOf(c);
     if (i < 0) return;
     if (!c.dead) c.crash();
@@ -90,38 +90,46 @@
     void this.clock.sleep(ms).then(work);
   }
 
-  byAddress(address: string): PlayedMachine | undefined {
+  byAddress(address: string): ScriptedMachine | undefined {
     return this.machines.find((m) => m.address === address);
   }
 
-  heardLeading(from: Controller, node: string): number | null {
-    return this.heardAt.get(`${from.name} ${node} ${from.leadership.knownTerm}`) ?? null;
+  heardLeading(from: ScriptedController, node: string): number | null {
+    return this.heardAt.get(`${from.name} ${node} ${from.leadership.observedTerm}`) ?? null;
   }
 
-  cloud(from: Controller) {
+  cloud(from: ScriptedController) {
     const gate = () => {
-      if (from.dead) throw new NoAnswer('the process has ended');
+      if (from.dead) throw new NoResponseError('the process has ended');
     };
     return {
       types: async () => {
         gate();
-        return [TYPE];
+        return [MACHINE_TYPE];
       },
       list: async () => {
         gate();
         const machines = this.machines.map((m): ListedMachine => {
           const { id, zone, spot } = m.worker;
-          return { id, address: m.address, type: TYPE.name, zone, spot, state: 'running', ageS: 9 };
+          return {
+            id,
+            address: m.address,
+            type: MACHINE_TYPE.name,
+            zone,
+            spot,
+            state: 'running',
+            ageS: 9,
+          };
         });
         return { machines, more: false };
       },
-      rent: async () => {
+      provision: async () => {
         gate();
         return null;
       },
-      giveBack: async (ids: string[], _signal: AbortSignal, fit: () => boolean) => {
+      terminate: async (ids: string[], _signal: AbortSignal, fit: () => boolean) => {
         gate();
-        if (!fit()) throw new NotTried('no longer fit');
+        if (!fit()) throw new NotAttemptedError('no longer fit');
         for (const id of ids) this.replace(id);
       },
     };
@@ -134,30 +142,31 @@
     m.gone = true;
     this.machines = this.machines.filter((x) => x !== m);
     // Names are never used again.
-    this.machines.push(new PlayedMachine(this, `n-${100 + ++this.replaced}`, m.worker.zone));
+    this.machines.push(new ScriptedMachine(this, `n-${100 + ++this.replaced}`, m.worker.zone));
   }
 
-  commands(from: Controller) {
+  commands(from: ScriptedController) {
     return {
       command: async (
         address: string,
         token: number,
         session: number,
-        orders: Order[],
+        orders: TaskCommand[],
         _signal: AbortSignal,
         fit: () => boolean,
       ) => {
         await this.clock.sleep(2);
-        if (!fit()) throw new NotTried('no longer fit');
+        if (!fit()) throw new NotAttemptedError('no longer fit');
         const m = this.byAddress(address);
-        if (!m || from.dead || from.cutFromWorkers || m.deaf) throw new NoAnswer('timed out');
+        if (!m || from.dead || from.cutFromWorkers || m.deaf)
+          throw new NoResponseError('timed out');
         if (m.hangs) {
           m.hold(() => m.command(token, session, orders));
-          throw new NoAnswer('timed out');
+          throw new NoResponseError('timed out');
         }
         return m.command(token, session, orders);
       },
-      keep: () => {},
+      retainOnly: () => {},
       close: () => {},
     };
   }
@@ -219,7 +228,7 @@
   }
 
   /** True once the user has an answer that counts. */
-  async cancel(id: string, through: Controller | undefined = this.any()): Promise<boolean> {
+  async cancel(id: string, through: ScriptedController | undefined = this.any()): Promise<boolean> {
     this.calledOff.add(id);
     const reply = await through?.users.cancel(id);
     if (reply?.status !== 200) return false;
@@ -234,7 +243,7 @@
   }
 
   /** Any that is there. */
-  private any(): Controller | undefined {
+  private any(): ScriptedController | undefined {
     const alive = this.controllers.filter((c) => !c.dead);
     return alive[this.pick(alive.length)];
   }
@@ -282,8 +291,8 @@
   }
 
   /** The controllers that this leader reaches hear it. */
-  private noteHeard(leading: Controller, now: number): void {
-    const { term } = leading.leadership.current ?? {};
+  private noteHeard(leading: ScriptedController, now: number): void {
+    const { number: term } = leading.leadership.current ?? {};
     for (const other of this.controllers)
       if (!other.cutFromPeers) this.heardAt.set(`${other.name} ${leading.name} ${term}`, now);
   }
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -1,83 +1,93 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Health } from '../src/controller/health.js';
-import { Commands } from '../src/controller/leader/agent-commands.js';
+import { ControllerHealth } from '../src/controller/health.js';
+import { AgentCommands } from '../src/controller/leader/agent-commands.js';
 import { Peers } from '../src/controller/membership/peers.js';
-import { NoAnswer, NotTried } from '../src/http/client.js';
-import type { Status } from '../src/peer/peer-network.js';
+import { NoResponseError, NotAttemptedError } from '../src/http/client.js';
+import type { PeerStatus } from '../src/peer/peer-network.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
-import { round } from '../src/scheduler/placement/placement-round.js';
-import { Renting } from '../src/scheduler/scaling/scale-out.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock } from './support/clock.js';
-import { context } from './support/context.js';
-import { beat, cluster, joined, ScriptedWorker, spec, team } from './support/scheduler.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import {
+  createCluster,
+  jobSpec,
+  joinCluster,
+  ScriptedAgent,
+  sendHeartbeat,
+  teamQuota,
+} from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 
 test('a late copy under an old token proves neither a machine nor its life to a new leader', () => {
-  const c = cluster({ term: 2 });
+  const c = createCluster({ term: 2 });
   c.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
-  const w = new ScriptedWorker('n-1', 'a', true);
+  const w = new ScriptedAgent('n-1', 'a', true);
   w.term = 1;
-  w.noticeS = 5;
-  const copy = w.report();
-  assert.equal(c.report(copy, true, 8000), true);
+  w.preemptionNoticeS = 5;
+  const copy = w.heartbeat();
+  assert.equal(c.applyHeartbeat(copy, true, 8000), true);
   const m = c.machines.get('n-1');
   assert.ok(m);
   // Not alive, no notice, nothing confirmed, its zone not heard.
-  assert.deepEqual([m.lastReport, m.noticeUntil, m.drain, m.confirmed], [0, null, null, false]);
-  assert.equal(c.heard.size, 0);
+  assert.deepEqual(
+    [m.lastHeartbeatAt, m.preemptionNoticeUntil, m.drainReason, m.confirmed],
+    [0, null, null, false],
+  );
+  assert.equal(c.zoneLiveness.size, 0);
   // The same copy again, and one of a machine that is not known: dropped.
-  assert.equal(c.report(copy, true, 9000), false);
-  assert.equal(c.report(new ScriptedWorker('n-7').report(), true, 9000), false);
+  assert.equal(c.applyHeartbeat(copy, true, 9000), false);
+  assert.equal(c.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), true, 9000), false);
   assert.equal(c.machines.has('n-7'), false);
   // The machine itself, once it knows the term, counts.
   w.execute(2, []);
-  c.report(w.report(), true, 10_000);
-  assert.deepEqual([m.lastReport, m.drain, m.confirmed], [10_000, 'notice', true]);
+  c.applyHeartbeat(w.heartbeat(), true, 10_000);
+  assert.deepEqual([m.lastHeartbeatAt, m.drainReason, m.confirmed], [10_000, 'notice', true]);
 });
 
 test('a late copy does not undo what came after it, nor bring a returned machine back', () => {
-  const c = cluster();
-  const w = joined(c, new ScriptedWorker('n-1'), 0);
-  const job = c.addJob(spec({ tasks: 1 }), 1, 0, false);
-  const copy = w.report();
-  c.report(copy, true, 100);
-  round(c, 32, 100);
-  beat(c, w, 200);
-  beat(c, w, 300);
-  assert.equal(c.report(copy, true, 60_000), false);
-  assert.equal(c.machines.get('n-1')?.lastReport, 300);
-  assert.equal(job?.bound.get(0)?.state, 'running');
-  c.machineGone('n-1', 'returned', 60_050);
-  assert.equal(c.report(w.report(), true, 60_100), false);
+  const c = createCluster();
+  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
+  const job = c.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
+  const copy = w.heartbeat();
+  c.applyHeartbeat(copy, true, 100);
+  runPlacementRound(c, 32, 100);
+  sendHeartbeat(c, w, 200);
+  sendHeartbeat(c, w, 300);
+  assert.equal(c.applyHeartbeat(copy, true, 60_000), false);
+  assert.equal(c.machines.get('n-1')?.lastHeartbeatAt, 300);
+  assert.equal(job?.activeAttempts.get(0)?.state, 'running');
+  c.markTerminated('n-1', 'returned', 60_050);
+  assert.equal(c.applyHeartbeat(w.heartbeat(), true, 60_100), false);
   assert.equal(c.machines.size, 0);
 });
 
 test('a machine that hears nothing gets no new work until it answers, and is fenced in the end', () => {
-  const c = cluster();
-  const r = new Renting(c);
-  const deaf = joined(c, new ScriptedWorker('n-1'), 0);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
+  const deaf = joinCluster(c, new ScriptedAgent('n-1'), 0);
   const others = ['n-2', 'n-3', 'n-4', 'n-5', 'n-6'].map((id) =>
-    joined(c, new ScriptedWorker(id, 'b'), 0),
+    joinCluster(c, new ScriptedAgent(id, 'b'), 0),
   );
   const m = c.machines.get('n-1');
   assert.ok(m);
-  const job = c.addJob(spec({ tasks: 1, zone: 'a' }), 1, 0, false);
+  const job = c.addJob(jobSpec({ tasks: 1, zone: 'a' }), 1, 0, false);
   assert.ok(job);
   let now = 0;
   let starts = 0;
   const pass = () => {
     now += 3000;
     // Its reports arrive, the answers don't reach it.
-    c.report(deaf.report(), true, now);
-    starts += round(c, 32, now).started.length;
-    c.orders(m);
-    for (const w of others) beat(c, w, now);
+    c.applyHeartbeat(deaf.heartbeat(), true, now);
+    starts += runPlacementRound(c, 32, now).started.length;
+    c.heartbeatCommands(m);
+    for (const w of others) sendHeartbeat(c, w, now);
   };
   for (let i = 0; i < 5; i++) pass();
   assert.equal(starts, 2);
   assert.notEqual(m.unresponsiveSince, null);
-  assert.equal(job.ready, 1);
+  assert.equal(job.readyCount, 1);
   // An answered command shows that it hears again.
   c.markResponsive(m);
   pass();
@@ -85,10 +95,10 @@
   // Its lease ends although it reports: deaf from there on, and returned when that lasts.
   deaf.lapse();
   pass();
-  assert.equal(job.ready, 1);
-  while (now < 60_000 && r.returns(now).length === 0) pass();
+  assert.equal(job.readyCount, 1);
+  while (now < 60_000 && r.planScaleIn(now).length === 0) pass();
   assert.deepEqual(
-    r.returns(now).map((x) => [x.machine.id, x.why]),
+    r.planScaleIn(now).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'deaf']],
   );
   assert.equal(starts, 3);
@@ -97,24 +107,24 @@
     const other = c.machines.get(w.id);
     if (other) c.markUnresponsive(other, 0);
   }
-  assert.deepEqual(r.returns(now), []);
+  assert.deepEqual(r.planScaleIn(now), []);
 });
 
 test('an inherited machine that answers nothing, asked directly or not, is fenced after a report interval', () => {
   const endOf = (unanswered: boolean) => {
-    const c = cluster({ term: 2 });
-    const r = new Renting(c);
+    const c = createCluster({ term: 2 });
+    const r = new ScaleOutPlanner(c);
     c.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
     c.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
-    const well = joined(c, new ScriptedWorker('n-2'), 100);
+    const well = joinCluster(c, new ScriptedAgent('n-2'), 100);
     const silent = c.machines.get('n-1');
     assert.ok(silent);
-    silent.unanswered = unanswered;
+    silent.confirmationUnanswered = unanswered;
     // Work that it may hold would fill it.
-    c.addJob(spec({ tasks: 8 }), 1, 0, true);
+    c.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
     for (let now = 200; now < 60_000; now += 100) {
-      beat(c, well, now);
-      if (r.returns(now).some((x) => x.machine === silent)) return now;
+      sendHeartbeat(c, well, now);
+      if (r.planScaleIn(now).some((x) => x.machine === silent)) return now;
     }
     return null;
   };
@@ -127,98 +137,98 @@
 
 test('only a machine that was asked and gave no answer counts as unanswered', async () => {
   const clock = new FakeClock();
-  const ctx = context('n-0', new FakeState(new FakeStore(clock)), clock);
-  const c = cluster({ term: 2 });
+  const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
+  const c = createCluster({ term: 2 });
   for (const id of ['n-1', 'n-2', 'n-3'])
     c.inheritMachine(id, 'm16', 'a', false, `10.0.0.1:${id}`, 0);
   const stop = new AbortController();
   const workers = {
     command: async (address: string) => {
-      if (address.endsWith('n-1')) throw new NoAnswer('timed out');
-      if (address.endsWith('n-2')) throw new NotTried('every socket is in use');
-      const worker = new ScriptedWorker('n-3');
+      if (address.endsWith('n-1')) throw new NoResponseError('timed out');
+      if (address.endsWith('n-2')) throw new NotAttemptedError('every socket is in use');
+      const worker = new ScriptedAgent('n-3');
       worker.term = 2;
-      return { executed: true, report: worker.report() };
+      return { executed: true, heartbeat: worker.heartbeat() };
     },
   };
-  const term = { term: 2, signal: stop.signal, proven: () => true } as never;
-  const commands = new Commands(ctx, term, c, workers, { commands: 9, confirmations: 9 });
-  void commands.confirmAll(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.reportMs);
+  const term = { number: 2, signal: stop.signal, isProven: () => true } as never;
+  const commands = new AgentCommands(ctx, term, c, workers, { commands: 9, confirmations: 9 });
+  void commands.confirmInheritedMachines(stop.signal).catch(() => {});
+  await clock.advance(ctx.timing.heartbeatMs);
   stop.abort();
-  const unanswered = [...c.machines.values()].map((m) => m.unanswered);
+  const unanswered = [...c.machines.values()].map((m) => m.confirmationUnanswered);
   assert.deepEqual(unanswered, [true, false, false]);
 });
 
 test('a machine that never learns of the new term holds up only work it could hold, and not for ever', () => {
-  const teams = [team({ name: 'ops', cpusMax: 16 })];
-  const c = cluster({ term: 2, teams });
-  const r = new Renting(c);
+  const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
+  const c = createCluster({ term: 2, teams });
+  const r = new ScaleOutPlanner(c);
   c.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   c.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
-  const oneWay = new ScriptedWorker('n-1', 'a', true);
+  const oneWay = new ScriptedAgent('n-1', 'a', true);
   oneWay.term = 1;
-  const well = joined(c, new ScriptedWorker('n-2'), 100);
-  const ordinary = c.addJob(spec({ id: 'req-000001', tasks: 1, spot: false }), 1, 0, true);
-  const cheap = c.addJob(spec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
+  const well = joinCluster(c, new ScriptedAgent('n-2'), 100);
+  const ordinary = c.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
+  const cheap = c.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
   // What it may hold counts against the limit.
-  assert.equal(round(c, 32, 200).started.length, 0);
+  assert.equal(runPlacementRound(c, 32, 200).started.length, 0);
   let now = 200;
   let gone = 0;
   while (now < 60_000 && gone === 0) {
     now += 1000;
-    c.report(oneWay.report(), true, now);
-    beat(c, well, now);
-    for (const x of r.returns(now)) {
-      assert.deepEqual([x.machine.id, x.why], ['n-1', 'silent']);
-      c.machineGone(x.machine.id, 'returned', now);
+    c.applyHeartbeat(oneWay.heartbeat(), true, now);
+    sendHeartbeat(c, well, now);
+    for (const x of r.planScaleIn(now)) {
+      assert.deepEqual([x.machine.id, x.reason], ['n-1', 'silent']);
+      c.markTerminated(x.machine.id, 'returned', now);
       gone = now;
     }
   }
   // As soon as two reports under the new token would have come, since work waits for it.
   assert.ok(gone > 6000 && gone <= 8000, `gone at ${gone}`);
-  assert.equal(round(c, 32, now).started.length, 2);
-  assert.deepEqual([ordinary?.ready, cheap?.ready], [0, 1]);
+  assert.equal(runPlacementRound(c, 32, now).started.length, 2);
+  assert.deepEqual([ordinary?.readyCount, cheap?.readyCount], [0, 1]);
 
   // Without a limit, work that may not use spot machines waits for ordinary ones only.
-  const d = cluster({ term: 2 });
+  const d = createCluster({ term: 2 });
   d.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
-  joined(d, new ScriptedWorker('n-2'), 100);
-  d.addJob(spec({ id: 'req-000001', tasks: 1, spot: false }), 1, 0, true);
-  d.addJob(spec({ id: 'req-000002', tasks: 1 }), 2, 0, true);
+  joinCluster(d, new ScriptedAgent('n-2'), 100);
+  d.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
+  d.addJob(jobSpec({ id: 'req-000002', tasks: 1 }), 2, 0, true);
   assert.deepEqual(
-    round(d, 32, 200).started.map((b) => b.job.spec.id),
+    runPlacementRound(d, 32, 200).started.map((b) => b.job.spec.id),
     ['req-000001'],
   );
 });
 
 test('while a cut keeps many machines from a new leader, none of them is fenced for the work that waits', () => {
-  const c = cluster({ term: 2 });
-  const r = new Renting(c);
-  const workers = Array.from({ length: 10 }, (_, i) => new ScriptedWorker(`n-${i}`));
+  const c = createCluster({ term: 2 });
+  const r = new ScaleOutPlanner(c);
+  const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
   for (const w of workers) c.inheritMachine(w.id, 'm16', 'a', false, '', 0);
-  c.addJob(spec({ tasks: 50 }), 1, 0, true);
+  c.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
   const returned = (heard: number, now: number) => {
-    for (const w of workers.slice(0, heard)) joined(c, w, now);
-    return r.returns(now).map((x) => x.machine.id);
+    for (const w of workers.slice(0, heard)) joinCluster(c, w, now);
+    return r.planScaleIn(now).map((x) => x.machine.id);
   };
   assert.deepEqual(returned(7, 8000), []);
   assert.deepEqual(returned(8, 8500), ['n-8', 'n-9']);
   // Nothing waits for them: they are given their time.
-  const d = cluster({ term: 2 });
+  const d = createCluster({ term: 2 });
   for (const w of workers) d.inheritMachine(w.id, 'm16', 'a', false, '', 0);
-  for (const w of workers.slice(0, 9)) joined(d, w, 8000);
-  assert.deepEqual(new Renting(d).returns(8500), []);
+  for (const w of workers.slice(0, 9)) joinCluster(d, w, 8000);
+  assert.deepEqual(new ScaleOutPlanner(d).planScaleIn(8500), []);
 });
 
 test('a leader that stood still under a kept lease takes no healthy machine for silent or missing', () => {
-  const c = cluster();
-  const r = new Renting(c);
+  const c = createCluster();
+  const r = new ScaleOutPlanner(c);
   const workers = Array.from({ length: 6 }, (_, i) =>
-    joined(c, new ScriptedWorker(`n-${i}`, i < 3 ? 'a' : 'b'), 0),
+    joinCluster(c, new ScriptedAgent(`n-${i}`, i < 3 ? 'a' : 'b'), 0),
   );
-  const young = joined(c, new ScriptedWorker('n-8'), 900);
-  const entry = (w: ScriptedWorker) => ({
+  const young = joinCluster(c, new ScriptedAgent('n-8'), 900);
+  const entry = (w: ScriptedAgent) => ({
     id: w.id,
     address: '',
     type: 'm16',
@@ -230,49 +240,56 @@
   // The list was asked for just before, and does not show the newest machine yet.
   const shown = workers.map(entry);
   const woken = 30_000;
-  c.listed(shown, 1000, woken);
-  assert.deepEqual(r.returns(woken), []);
+  c.applyMachineList(shown, 1000, woken);
+  assert.deepEqual(r.planScaleIn(woken), []);
   for (const [i, w] of [...workers, young].entries()) {
-    beat(c, w, woken + 100 * i);
-    assert.deepEqual(r.returns(woken + 100 * i), []);
+    sendHeartbeat(c, w, woken + 100 * i);
+    assert.deepEqual(r.planScaleIn(woken + 100 * i), []);
   }
   // Up within a second or two and heard all the while, but not listed yet.
-  joined(c, new ScriptedWorker('n-9'), woken + 900);
-  c.listed([...workers, young].map(entry), woken + 1000, woken + 1100);
-  assert.deepEqual(r.returns(woken + 1200), []);
+  joinCluster(c, new ScriptedAgent('n-9'), woken + 900);
+  c.applyMachineList([...workers, young].map(entry), woken + 1000, woken + 1100);
+  assert.deepEqual(r.planScaleIn(woken + 1200), []);
   assert.ok(c.machines.has('n-9'));
 });
 
 test('a node that hears neither state service nor peers says that it is unhealthy, and in an outage it does not', async () => {
   const clock = new FakeClock();
-  const { timing, types } = context('n-0', new FakeState(new FakeStore(clock)), clock);
+  const { timing, machineTypes: types } = createContext(
+    'n-0',
+    new FakeStateService(new FakeStore(clock)),
+    clock,
+  );
   const state = {
-    troubleSince: null as number | null,
-    silentSince: null as number | null,
-    triedAt: clock.now(),
+    failingSince: null as number | null,
+    unansweredSince: null as number | null,
+    lastAttemptAt: clock.now(),
   };
-  const peers = { heard: true, alone: () => !peers.heard };
-  const health = new Health({ clock, timing, types }, state, peers);
-  assert.equal(health.ok, true);
-  state.troubleSince = clock.now();
-  state.silentSince = clock.now();
+  const peers = { heard: true, isIsolated: () => !peers.heard };
+  const health = new ControllerHealth({ clock, timing, machineTypes: types }, state, peers);
+  assert.equal(health.isHealthy, true);
+  state.failingSince = clock.now();
+  state.unansweredSince = clock.now();
   await clock.advance(timing.stateTimeoutMs * 0.4);
-  assert.deepEqual([health.inTrouble(), health.unanswered()], [false, false]);
+  assert.deepEqual([health.isStateServiceFailing(), health.isStateServiceSilent()], [false, false]);
   await clock.advance(timing.stateTimeoutMs);
   // Nothing has been tried for a while: the next request is.
-  assert.equal(health.unanswered(), false);
-  state.triedAt = clock.now();
+  assert.equal(health.isStateServiceSilent(), false);
+  state.lastAttemptAt = clock.now();
   // An outage: the peers are heard, users are answered at once and the node stays.
-  assert.deepEqual([health.inTrouble(), health.unanswered(), health.ok], [true, true, true]);
+  assert.deepEqual(
+    [health.isStateServiceFailing(), health.isStateServiceSilent(), health.isHealthy],
+    [true, true, true],
+  );
   peers.heard = false;
-  assert.equal(health.ok, false);
-  state.troubleSince = null;
-  assert.equal(health.ok, true);
+  assert.equal(health.isHealthy, false);
+  state.failingSince = null;
+  assert.equal(health.isHealthy, true);
 });
 
 test('a status that a cut held back tells of the time when it was sent', async () => {
   const clock = new FakeClock();
-  const ctx = context('n-0', new FakeState(new FakeStore(clock)), clock);
+  const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   const terms: number[] = [];
   const peers = new Peers(ctx, {
     status: () => status(0),
@@ -281,7 +298,7 @@
     takeReport: () => Promise.reject(new Error('not asked')),
     cancelled: () => {},
   });
-  const status = (sentAt: number): Status => ({
+  const status = (sentAt: number): PeerStatus => ({
     node: 'n-1',
     incarnation: 'n-1-1',
     sentAt,
@@ -292,14 +309,14 @@
   });
   const sent = clock.wall();
   const heardAt = clock.now();
-  peers.take(status(sent));
+  peers.receiveStatus(status(sent));
   await clock.advance(30_000);
   // Late copies of it, and an older one, move nothing.
-  peers.take(status(sent));
-  peers.take(status(sent - 5000));
-  assert.equal(peers.heardLeading('n-1', 3), heardAt);
-  peers.take(status(clock.wall()));
-  assert.equal(peers.heardLeading('n-1', 3), clock.now());
+  peers.receiveStatus(status(sent));
+  peers.receiveStatus(status(sent - 5000));
+  assert.equal(peers.lastLedAt('n-1', 3), heardAt);
+  peers.receiveStatus(status(clock.wall()));
+  assert.equal(peers.lastLedAt('n-1', 3), clock.now());
   assert.deepEqual(terms, [3, 3, 3, 3]);
 });
 
@@ -327,15 +344,15 @@
   const [other] = r.add([4, 5].map(entry));
   assert.notEqual(other?.key, again?.key);
   other?.applied(12);
-  assert.deepEqual(r.clean(9), []);
-  r.gone('n-1');
-  const [rest] = r.clean(9);
+  assert.deepEqual(r.rewriteStalePages(9), []);
+  r.removeMachine('n-1');
+  const [rest] = r.rewriteStalePages(9);
   assert.deepEqual([rest?.key, rest?.version, rest?.entries.length], ['4-1', 10, 2]);
   rest?.applied(13);
-  for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) r.gone(id);
-  const ends = r.clean(9);
+  for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) r.removeMachine(id);
+  const ends = r.rewriteStalePages(9);
   assert.deepEqual(new Set(ends.map((w) => w.key)), new Set([first.key, again?.key, other?.key]));
   assert.ok(ends.every((w) => w.entries.length === 0));
   for (const w of ends) w.applied(14);
-  assert.deepEqual(r.clean(9), []);
+  assert.deepEqual(r.rewriteStalePages(9), []);
 });
