--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,22 +1,33 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Refused, Rejected, StateClient } from '../src/clients/state-client.js';
+import {
+  RequestRefusedError,
+  RequestRejectedError,
+  StateClient,
+} from '../src/clients/state-client.js';
 import { stateLimitsOf } from '../src/config/state-limits.js';
-import { Loads } from '../src/controller/leader/demand-store.js';
-import { Flusher } from '../src/controller/leader/progress-writer.js';
+import { DemandStore } from '../src/controller/leader/demand-store.js';
+import { ProgressWriter } from '../src/controller/leader/progress-writer.js';
 import { serve } from '../src/http/server.js';
-import { FrameReader, frame } from '../src/peer/frames.js';
-import { fitOrders, tokenOf } from '../src/protocol/wire.js';
+import { FrameReader, packFrame } from '../src/peer/frames.js';
+import { fencingToken, truncateCommands } from '../src/protocol/wire.js';
 import { BitmapLayout } from '../src/records/bitmap-layout.js';
-import { flushUnits } from '../src/scheduler/persistence/durable-writes.js';
+import { decodeJobSpec } from '../src/records/job-record.js';
+import { pendingWrites } from '../src/scheduler/persistence/durable-writes.js';
 import { Roster, type RosterEntry } from '../src/scheduler/persistence/roster.js';
-import { round } from '../src/scheduler/placement/placement-round.js';
-import { Renting } from '../src/scheduler/scaling/scale-out.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { Job } from '../src/scheduler/state/job.js';
 import { FakeClock, settle } from './support/clock.js';
-import { context } from './support/context.js';
-import { beat, cluster, joined, ScriptedWorker, spec } from './support/scheduler.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import {
+  createCluster,
+  jobSpec,
+  joinCluster,
+  ScriptedAgent,
+  sendHeartbeat,
+} from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 
 const KIB = 1024;
 /** The limits of the test settings, which the version before sized its values by, and lower ones. */
@@ -107,7 +118,9 @@
 
 test('bitmaps of the version before are read, and go on in values that fit the lower limit', () => {
   const layout = BitmapLayout.forValues(8 * KIB, NEXT.value_kb * KIB);
-  const job = new Job(LIVE_JOB.spec, 77, LIVE_JOB.at, true);
+  const spec = decodeJobSpec(LIVE_JOB.spec);
+  assert.ok(spec);
+  const job = new Job(spec, 77, LIVE_JOB.at, true);
   for (const stored of EARLIER_BITS) load(job, layout, stored.key, earlierBytes(stored));
   assert.deepEqual(
     [...Array(LIVE_JOB.spec.tasks).keys()].filter((i) => job.isDone(i)),
@@ -150,10 +163,10 @@
   layout: BitmapLayout,
   valueBytes: number,
 ): void {
-  const job = new Job(spec({ id: 'req-1', tasks }), 1, 0, true);
+  const job = new Job(jobSpec({ id: 'req-1', tasks }), 1, 0, true);
   for (const [key, bytes] of store) load(job, layout, key, bytes);
-  assert.equal(job.done, done.size);
-  for (const i of finished) job.finish(i);
+  assert.equal(job.doneCount, done.size);
+  for (const i of finished) job.markDone(i);
   for (const chunk of new Set(finished.map((i) => layout.chunkOf(i)))) {
     const bytes = job.chunkBits(chunk, layout.tasksPerChunk);
     assert.ok(Buffer.from(bytes).toString('base64').length + 2 <= valueBytes);
@@ -186,9 +199,13 @@
   const roster = new Roster(4, pageBytes);
   const all = Array.from({ length: 32 }, (_, i) => entry(i + 1));
   roster.restore('3-1', 10, all);
-  roster.gone('n-000002');
+  roster.removeMachine('n-000002');
   const stored = new Map<string, RosterEntry[]>([['3-1', all]]);
-  for (let revision = 11, writes = roster.clean(9); writes.length > 0; writes = roster.clean(9))
+  for (
+    let revision = 11, writes = roster.rewriteStalePages(9);
+    writes.length > 0;
+    writes = roster.rewriteStalePages(9)
+  )
     for (const w of writes) {
       assert.ok(JSON.stringify({ machines: w.entries }).length <= NEXT.value_kb * KIB, w.key);
       stored.set(w.key, w.entries);
@@ -204,12 +221,12 @@
 test('a page that could not be moved is left as it is, and no machine is taken off it', () => {
   const roster = new Roster(4, 400);
   roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(entry));
-  roster.gone('n-000001');
-  const moves = roster.clean(9);
+  roster.removeMachine('n-000001');
+  const moves = roster.rewriteStalePages(9);
   assert.ok(moves.length > 0 && moves.every((w) => w.key !== '3-1'));
   // No answer: what stands there is not known, so both pages keep them.
   for (const w of moves) w.unknown();
-  for (const w of roster.clean(9)) assert.notEqual(w.key, '3-1');
+  for (const w of roster.rewriteStalePages(9)) assert.notEqual(w.key, '3-1');
 });
 
 test('peers of both versions read each other, and tokens stay what they were', () => {
@@ -228,7 +245,7 @@
     },
   };
   assert.deepEqual(new FrameReader().push(Buffer.from(sent, 'hex')), [status]);
-  assert.equal(frame(status).toString('hex'), sent);
+  assert.equal(packFrame(status).toString('hex'), sent);
   const ask =
     '00000041b90004646b696e646361736b616e07626f706963616e63656c6c6564677061796c6f6164b90002636a6f626a7265712d303030343132687265766973696f6e185a';
   const question = {
@@ -237,36 +254,41 @@
     op: 'cancelled',
     payload: { job: 'req-000412', revision: 90 },
   };
-  assert.equal(frame(question).toString('hex'), ask);
-  assert.equal(tokenOf(3, 5), 3_145_733);
+  assert.equal(packFrame(question).toString('hex'), ask);
+  assert.equal(fencingToken(3, 5), 3_145_733);
 });
 
 test('what work is expected is kept in pages that fit; the first is the one that both versions read', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   store.limits = { valueBytes: NEXT.value_kb * KIB, changes: NEXT.txn_ops };
-  const ctx = context('n-0', new FakeState(store), clock, NEXT);
+  const ctx = createContext('n-0', new FakeStateService(store), clock, NEXT);
   const stop = new AbortController();
-  const term = { term: 1, version: 0, signal: stop.signal } as never;
-  const c = cluster();
-  const renting = new Renting(c);
-  const loads = new Loads(ctx, term, renting);
-  for (let i = 1; i <= 12; i++) loads.arrived(spec({ jobClass: `class-${i}`, tasks: i }), i);
+  const term = { number: 1, version: 0, signal: stop.signal } as never;
+  const c = createCluster();
+  const renting = new ScaleOutPlanner(c);
+  const loads = new DemandStore(ctx, term, renting);
+  for (let i = 1; i <= 12; i++)
+    loads.recordArrival(jobSpec({ jobClass: `class-${i}`, tasks: i }), i);
   void loads.run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.loadsMs + 1);
+  await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
   assert.deepEqual(store.oversize, []);
   const first = store.entries.get('loads')?.value as { loads: unknown[]; upTo: number };
   assert.equal(first.upTo, 12);
-  const next = new Renting(c);
-  const again = new Loads(ctx, { term: 2, signal: new AbortController().signal } as never, next);
+  const next = new ScaleOutPlanner(c);
+  const again = new DemandStore(
+    ctx,
+    { number: 2, signal: new AbortController().signal } as never,
+    next,
+  );
   await again.read();
   // Four pages take them all but for the smallest.
   const kept = next.snapshot().map((l) => l.spec.jobClass);
   assert.ok(kept.length > first.loads.length && kept.length >= 10, `${kept.length}`);
   // A job that is counted in it is not counted again.
-  again.arrived(spec({ jobClass: 'class-12' }), 12);
+  again.recordArrival(jobSpec({ jobClass: 'class-12' }), 12);
   assert.equal(next.snapshot().length, kept.length);
   // As the version before writes it.
   store.entries.set('loads', {
@@ -297,35 +319,35 @@
 test('a write that is refused for its size is not repeated, and holds up no other', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
-  const state = new FakeState(store);
-  const ctx = context('n-0', state, clock, NEXT);
+  const state = new FakeStateService(store);
+  const ctx = createContext('n-0', state, clock, NEXT);
   const stop = new AbortController();
-  const c = cluster();
-  const w = joined(c, new ScriptedWorker('n-1'), 0);
+  const c = createCluster();
+  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
   for (const n of [1, 2]) {
     const id = `req-00000${n}`;
     store.transact([], [{ op: 'put', key: `live/${id}`, value: {} }]);
-    c.addJob(spec({ id, tasks: 1 }), store.revision, 0, false);
+    c.addJob(jobSpec({ id, tasks: 1 }), store.revision, 0, false);
   }
-  round(c, 9, 0);
-  beat(c, w, 10);
+  runPlacementRound(c, 9, 0);
+  sendHeartbeat(c, w, 10);
   for (const key of [...w.tasks.keys()]) w.exit(key, 'done');
-  beat(c, w, 20);
+  sendHeartbeat(c, w, 20);
   let refused = 0;
   const { transact } = state;
   state.transact = (conditions, changes) => {
     if (!changes.some((x) => x.key === 'over/req-000001'))
       return transact.call(state, conditions, changes);
     refused++;
-    return Promise.reject(new Rejected('400 too large'));
+    return Promise.reject(new RequestRejectedError('400 too large'));
   };
-  const term = { term: 1, version: 0, signal: stop.signal, resign: () => {} } as never;
-  void new Flusher(ctx, term, c).run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.flushMs * 1.5);
+  const term = { number: 1, version: 0, signal: stop.signal, resign: () => {} } as never;
+  void new ProgressWriter(ctx, term, c).run(stop.signal).catch(() => {});
+  await clock.advance(ctx.timing.progressWriteMs * 1.5);
   assert.ok(store.entries.has('over/req-000002'));
   assert.equal(refused, 2);
   stop.abort();
-  assert.equal(flushUnits(c, { spare: 9, wallNow: 0 }).length, 1);
+  assert.equal(pendingWrites(c, { progressChanges: 9, wallNow: 0 }).length, 1);
 });
 
 test('a 429 to a change lowers the rate of changes at once, and what leads still goes first', async () => {
@@ -364,7 +386,7 @@
       passed++;
     };
     for (let n = 0; n < 20; n++) {
-      asked.push(put(1).then(count, (error) => assert.ok(error instanceof Refused)));
+      asked.push(put(1).then(count, (error) => assert.ok(error instanceof RequestRefusedError)));
       await clock.advance(10);
     }
     // Those that were put off for a moment.
@@ -374,7 +396,7 @@
   };
   try {
     status = 429;
-    await assert.rejects(put(1), Refused);
+    await assert.rejects(put(1), RequestRefusedError);
     status = 200;
     await clock.advance(1000);
     const n = await passing();
@@ -392,15 +414,19 @@
     hand: `req-1/${i}`,
     try: 1,
   }));
-  const fit = fitOrders({ baton: 7, orders }, 1000) as { baton: number; orders: unknown[] };
+  const fit = truncateCommands({ baton: 7, orders }, 1000) as { baton: number; orders: unknown[] };
   assert.ok(JSON.stringify(fit).length <= 1000);
   assert.deepEqual(fit.orders, orders.slice(0, fit.orders.length));
   assert.ok(fit.orders.length > 10);
-  assert.deepEqual(fitOrders({ error: 'x' }, 1), { error: 'x' });
+  assert.deepEqual(truncateCommands({ error: 'x' }, 1), { error: 'x' });
 });
 
 test('without limits to come nothing changes but the names of bitmaps', () => {
-  const ctx = context('n-0', new FakeState(new FakeStore(new FakeClock())), new FakeClock());
+  const ctx = createContext(
+    'n-0',
+    new FakeStateService(new FakeStore(new FakeClock())),
+    new FakeClock(),
+  );
   const limits = stateLimitsOf(ctx.platform);
   assert.deepEqual(limits, {
     presentValueBytes: 8192,
--- a/test/upstream-lists.test.ts
+++ b/test/upstream-lists.test.ts
@@ -1,14 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Users } from '../src/controller/api/job-api.js';
-import { JobStore, type LiveRecord } from '../src/controller/api/job-store.js';
-import { UpstreamListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
-import { UpstreamResolver } from '../src/controller/leader/dependency-resolver.js';
-import { round } from '../src/scheduler/placement/placement-round.js';
+import { JobApi } from '../src/controller/api/job-api.js';
+import { JobStore } from '../src/controller/api/job-store.js';
+import { DependencyListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
+import { DependencyResolver } from '../src/controller/leader/dependency-resolver.js';
+import { decodeLiveJob, encodeLiveJob, type LiveJobRecord } from '../src/records/job-record.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { FakeClock, settle } from './support/clock.js';
-import { context, type NextLimits } from './support/context.js';
-import { cluster, joined, ScriptedWorker, spec } from './support/scheduler.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext, type NextLimits } from './support/context.js';
+import { createCluster, jobSpec, joinCluster, ScriptedAgent } from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
 const NEXT: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 30 };
@@ -37,7 +38,8 @@
 
   /** Jobs that were accepted, each after those that it needs. */
   accepted(n: number, upstream: string[] = []): string {
-    const record = { spec: spec({ id: id(n), tasks: 2 }), at: 0, upstream };
+    const description = jobSpec({ id: id(n), tasks: 2 });
+    const record = encodeLiveJob({ spec: description, acceptedAt: 0, dependencies: upstream });
     const limits = this.store.limits;
     this.store.limits = null;
     this.store.transact([], [{ op: 'put', key: `live/${id(n)}`, value: record }]);
@@ -59,22 +61,23 @@
     return [...this.store.entries.keys()].filter((key) => key.startsWith(prefix));
   }
 
-  record(job: string): LiveRecord {
-    return this.store.entries.get(`live/${job}`)?.value as LiveRecord;
+  record(job: string): LiveJobRecord {
+    const entry = this.store.entries.get(`live/${job}`);
+    return (entry && decodeLiveJob(entry.value)) as LiveJobRecord;
   }
 }
 
 class SceneNode {
-  readonly state: FakeState;
-  readonly ctx: ReturnType<typeof context>;
-  readonly users: Users;
+  readonly state: FakeStateService;
+  readonly ctx: ReturnType<typeof createContext>;
+  readonly users: JobApi;
   readonly jobs: JobStore;
 
   constructor(scene: Scene) {
-    this.state = new FakeState(scene.store);
-    this.ctx = context('n-0', this.state, scene.clock, scene.next);
+    this.state = new FakeStateService(scene.store);
+    this.ctx = createContext('n-0', this.state, scene.clock, scene.next);
     this.jobs = new JobStore(this.ctx);
-    this.users = new Users(
+    this.users = new JobApi(
       this.ctx,
       () => null,
       async () => {},
@@ -90,14 +93,14 @@
   }
 
   /** What the stored job needs, as a leader reads it. */
-  async upstream(job: string, record: LiveRecord): Promise<string[] | null> {
-    return this.jobs.upstreamOf(job, record, 0);
+  async upstream(job: string, record: LiveJobRecord): Promise<string[] | null> {
+    return this.jobs.dependenciesOf(job, record, 0);
   }
 
   /** Runs the duty that removes lists without a job. */
   clean(liveJobs: string[]): AbortController {
     const stop = new AbortController();
-    void new UpstreamListCleaner(this.ctx, new Set(liveJobs)).run(stop.signal);
+    void new DependencyListCleaner(this.ctx, new Set(liveJobs)).run(stop.signal);
     return stop;
   }
 }
@@ -126,7 +129,7 @@
     assert.equal((await node.submit(id(2), [...named, id(3)])).status, 422);
     // The last of them counts like the first, wherever it stands.
     scene.end(named.at(-1) as string, 'cancelled');
-    await scene.clock.advance(node.ctx.timing.upstreamFreshMs);
+    await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
     assert.equal(await node.standing(id(1)), 'cancelled');
   });
 
@@ -136,25 +139,25 @@
   const named = Array.from({ length: 1000 }, (_, i) => scene.accepted(1000 + i));
   assert.equal((await node.submit(id(1), named)).status, 201);
   const record = scene.record(id(1));
-  assert.ok(record.upstreamList);
+  assert.ok(record.dependencyList);
   for (const job of named.slice(1)) scene.end(job, 'done');
-  const c = cluster();
-  joined(c, new ScriptedWorker('n-1'), 0);
-  const last = c.addJob(spec({ id: named[0] as string, tasks: 1 }), 2, 0, false);
+  const c = createCluster();
+  joinCluster(c, new ScriptedAgent('n-1'), 0);
+  const last = c.addJob(jobSpec({ id: named[0] as string, tasks: 1 }), 2, 0, false);
   assert.ok(c.addJob(record.spec, 5, 0, false, { ids: [], unread: true, keys: [] }));
   const stop = new AbortController();
-  const resolver = new UpstreamResolver(node.ctx, c, node.jobs);
+  const resolver = new DependencyResolver(node.ctx, c, node.jobs);
   void resolver.run(stop.signal).catch(() => {});
   const before = node.state.requests;
   await scene.clock.advance(node.ctx.timing.renewMs * 4);
   assert.ok(node.state.requests - before < 20, `${node.state.requests - before} requests`);
-  assert.deepEqual([...(c.jobs.get(id(1))?.waitsFor ?? [])], [named[0]]);
+  assert.deepEqual([...(c.jobs.get(id(1))?.pendingDependencies ?? [])], [named[0]]);
   assert.deepEqual(
-    round(c, 32, 0).started.map((b) => b.job),
+    runPlacementRound(c, 32, 0).started.map((b) => b.job),
     [last],
   );
   c.endJob(named[0] as string, { state: 'done', at: 5 });
-  assert.equal(round(c, 32, 0).started[0]?.job.spec.id, id(1));
+  assert.equal(runPlacementRound(c, 32, 0).started[0]?.job.spec.id, id(1));
   stop.abort();
 });
 
@@ -269,13 +272,13 @@
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
   await node.submit(id(1), named);
   const record = scene.record(id(1));
-  assert.deepEqual(record.upstream, [`${id(1)}/list`]);
-  assert.equal(record.upstreamPages, undefined);
+  assert.deepEqual(record.dependencies, [`${id(1)}/list`]);
+  assert.equal(record.dependencyPages, undefined);
   // It takes the ids that stand in the record for all.
-  const c = cluster();
-  joined(c, new ScriptedWorker('n-1'), 0);
-  c.addJob(record.spec, 5, 0, false, { ids: record.upstream ?? [], unread: false, keys: [] });
-  assert.equal(round(c, 32, 0).started.length, 0);
+  const c = createCluster();
+  joinCluster(c, new ScriptedAgent('n-1'), 0);
+  c.addJob(record.spec, 5, 0, false, { ids: record.dependencies ?? [], unread: false, keys: [] });
+  assert.equal(runPlacementRound(c, 32, 0).started.length, 0);
 });
 
 test('questions about a thousand jobs, one after or beside another, cost a bounded number of requests', async () => {
@@ -301,7 +304,7 @@
     assert.equal(await alone.standing(tree.at(-1) as string), 'queued');
     assert.ok(alone.state.requests < 40, `${alone.state.requests} requests, ${shape}`);
     scene.end(root, 'cancelled');
-    await scene.clock.advance(node.ctx.timing.upstreamFreshMs);
+    await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
     assert.equal(await alone.standing(tree.at(-1) as string), 'cancelled', shape);
     assert.deepEqual((await pollAll()).answers, ['cancelled'], shape);
     assert.equal(scene.keys('live/').length, 0);
@@ -392,12 +395,12 @@
       ],
     );
   }
-  await scene.clock.advance(node.ctx.timing.upstreamFreshMs);
+  await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
   assert.equal(await node.standing('req-000412'), 'queued');
   // A job that names it has a list of the new form only when it is long.
   assert.equal((await node.submit(id(1), ['req-000412'])).status, 201);
-  assert.equal(scene.record(id(1)).upstreamList, undefined);
+  assert.equal(scene.record(id(1)).dependencyList, undefined);
   scene.end('req-000505', 'cancelled');
-  await scene.clock.advance(node.ctx.timing.upstreamFreshMs);
+  await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
   for (const job of ['req-000412', id(1)]) assert.equal(await node.standing(job), 'cancelled');
 });
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Users } from '../src/controller/api/job-api.js';
+import { JobApi } from '../src/controller/api/job-api.js';
 import { FakeClock } from './support/clock.js';
-import { context } from './support/context.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 import { World } from './support/world.js';
 
@@ -14,10 +14,10 @@
   const store = new FakeStore(clock);
   store.limits = { valueBytes: NEXT.value_kb * 1024, changes: NEXT.txn_ops };
   const node = () => {
-    const state = new FakeState(store);
-    const ctx = context('n-0', state, clock, NEXT);
+    const state = new FakeStateService(store);
+    const ctx = createContext('n-0', state, clock, NEXT);
     const counts = new Map<string, { done: number; running: number }>();
-    const users = new Users(
+    const users = new JobApi(
       ctx,
       (id) => counts.get(id) ?? null,
       async () => {},
@@ -140,7 +140,7 @@
   for (const x of [a, b]) assert.equal(await x.standing(3), 'queued');
   await b.users.cancel(id(1));
   // What was read a moment ago may still be answered, but not for long.
-  await w.clock.advance(a.ctx.timing.upstreamFreshMs);
+  await w.clock.advance(a.ctx.timing.dependencyFreshMs);
   assert.equal(await a.standing(3), 'cancelled');
   assert.deepEqual(w.store.entries.get(`over/${id(3)}`)?.value, { state: 'cancelled', tasks: 2 });
   for (const n of [2, 3])
@@ -154,7 +154,7 @@
   await a.submit(1);
   await a.submit(2, [id(1)]);
   w.end(1, 'cancelled');
-  await w.clock.advance(a.ctx.timing.upstreamFreshMs);
+  await w.clock.advance(a.ctx.timing.dependencyFreshMs);
   const { transact } = a.state;
   a.state.transact = () => Promise.reject(new Error('not answered'));
   assert.equal((await a.users.query(id(2))).status, 503);
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -1,11 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Users } from '../src/controller/api/job-api.js';
-import { readTypes } from '../src/controller/machine-types.js';
+import { JobApi } from '../src/controller/api/job-api.js';
+import { readMachineTypes } from '../src/controller/machine-types.js';
+import { encodeMachineTypes } from '../src/records/machine-type-record.js';
 import { FakeClock } from './support/clock.js';
-import { context } from './support/context.js';
-import { TYPE } from './support/scheduler.js';
-import { FakeState, FakeStore } from './support/state.js';
+import { createContext } from './support/context.js';
+import { MACHINE_TYPE } from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
 const BODY = { ...SUBMISSION, id: 'req-000412' };
@@ -14,12 +15,12 @@
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const node = () => {
-    const state = new FakeState(store);
-    const ctx = context('n-0', state, clock);
+    const state = new FakeStateService(store);
+    const ctx = createContext('n-0', state, clock);
     return {
       state,
       ctx,
-      users: new Users(
+      users: new JobApi(
         ctx,
         () => null,
         async () => {},
@@ -61,7 +62,7 @@
   const w = world();
   const { users, ctx } = w.node();
   await users.submit(bytes());
-  ctx.types = null;
+  ctx.machineTypes = null;
   assert.equal((await users.submit(bytes())).status, 200);
   const reply = await users.submit(bytes({ id: 'req-000500' }));
   assert.deepEqual([reply.status, reply.retryAfterS], [503, 1]);
@@ -75,16 +76,16 @@
   const cloud = {
     types: () => {
       asked++;
-      return Promise.resolve([TYPE]);
+      return Promise.resolve([MACHINE_TYPE]);
     },
   };
-  assert.deepEqual(await readTypes(ctx, cloud, signal), [TYPE]);
+  assert.deepEqual(await readMachineTypes(ctx, cloud, signal), [MACHINE_TYPE]);
   state.fault = 'refuse';
-  assert.deepEqual(await readTypes(ctx, cloud, signal), [TYPE]);
+  assert.deepEqual(await readMachineTypes(ctx, cloud, signal), [MACHINE_TYPE]);
   assert.equal(asked, 2);
   state.fault = null;
-  w.store.transact([], [{ op: 'put', key: 'types', value: [TYPE] }]);
-  assert.deepEqual(await readTypes(ctx, cloud, signal), [TYPE]);
+  w.store.transact([], [{ op: 'put', key: 'types', value: encodeMachineTypes([MACHINE_TYPE]) }]);
+  assert.deepEqual(await readMachineTypes(ctx, cloud, signal), [MACHINE_TYPE]);
   assert.equal(asked, 2);
 });
 
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { neverRuns } from '../src/model/model.js';
+import { unrunnableReason } from '../src/model/model.js';
 import {
-  Malformed,
+  heartbeatResponseBody,
+  MalformedMessageError,
+  parseHeartbeat,
   parseMachineList,
-  parseReport,
   parseSubmission,
-  reportAnswer,
 } from '../src/protocol/wire.js';
-import { TYPE, team } from './support/scheduler.js';
+import { MACHINE_TYPE, teamQuota } from './support/scheduler.js';
 
 const SUBMISSION = {
   id: 'req-000412',
@@ -36,11 +36,11 @@
 
 test('a submission is taken with every field, and nullable ones may be left out', () => {
   const spec = parseSubmission(SUBMISSION);
-  assert.equal(spec.rank, 1);
-  assert.deepEqual(spec.types, ['m16']);
+  assert.equal(spec.priority, 1);
+  assert.deepEqual(spec.machineTypes, ['m16']);
   const { rigs: _r, hall: _h, dueS: _d, ...short } = SUBMISSION;
   const other = parseSubmission(short);
-  assert.deepEqual([other.types, other.zone, other.deadlineS], [null, null, null]);
+  assert.deepEqual([other.machineTypes, other.zone, other.deadlineS], [null, null, null]);
 });
 
 test('a malformed submission is refused, whatever is wrong with it', () => {
@@ -67,25 +67,33 @@
     dueS: 'soon',
   };
   for (const [field, value] of Object.entries(wrong))
-    assert.throws(() => parseSubmission({ ...SUBMISSION, [field]: value }), Malformed, field);
+    assert.throws(
+      () => parseSubmission({ ...SUBMISSION, [field]: value }),
+      MalformedMessageError,
+      field,
+    );
   for (const hands of [0, 1.5, -3, '4'])
-    assert.throws(() => parseSubmission({ ...SUBMISSION, hands }), Malformed);
-  for (const body of [null, [], 'x', 3]) assert.throws(() => parseSubmission(body), Malformed);
+    assert.throws(() => parseSubmission({ ...SUBMISSION, hands }), MalformedMessageError);
+  for (const body of [null, [], 'x', 3])
+    assert.throws(() => parseSubmission(body), MalformedMessageError);
 });
 
 test('what can never run is told from what can', () => {
-  const teams = new Map([['ops', team({ name: 'ops', cpusMax: 10 })]]);
+  const teams = new Map([['ops', teamQuota({ name: 'ops', maxCpus: 10 })]]);
   const job = parseSubmission({ ...SUBMISSION, memoryGb: 8 });
-  assert.equal(neverRuns(job, teams, [TYPE]), null);
-  assert.match(neverRuns({ ...job, team: 'no' }, teams, [TYPE]) ?? '', /team/);
-  assert.match(neverRuns({ ...job, cpus: 17 }, teams, [TYPE]) ?? '', /fits no/);
-  assert.match(neverRuns({ ...job, types: ['m99'] }, teams, [TYPE]) ?? '', /fits no/);
-  assert.match(neverRuns({ ...job, zone: 'z' }, teams, [TYPE]) ?? '', /fits no/);
-  assert.match(neverRuns({ ...job, cpus: 11 }, teams, [TYPE]) ?? '', /limit/);
+  assert.equal(unrunnableReason(job, teams, [MACHINE_TYPE]), null);
+  assert.match(unrunnableReason({ ...job, team: 'no' }, teams, [MACHINE_TYPE]) ?? '', /team/);
+  assert.match(unrunnableReason({ ...job, cpus: 17 }, teams, [MACHINE_TYPE]) ?? '', /fits no/);
+  assert.match(
+    unrunnableReason({ ...job, machineTypes: ['m99'] }, teams, [MACHINE_TYPE]) ?? '',
+    /fits no/,
+  );
+  assert.match(unrunnableReason({ ...job, zone: 'z' }, teams, [MACHINE_TYPE]) ?? '', /fits no/);
+  assert.match(unrunnableReason({ ...job, cpus: 11 }, teams, [MACHINE_TYPE]) ?? '', /limit/);
 });
 
 test('reports and orders carry the wire’s own words', () => {
-  const report = parseReport({
+  const report = parseHeartbeat({
     cart: 'n-000231',
     endpoint: '10.1.0.232:9000',
     rig: 'm16',
@@ -101,14 +109,14 @@
     ],
   });
   assert.deepEqual(
-    report.tasks.map((t) => [t.job, t.index, t.state, t.cause, t.saved]),
+    report.tasks.map((t) => [t.jobId, t.index, t.state, t.cause, t.saved]),
     [
       ['req-000412', 3, 'fetching', null, false],
       ['req-000398', 0, 'exited', 'stopped', true],
     ],
   );
   assert.deepEqual(
-    reportAnswer(41, [
+    heartbeatResponseBody(41, [
       { op: 'start', job: 'req-1', index: 4, attempt: 2 },
       { op: 'stop', job: 'req-1', index: 1, attempt: 1, graceS: 10 },
       { op: 'forget', job: 'req-1', index: 0, attempt: 1 },
@@ -126,7 +134,7 @@
 
 test('malformed reports and lists are refused, not believed', () => {
   for (const body of [null, {}, { cart: 'n-1', hands: 'x' }, { carts: [{ id: 'n-1' }] }])
-    assert.throws(() => parseReport(body), Malformed);
+    assert.throws(() => parseHeartbeat(body), MalformedMessageError);
   for (const body of [null, {}, { carts: [{ id: 'n-1', standing: 'odd' }] }, { carts: [7] }])
-    assert.throws(() => parseMachineList(body), Malformed);
+    assert.throws(() => parseMachineList(body), MalformedMessageError);
 });
