--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -29,19 +29,19 @@
     address: string,
     token: number,
     session: number,
-    orders: TaskCommand[],
+    commands: TaskCommand[],
     signal: AbortSignal,
     fit: () => boolean,
   ): Promise<CommandResult> {
-    const answer = await this.client(address).request(
+    const response = await this.client(address).request(
       'POST',
       PATHS.commands,
-      commandsBody(token, session, orders),
+      commandsBody(token, session, commands),
       this.timeoutMs,
       signal,
       fit,
     );
-    return { executed: answer.status === 200, heartbeat: parseHeartbeat(answer.body) };
+    return { executed: response.status === 200, heartbeat: parseHeartbeat(response.body) };
   }
 
   private client(address: string): HttpClient {
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -67,7 +67,7 @@
     fit: () => boolean,
   ): Promise<string[] | null> {
     await this.awaitBudget(RequestPriority.users, signal);
-    const answer = await this.http.request(
+    const response = await this.http.request(
       'POST',
       PATHS.machines,
       provisionBody(request),
@@ -75,10 +75,10 @@
       signal,
       fit,
     );
-    if (answer.status === 200) return parseProvisioned(answer.body);
-    const text = JSON.stringify(answer.body);
-    if (answer.status === 503 && text.includes('no capacity')) return null;
-    throw new NoResponseError(`cloud answered ${answer.status}: ${text.slice(0, 200)}`);
+    if (response.status === 200) return parseProvisioned(response.body);
+    const text = JSON.stringify(response.body);
+    if (response.status === 503 && text.includes('no capacity')) return null;
+    throw new NoResponseError(`cloud answered ${response.status}: ${text.slice(0, 200)}`);
   }
 
   /** Resolves only when the cloud has said that the machines are gone. */
@@ -101,9 +101,9 @@
   ) {
     await this.awaitBudget(priority, signal);
     const { timeoutMs } = this.options;
-    const answer = await this.http.request(method, target, body, timeoutMs, signal, fit);
-    if (answer.status !== 200) throw new NoResponseError(`cloud answered ${answer.status}`);
-    return answer.body;
+    const response = await this.http.request(method, target, body, timeoutMs, signal, fit);
+    if (response.status !== 200) throw new NoResponseError(`cloud answered ${response.status}`);
+    return response.body;
   }
 
   private async awaitBudget(priority: RequestPriority, signal?: AbortSignal): Promise<void> {
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -115,8 +115,8 @@
   }
 
   async get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null> {
-    const answer = await this.call('GET', keyTarget(key), undefined, priority, 0, signal);
-    return answer.status === 404 ? null : parseEntry(answer.body);
+    const response = await this.call('GET', keyTarget(key), undefined, priority, 0, signal);
+    return response.status === 404 ? null : parseEntry(response.body);
   }
 
   async listPage(
@@ -136,7 +136,7 @@
     signal?: AbortSignal,
   ): Promise<TransactionResult> {
     const body = transactionBody(conditions, changes);
-    const answer = await this.call(
+    const response = await this.call(
       'POST',
       PATHS.transaction,
       body,
@@ -145,9 +145,9 @@
       signal,
     );
     return {
-      ok: answer.status === 200,
-      revision: parseRevision(answer.body),
-      failed: answer.status === 409 ? parseFailed(answer.body) : [],
+      ok: response.status === 200,
+      revision: parseRevision(response.body),
+      failed: response.status === 409 ? parseFailed(response.body) : [],
     };
   }
 
@@ -177,15 +177,15 @@
   async watch(prefix: string, after: number, waitMs: number, signal?: AbortSignal) {
     await this.spend(RequestPriority.lead, 0, signal);
     try {
-      const answer = await this.watchHttp.request(
+      const response = await this.watchHttp.request(
         'GET',
         watchTarget(prefix, after, Math.round(waitMs)),
         undefined,
         waitMs + this.options.timeoutMs * 2,
         signal,
       );
-      if (answer.status === 410) return null;
-      return parseEvents(this.check(answer).body);
+      if (response.status === 410) return null;
+      return parseEvents(this.check(response).body);
     } catch (error) {
       // Its length has no bound, and the same question would have the same answer: lists come in pages.
       if (error instanceof ResponseTooLargeError) return null;
@@ -211,13 +211,13 @@
     this.lastAttemptAt = this.options.clock.now();
     const client = priority === RequestPriority.lead ? this.leadershipHttp : this.http;
     try {
-      const answer = this.check(
+      const response = this.check(
         await client.request(method, target, body, this.options.timeoutMs, signal),
         changes,
       );
       this.failingSince = null;
       this.unansweredSince = null;
-      return answer;
+      return response;
     } catch (error) {
       if (!signal?.aborted) {
         const now = this.options.clock.now();
@@ -252,8 +252,8 @@
     }
   }
 
-  private check(answer: HttpResponse, changes = 0): HttpResponse {
-    if (answer.status === 429) {
+  private check(response: HttpResponse, changes = 0): HttpResponse {
+    if (response.status === 429) {
       const now = this.options.clock.now();
       this.requestBudget.recordRefusal(now);
       if (changes > 0) {
@@ -263,11 +263,13 @@
       }
       throw new RequestRefusedError(1000);
     }
-    if (answer.status === 503) throw new RequestRefusedError(1000);
-    if (![200, 400, 404, 409].includes(answer.status))
-      throw new NoResponseError(`state service answered ${answer.status}`);
-    if (answer.status === 400)
-      throw new RequestRejectedError(`state service answered 400: ${JSON.stringify(answer.body)}`);
-    return answer;
+    if (response.status === 503) throw new RequestRefusedError(1000);
+    if (![200, 400, 404, 409].includes(response.status))
+      throw new NoResponseError(`state service answered ${response.status}`);
+    if (response.status === 400)
+      throw new RequestRejectedError(
+        `state service answered 400: ${JSON.stringify(response.body)}`,
+      );
+    return response;
   }
 }
--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -54,7 +54,7 @@
     const condition = await this.openHeader(job, token, pages.length, priority);
     const prefix = listPagesPrefix(job, token);
     const standing = new Set(
-      (await readPrefix(this.ctx.state, prefix, priority)).map((e) => e.key),
+      (await readPrefix(this.ctx.state, prefix, priority)).map((entry) => entry.key),
     );
     const missing = pages
       .map((page, number): Change => {
@@ -84,7 +84,7 @@
     const prefix = listPagesPrefix(job, ref.token);
     const entries = await readPrefix(this.ctx.state, prefix, priority, signal);
     if (entries.length < ref.pages) return null;
-    return entries.flatMap((e) => decodeJobIds(e.value));
+    return entries.flatMap((entry) => decodeJobIds(entry.value));
   }
 
   /** Removes a list whose job is not live, as far as the header still has this version. */
@@ -117,7 +117,7 @@
     const pages = await readPrefix(state, listPagesPrefix(job, token), priority, signal);
     for (let from = 0; from < pages.length; from += limits.changes) {
       const part = pages.slice(from, from + limits.changes);
-      const deletions = part.map((e): Change => ({ op: 'delete', key: e.key }));
+      const deletions = part.map((entry): Change => ({ op: 'delete', key: entry.key }));
       const deleted = await state.transact([condition], deletions, priority, signal);
       if (!deleted.ok) return;
     }
--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -45,8 +45,8 @@
     const askedAt = ctx.clock.now();
     const entries = await readPrefix(ctx.state, LIVE_JOB_PREFIX, priority);
     const records = new Map<string, LiveJobRecord>();
-    for (const e of entries)
-      records.set(e.key.slice(LIVE_JOB_PREFIX.length), mapObject(e.value, decodeLiveJob));
+    for (const entry of entries)
+      records.set(entry.key.slice(LIVE_JOB_PREFIX.length), mapObject(entry.value, decodeLiveJob));
     const lists = await readLists(store, records, before?.lists ?? new Map(), priority);
     const upstream: Lists = new Map();
     for (const [id, record] of records)
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -92,8 +92,8 @@
       () => this.memory.isShort || this.peers.leaderMemoryIsShort(),
     );
     this.election = new LeaderElection(this.ctx, async (term) => {
-      const workers = new AgentClient(timing.commandTimeoutMs, commandSockets(platform));
-      const leader = new Leader(this.ctx, this.cloud, term, schedulerPolicy(policy), workers);
+      const agents = new AgentClient(timing.commandTimeoutMs, commandSockets(platform));
+      const leader = new Leader(this.ctx, this.cloud, term, schedulerPolicy(policy), agents);
       this.leader = leader;
       try {
         await leader.run();
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -77,7 +77,7 @@
   private async observeOrCampaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const page = await ctx.state.listPage(LEADER_KEY, null, signal);
-    const entry = page.entries.find((e) => e.key === LEADER_KEY);
+    const entry = page.entries.find((entry) => entry.key === LEADER_KEY);
     const record = entry ? decodeLeaderRecord(entry.value) : null;
     if (entry && record) {
       if (record.node === ctx.node && record.incarnation !== ctx.incarnation) {
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -52,101 +52,110 @@
   ) {}
 
   async handle(body: Buffer): Promise<Reply> {
-    let report: Heartbeat;
+    let heartbeat: Heartbeat;
     try {
-      report = parseHeartbeat(JSON.parse(body.toString()));
+      heartbeat = parseHeartbeat(JSON.parse(body.toString()));
     } catch (error) {
       return { status: 400, body: { error: String((error as Error).message) } };
     }
-    if (this.leader()) return this.handleAsLeader(report, false);
+    if (this.leader()) return this.handleAsLeader(heartbeat, false);
     const { ctx, election } = this;
     const leader = election.leader;
     if (leader === null || leader === ctx.node) return { status: 421, body: redirectBody(null) };
     const now = ctx.clock.now();
     this.forgetOldAgents(now);
     const reachable = this.peers.isReachable(leader);
-    let worker = this.redirected.get(report.machineId);
-    if (!worker || worker.leader !== leader) {
-      worker = {
+    let agent = this.redirected.get(heartbeat.machineId);
+    if (!agent || agent.leader !== leader) {
+      agent = {
         leader,
         seenAt: Number.NEGATIVE_INFINITY,
         servedSince: null,
         unawareOf: null,
       };
-      this.redirected.set(report.machineId, worker);
+      this.redirected.set(heartbeat.machineId, agent);
     }
-    const returned = now - worker.seenAt < ctx.timing.heartbeatMs * 4;
-    worker.seenAt = now;
+    const returned = now - agent.seenAt < ctx.timing.heartbeatMs * 4;
+    agent.seenAt = now;
     // Now and then one that is served here is sent on all the same: the cut may be over.
-    const long = worker.servedSince !== null && now - worker.servedSince > ctx.timing.agentLeaseMs;
+    const long = agent.servedSince !== null && now - agent.servedSince > ctx.timing.agentLeaseMs;
     if (reachable && (!returned || long)) {
-      worker.servedSince = null;
+      agent.servedSince = null;
       return { status: 421, body: redirectBody(leader) };
     }
-    worker.servedSince ??= now;
+    agent.servedSince ??= now;
     try {
       return reachable
         ? await this.peers.forwardHeartbeat(leader, body)
-        : await this.peers.forwardThroughMailbox(leader, report.machineId, body);
+        : await this.peers.forwardThroughMailbox(leader, heartbeat.machineId, body);
     } catch (error) {
       ctx.log.debug({ error: String((error as Error).message) }, 'report not passed on');
     }
     // The worker would wait in vain at a leader that is silent here too: it is kept without a detour.
-    return this.renewOnBehalfOfLeader(report, worker);
+    return this.renewOnBehalfOfLeader(heartbeat, agent);
   }
 
   /** A report that a peer passed on, or one of our own. */
-  async handleAsLeader(report: Heartbeat, relayed: boolean): Promise<Reply> {
+  async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
     // Before the jobs are read no lease may be renewed; a moment later its orders go with the answer.
     await this.leader()?.untilReady();
     const leader = this.leader();
     const term = this.election.current;
     if (!leader || !term) return { status: 421, body: redirectBody(null) };
-    if (report.term > term.number) {
+    if (heartbeat.term > term.number) {
       // The worker has answered to a later leader.
       term.resign('a report carries a higher token');
       return { status: 421, body: redirectBody(null) };
     }
     if (!term.mayRenewAgentLeases())
       return { status: 503, body: { error: 'leadership is not proven' } };
-    const { orders, fence } = leader.handleHeartbeat(report, relayed);
+    const { orders, fence } = leader.handleHeartbeat(heartbeat, relayed);
     return { status: 200, body: heartbeatResponseBody(fencingToken(term.number, fence), orders) };
   }
 
-  private async renewOnBehalfOfLeader(report: Heartbeat, worker: RedirectedAgent): Promise<Reply> {
+  private async renewOnBehalfOfLeader(
+    heartbeat: Heartbeat,
+    agent: RedirectedAgent,
+  ): Promise<Reply> {
     const { ctx, election } = this;
     const term = election.observedTerm;
     const away = { status: 421, body: redirectBody(null) };
-    if (term === null || report.term > term) return away;
+    if (term === null || heartbeat.term > term) return away;
     const now = ctx.clock.now();
     if (
-      report.term < term &&
-      worker.unawareOf?.term !== term &&
-      (await this.isUnawareOfTerm(report, term))
+      heartbeat.term < term &&
+      agent.unawareOf?.term !== term &&
+      (await this.isUnawareOfTerm(heartbeat, term))
     )
-      worker.unawareOf = { term, at: now };
-    const from = this.mayHoldStartsFrom(worker, term);
+      agent.unawareOf = { term, at: now };
+    const from = this.mayHoldStartsFrom(agent, term);
     if (from === null || now - from > ctx.timing.delegatedRenewalMs) return away;
-    this.noteKeeping(term, worker.leader, report.machineId);
-    const orders: TaskCommand[] = [];
+    this.noteKeeping(term, agent.leader, heartbeat.machineId);
+    const commands: TaskCommand[] = [];
     try {
       // Whoever answers a worker answers for the cancellations too.
       const over = new Map<string, boolean>();
-      for (const t of report.tasks) {
-        if (t.state === 'exited') continue;
-        if (!over.has(t.jobId))
+      for (const task of heartbeat.tasks) {
+        if (task.state === 'exited') continue;
+        if (!over.has(task.jobId))
           over.set(
-            t.jobId,
-            (await ctx.state.get(liveJobKey(t.jobId), RequestPriority.ends)) === null,
+            task.jobId,
+            (await ctx.state.get(liveJobKey(task.jobId), RequestPriority.ends)) === null,
           );
-        if (over.get(t.jobId))
-          orders.push({ op: 'stop', job: t.jobId, index: t.index, attempt: t.attempt, graceS: 0 });
+        if (over.get(task.jobId))
+          commands.push({
+            op: 'stop',
+            job: task.jobId,
+            index: task.index,
+            attempt: task.attempt,
+            graceS: 0,
+          });
       }
     } catch {
       return { status: 503, body: { error: 'the state service is out of reach' } };
     }
-    const fence = report.term === term ? report.fence : 0;
-    return { status: 200, body: heartbeatResponseBody(fencingToken(term, fence), orders) };
+    const fence = heartbeat.term === term ? heartbeat.fence : 0;
+    return { status: 200, body: heartbeatResponseBody(fencingToken(term, fence), commands) };
   }
 
   /**
@@ -154,9 +163,9 @@
    * Its time is counted from when the leader fell silent, so that several nodes can't add theirs
    * up; a machine that learns of the term only here can have no such start on its way.
    */
-  private mayHoldStartsFrom(worker: RedirectedAgent, term: number): number | null {
-    if (worker.unawareOf?.term === term) return worker.unawareOf.at;
-    return this.peers.lastLedAt(worker.leader, term);
+  private mayHoldStartsFrom(agent: RedirectedAgent, term: number): number | null {
+    if (agent.unawareOf?.term === term) return agent.unawareOf.at;
+    return this.peers.lastLedAt(agent.leader, term);
   }
 
   /** Logged once a term. */
@@ -171,10 +180,10 @@
    * that: a late copy carries an old token for as long as copies may last,
    * and would start the time for which the machine is kept anew.
    */
-  private async isUnawareOfTerm(report: Heartbeat, term: number): Promise<boolean> {
+  private async isUnawareOfTerm(heartbeat: Heartbeat, term: number): Promise<boolean> {
     try {
-      const shown = await this.fetchHeartbeat(report.address);
-      return shown.machineId === report.machineId && shown.term < term;
+      const shown = await this.fetchHeartbeat(heartbeat.address);
+      return shown.machineId === heartbeat.machineId && shown.term < term;
     } catch (error) {
       this.ctx.log.debug({ error: String((error as Error).message) }, 'machine not asked');
       return false;
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -47,7 +47,7 @@
    */
   async confirmInheritedMachines(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
-    const left = [...this.cluster.machines.values()].filter((m) => m.inherited);
+    const left = [...this.cluster.machines.values()].filter((machine) => machine.inherited);
     let atOnce = 1;
     while (left.length > 0) {
       await waitWhileLagging(clock, timing.roundMs, timing.agentLeaseMs, signal);
@@ -97,10 +97,17 @@
   }
 
   /** A command under the machine's token. It leaves only while leadership is proven, however long it waited for its connection. */
-  private send(machine: Machine, session: number, orders: TaskCommand[]) {
+  private send(machine: Machine, session: number, commands: TaskCommand[]) {
     const { term } = this;
     const token = fencingToken(term.number, machine.fence);
-    return this.agents.command(machine.address, token, session, orders, term.signal, term.isProven);
+    return this.agents.command(
+      machine.address,
+      token,
+      session,
+      commands,
+      term.signal,
+      term.isProven,
+    );
   }
 
   private async confirm(machine: Machine, signal: AbortSignal): Promise<void> {
@@ -108,10 +115,10 @@
       // Most machines are in their first session; the refusal tells of a later one.
       let session = Math.max(1, machine.agentEpoch);
       for (let tries = 0; tries < 2 && this.term.isProven(); tries++) {
-        const answer = await this.send(machine, session, []);
-        this.applyResponse(machine, answer.heartbeat);
-        if (answer.executed || answer.heartbeat.agentEpoch === session) return;
-        session = answer.heartbeat.agentEpoch;
+        const result = await this.send(machine, session, []);
+        this.applyResponse(machine, result.heartbeat);
+        if (result.executed || result.heartbeat.agentEpoch === session) return;
+        session = result.heartbeat.agentEpoch;
       }
     } catch (error) {
       // Not having asked says nothing of the machine.
@@ -126,19 +133,19 @@
 
   private async command(
     machine: Machine,
-    orders: TaskCommand[],
-    starts: TaskAttempt[],
+    commands: TaskCommand[],
+    startedAttempts: TaskAttempt[],
   ): Promise<void> {
     const { cluster, term, ctx } = this;
     this.inFlight.add(machine.id);
     try {
-      const answer = await this.send(machine, machine.agentEpoch, orders);
-      this.applyResponse(machine, answer.heartbeat);
-      cluster.applyCommandResult(starts, answer.executed, answer.heartbeat.sequence);
-      if (answer.executed) cluster.markResponsive(machine);
+      const result = await this.send(machine, machine.agentEpoch, commands);
+      this.applyResponse(machine, result.heartbeat);
+      cluster.applyCommandResult(startedAttempts, result.executed, result.heartbeat.sequence);
+      if (result.executed) cluster.markResponsive(machine);
     } catch (error) {
       if (error instanceof NotSentError)
-        for (const start of starts) start.directCommandFence = null;
+        for (const start of startedAttempts) start.directCommandFence = null;
       const tried = !(error instanceof NotAttemptedError);
       if (tried && !term.signal.aborted && !machine.relayed)
         cluster.markUnresponsive(machine, ctx.clock.now());
@@ -153,9 +160,9 @@
     }
   }
 
-  private applyResponse(machine: Machine, report: Heartbeat): void {
-    if (report.machineId !== machine.id) return;
-    if (report.term > this.term.number) this.term.resign('a worker knows a higher token');
-    else this.cluster.applyHeartbeat(report, false, this.ctx.clock.now());
+  private applyResponse(machine: Machine, heartbeat: Heartbeat): void {
+    if (heartbeat.machineId !== machine.id) return;
+    if (heartbeat.term > this.term.number) this.term.resign('a worker knows a higher token');
+    else this.cluster.applyHeartbeat(heartbeat, false, this.ctx.clock.now());
   }
 }
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -84,8 +84,8 @@
     const room = valueBytes * PAGE_SHARE - FRAME_BYTES;
     const pages: StoredForecast[][] = [[]];
     let left = room;
-    for (const load of this.scaleOut.snapshot().sort((a, b) => b.mean - a.mean)) {
-      const stored = encodeForecast(load);
+    for (const forecast of this.scaleOut.snapshot().sort((a, b) => b.mean - a.mean)) {
+      const stored = encodeForecast(forecast);
       const bytes = Buffer.byteLength(JSON.stringify(stored)) + 1;
       if (bytes > room) continue;
       if (bytes > left) {
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -40,7 +40,7 @@
   private async removeOrphans(signal: AbortSignal): Promise<void> {
     const { clock, timing, state } = this.ctx;
     const headers = await readPrefix(state, LIST_HEADER_PREFIX, RequestPriority.progress, signal);
-    const standing = new Set(headers.map((e) => e.key));
+    const standing = new Set(headers.map((entry) => entry.key));
     for (const key of this.orphanSince.keys()) if (!standing.has(key)) this.orphanSince.delete(key);
     for (const { key, value, version } of headers) {
       const [job = '', token = ''] = key.slice(LIST_HEADER_PREFIX.length).split('/');
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -38,7 +38,7 @@
         const askedAt = ctx.clock.now();
         const machines = await this.listAllMachines(signal);
         cluster.applyMachineList(machines, askedAt, ctx.clock.now());
-        this.onListed(new Set([...cluster.machines.values()].map((m) => m.address)));
+        this.onListed(new Set([...cluster.machines.values()].map((machine) => machine.address)));
       } catch (error) {
         if (signal.aborted) return;
         ctx.log.debug({ error: String((error as Error).message) }, 'machine list not answered');
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -151,7 +151,8 @@
     );
     this.scaleOut = new ScaleOutPlanner(this.cluster);
     this.demandStore = new DemandStore(ctx, term, this.scaleOut);
-    this.cluster.onMachineTerminated = (m) => this.scaleOut.capacityFreed(m, ctx.clock.now());
+    this.cluster.onMachineTerminated = (machine) =>
+      this.scaleOut.capacityFreed(machine, ctx.clock.now());
     setMaxListeners(0, term.signal);
     this.commands = new AgentCommands(ctx, term, this.cluster, workers, {
       commands: socketsOf(ctx.platform, COMMAND_SOCKETS),
@@ -183,16 +184,16 @@
       'takeover read',
     );
     await Promise.all([
-      this.runRoutine('confirm', (s) => this.commands.confirmInheritedMachines(s)),
-      this.runRoutine('watch', (s) => this.watchJobs(revision, s)),
-      this.runRoutine('rounds', (s) => this.scheduleContinuously(s)),
-      this.runRoutine('flush', (s) => this.progressWriter.run(s)),
-      this.runRoutine('upstream', (s) => this.resolver.run(s)),
-      this.runRoutine('upstream lists', (s) => this.listCleaner.run(s)),
-      this.runRoutine('list', (s) => this.fleet.listMachines(s)),
-      this.runRoutine('renting', (s) => this.fleet.runScaling(s)),
-      this.runRoutine('loads', (s) => this.demandStore.run(s)),
-      this.runRoutine('types', (s) => this.fleet.refreshMachineTypes(s)),
+      this.runRoutine('confirm', (signal) => this.commands.confirmInheritedMachines(signal)),
+      this.runRoutine('watch', (signal) => this.watchJobs(revision, signal)),
+      this.runRoutine('rounds', (signal) => this.scheduleContinuously(signal)),
+      this.runRoutine('flush', (signal) => this.progressWriter.run(signal)),
+      this.runRoutine('upstream', (signal) => this.resolver.run(signal)),
+      this.runRoutine('upstream lists', (signal) => this.listCleaner.run(signal)),
+      this.runRoutine('list', (signal) => this.fleet.listMachines(signal)),
+      this.runRoutine('renting', (signal) => this.fleet.runScaling(signal)),
+      this.runRoutine('loads', (signal) => this.demandStore.run(signal)),
+      this.runRoutine('types', (signal) => this.fleet.refreshMachineTypes(signal)),
     ]);
   }
 
@@ -216,8 +217,8 @@
     let revision: number | null = null;
     for (;;) {
       const from: string | null = after;
-      const page: Page = await retry(this.ctx, this.term.signal, (s) =>
-        this.ctx.state.listPage(prefix, from, s),
+      const page: Page = await retry(this.ctx, this.term.signal, (signal) =>
+        this.ctx.state.listPage(prefix, from, signal),
       );
       // Events since the first page are applied again over the later ones.
       revision ??= page.revision;
@@ -233,8 +234,8 @@
     const now = ctx.clock.now();
     cluster.wallClockOffset = ctx.clock.wall() - now;
     if (!ctx.machineTypes)
-      ctx.machineTypes = await retry(ctx, this.term.signal, (s) =>
-        readMachineTypes(ctx, this.cloud, s),
+      ctx.machineTypes = await retry(ctx, this.term.signal, (signal) =>
+        readMachineTypes(ctx, this.cloud, signal),
       );
     cluster.updateMachineTypes(ctx.machineTypes ?? []);
     const roster = await this.readAll(ROSTER_PREFIX);
@@ -243,14 +244,16 @@
     const live = await this.readAll(LIVE_JOB_PREFIX);
     // What was expected before goes on; jobs that arrived since it was written add to it.
     await this.demandStore.read();
-    for (const e of byArrival(live.entries)) this.addLiveJob(e.key, e.value, e.version);
+    for (const entry of byArrival(live.entries))
+      this.addLiveJob(entry.key, entry.value, entry.version);
     const bits = await this.readAll(BITMAP_PREFIX);
     this.restoreBits(bits.entries);
     const pages = await this.readAll(DEPENDENCY_PAGE_PREFIX);
-    for (const e of pages.entries) {
-      const [id = ''] = e.key.slice(DEPENDENCY_PAGE_PREFIX.length).split('/');
+    for (const entry of pages.entries) {
+      const [id = ''] = entry.key.slice(DEPENDENCY_PAGE_PREFIX.length).split('/');
       // A page is written together with its job: one that is newer than the list of jobs has one.
-      if (!cluster.jobs.has(id) && e.version <= live.revision) cluster.obsoleteKeys.add(e.key);
+      if (!cluster.jobs.has(id) && entry.version <= live.revision)
+        cluster.obsoleteKeys.add(entry.key);
     }
     return { revision: live.revision, askedAt };
   }
@@ -306,11 +309,11 @@
     while (!signal.aborted) {
       let askedAt = ctx.clock.now();
       const from = after;
-      const got = await retry(ctx, this.term.signal, (s) =>
-        ctx.state.watch(LIVE_JOB_PREFIX, from, ctx.timing.jobWatchMs, s),
+      const got = await retry(ctx, this.term.signal, (signal) =>
+        ctx.state.watch(LIVE_JOB_PREFIX, from, ctx.timing.jobWatchMs, signal),
       );
       if (got) {
-        for (const e of got.events) this.applyJobEvent(e);
+        for (const event of got.events) this.applyJobEvent(event);
         after = got.revision;
       } else {
         // Too old a revision, which by itself is no news: what is no longer listed has ended.
@@ -334,9 +337,9 @@
     for (const entry of byArrival(entries)) this.addLiveJob(entry.key, entry.value, entry.version);
   }
 
-  private applyJobEvent(e: StoreEvent): void {
-    if (e.op === 'put') this.addLiveJob(e.key, e.value, e.version);
-    else this.cluster.endJob(e.key.slice(LIVE_JOB_PREFIX.length), null);
+  private applyJobEvent(event: StoreEvent): void {
+    if (event.op === 'put') this.addLiveJob(event.key, event.value, event.version);
+    else this.cluster.endJob(event.key.slice(LIVE_JOB_PREFIX.length), null);
     // What the job still runs is stopped without waiting for reports.
     this.commands.sendPendingSoon();
   }
@@ -359,34 +362,38 @@
   }
 
   /** Takes a worker's report and returns what goes back with its answer: the orders and the machine's fence. */
-  handleHeartbeat(r: Heartbeat, relayed: boolean): { orders: TaskCommand[]; fence: number } {
+  handleHeartbeat(
+    heartbeat: Heartbeat,
+    relayed: boolean,
+  ): { orders: TaskCommand[]; fence: number } {
     const { cluster, term, ctx } = this;
     const now = ctx.clock.now();
-    const taken = cluster.applyHeartbeat(r, true, now);
-    const m = cluster.machines.get(r.machineId);
+    const taken = cluster.applyHeartbeat(heartbeat, true, now);
+    const machine = cluster.machines.get(heartbeat.machineId);
     // An answer under a lower fence than the machine knows would be dropped.
-    if (!taken || !m)
+    if (!taken || !machine)
       return {
-        orders: cluster.stopsOfEndedJobs(r),
-        fence: Math.max(m?.fence ?? 0, r.term === term.number ? r.fence : 0),
+        orders: cluster.stopsOfEndedJobs(heartbeat),
+        fence: Math.max(machine?.fence ?? 0, heartbeat.term === term.number ? heartbeat.fence : 0),
       };
-    m.relayed = relayed;
-    if (m.unresponsiveSince !== null) {
+    machine.relayed = relayed;
+    if (machine.unresponsiveSince !== null) {
       // Behind a cut it can't answer a command; there only starts without effect speak against it.
-      const tried = now - m.unresponsiveSince > ctx.timing.agentLeaseMs * 0.5;
-      if (relayed && (m.missedAcknowledgements === 0 || tried)) cluster.markResponsive(m);
+      const tried = now - machine.unresponsiveSince > ctx.timing.agentLeaseMs * 0.5;
+      if (relayed && (machine.missedAcknowledgements === 0 || tried))
+        cluster.markResponsive(machine);
       else if (!relayed) {
-        cluster.pendingProbes.add(m);
+        cluster.pendingProbes.add(machine);
         setImmediate(() => this.commands.sendPending());
       }
     }
-    if (!m.confirmed || !term.mayStartTasks())
-      return { orders: cluster.stopsOfEndedJobs(r), fence: m.fence };
+    if (!machine.confirmed || !term.mayStartTasks())
+      return { orders: cluster.stopsOfEndedJobs(heartbeat), fence: machine.fence };
     // Room that this report has freed is filled in its own answer.
-    placeOnMachine(cluster, m, this.policy.startsPerMachine, now);
+    placeOnMachine(cluster, machine, this.policy.startsPerMachine, now);
     // A command under way would be refused under the new token.
-    if (!this.commands.isInFlight(m.id)) raiseFenceIfDue(m, cluster.timing, now);
-    return { orders: cluster.heartbeatCommands(m), fence: m.fence };
+    if (!this.commands.isInFlight(machine.id)) raiseFenceIfDue(machine, cluster.timing, now);
+    return { orders: cluster.heartbeatCommands(machine), fence: machine.fence };
   }
 
   /** Done and running tasks of live jobs, for display. */
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -37,14 +37,14 @@
       await ctx.clock.sleep(tickMs, signal);
       spare = Math.min(spare + sparePerTick, loweredChangesPerS * PROGRESS_BURST_S);
       await this.rereadUnknownChunks(signal);
-      const units = pendingWrites(cluster, { progressChanges: spare, wallNow: ctx.clock.wall() });
+      const writes = pendingWrites(cluster, { progressChanges: spare, wallNow: ctx.clock.wall() });
       let from = 0;
-      while (from < units.length) {
-        const batch = this.nextBatch(units, from);
+      while (from < writes.length) {
+        const batch = this.nextBatch(writes, from);
         from += batch.length;
-        spare = Math.max(0, spare - batch.filter((u) => u.changes.length === 1).length);
+        spare = Math.max(0, spare - batch.filter((write) => write.changes.length === 1).length);
         if (!(await this.write(batch))) {
-          for (const u of units.slice(from)) u.retry(false);
+          for (const write of writes.slice(from)) write.retry(false);
           break;
         }
       }
@@ -52,18 +52,18 @@
   }
 
   /** As many of the next units as a transaction takes, and one at the least. */
-  private nextBatch(units: DurableWrite[], from: number): DurableWrite[] {
+  private nextBatch(writes: DurableWrite[], from: number): DurableWrite[] {
     const batch: DurableWrite[] = [];
     let changes = 0;
     let bytes = 0;
-    for (const unit of units.slice(from)) {
+    for (const write of writes.slice(from)) {
       if (batch.length > 0) {
-        if (changes + unit.changes.length > this.ctx.limits.changes) break;
-        if (bytes + unit.size > TRANSACTION_BYTES) break;
+        if (changes + write.changes.length > this.ctx.limits.changes) break;
+        if (bytes + write.size > TRANSACTION_BYTES) break;
       }
-      batch.push(unit);
-      changes += unit.changes.length;
-      bytes += unit.size;
+      batch.push(write);
+      changes += write.changes.length;
+      bytes += write.size;
     }
     return batch;
   }
@@ -88,17 +88,17 @@
     const { term, ctx } = this;
     try {
       const result = await ctx.state.transact(
-        [{ key: LEADER_KEY, version: term.version }, ...batch.flatMap((u) => u.conditions)],
-        batch.flatMap((u) => u.changes),
+        [{ key: LEADER_KEY, version: term.version }, ...batch.flatMap((write) => write.conditions)],
+        batch.flatMap((write) => write.changes),
         RequestPriority.ends,
         term.signal,
       );
       if (!result.ok) return this.notApplied(batch, result.failed);
-      for (const unit of batch) unit.applied(result.revision);
+      for (const write of batch) write.applied(result.revision);
       return true;
     } catch (error) {
       if (error instanceof RequestRejectedError) return this.giveUpOrSplit(batch, error);
-      for (const u of batch) u.retry(!(error instanceof RequestRefusedError));
+      for (const write of batch) write.retry(!(error instanceof RequestRefusedError));
       if (!term.signal.aborted)
         ctx.log.debug({ error: String((error as Error).message) }, 'flush not answered');
       await ctx.clock.sleep(ctx.timing.progressWriteMs * FAILURE_BACKOFF_TICKS, term.signal);
@@ -110,13 +110,13 @@
   private notApplied(batch: DurableWrite[], failed: string[]): boolean {
     if (failed.includes(LEADER_KEY)) {
       this.term.resign('another leader holds the key');
-      for (const unit of batch) unit.retry(false);
+      for (const write of batch) write.retry(false);
       return false;
     }
-    for (const unit of batch)
-      if (unit.conditions.some((condition) => failed.includes(condition.key)))
-        unit.conflict(failed);
-      else unit.retry(false);
+    for (const write of batch)
+      if (write.conditions.some((condition) => failed.includes(condition.key)))
+        write.conflict(failed);
+      else write.retry(false);
     return true;
   }
 
@@ -127,11 +127,11 @@
    */
   private async giveUpOrSplit(batch: DurableWrite[], error: Error): Promise<boolean> {
     if (batch.length > 1) {
-      for (const unit of batch) await this.write([unit]);
+      for (const write of batch) await this.write([write]);
       return true;
     }
     this.ctx.log.error(
-      { keys: batch[0]?.changes.map((c) => c.key), error: error.message },
+      { keys: batch[0]?.changes.map((change) => change.key), error: error.message },
       'a write is not acceptable to the state service and was given up',
     );
     return true;
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -83,18 +83,18 @@
 
   /** The peer's status comes through, so it can be reached from here. */
   isReachable(node: string): boolean {
-    const h = this.statuses.get(node);
-    return h !== undefined && this.isFresh(h) && this.connected(node);
+    const received = this.statuses.get(node);
+    return received !== undefined && this.isFresh(received) && this.connected(node);
   }
 
   /** When that node was last heard to lead in this term; null when it never was. */
   lastLedAt(node: string, term: number): number | null {
-    const h = this.statuses.get(node);
-    return h?.status.leading && h.status.term === term ? h.sentAt : null;
+    const received = this.statuses.get(node);
+    return received?.status.leading && received.status.term === term ? received.sentAt : null;
   }
 
-  private isFresh(h: ReceivedStatus): boolean {
-    return this.ctx.clock.now() - h.sentAt < this.ctx.timing.renewMs * 2.5;
+  private isFresh(received: ReceivedStatus): boolean {
+    return this.ctx.clock.now() - received.sentAt < this.ctx.timing.renewMs * 2.5;
   }
 
   /** There are peers, and none of them is heard. */
@@ -109,8 +109,9 @@
 
   /** The leader, as far as it is heard, has no memory for further jobs. */
   leaderMemoryIsShort(): boolean {
-    for (const h of this.statuses.values())
-      if (h.status.leading && h.status.memoryShort === true && this.isFresh(h)) return true;
+    for (const received of this.statuses.values())
+      if (received.status.leading && received.status.memoryShort === true && this.isFresh(received))
+        return true;
     return false;
   }
 
--- a/src/model/model.ts
+++ b/src/model/model.ts
@@ -122,7 +122,7 @@
 ): string | null {
   const team = teams.get(job.team);
   if (!team) return 'unknown team';
-  if (!types.some((t) => canRunOnType(job, t))) return 'a task fits no allowed machine type';
+  if (!types.some((type) => canRunOnType(job, type))) return 'a task fits no allowed machine type';
   if (team.maxCpus > 0 && job.cpus > team.maxCpus + EPSILON) return "over the team's limit";
   if (team.maxGpus > 0 && job.gpus > team.maxGpus + EPSILON) return "over the team's limit";
   return null;
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -59,13 +59,13 @@
 
 export function transactionBody(conditions: Condition[], changes: Change[]): unknown {
   return {
-    when: conditions.map((c) => ({ path: c.key, stamp: c.version })),
-    writes: changes.map((c) =>
-      c.op === 'delete'
-        ? { delete: c.key }
-        : c.lease === undefined
-          ? { set: c.key, v: c.value }
-          : { set: c.key, v: c.value, ticket: c.lease },
+    when: conditions.map((condition) => ({ path: condition.key, stamp: condition.version })),
+    writes: changes.map((change) =>
+      change.op === 'delete'
+        ? { delete: change.key }
+        : change.lease === undefined
+          ? { set: change.key, v: change.value }
+          : { set: change.key, v: change.value, ticket: change.lease },
     ),
   };
 }
--- a/src/protocol/wire.ts
+++ b/src/protocol/wire.ts
@@ -199,15 +199,15 @@
   };
 }
 
-function encodeCommand(order: TaskCommand): Json {
-  const base = { hand: `${order.job}/${order.index}`, try: order.attempt };
-  if (order.op === 'start') return { verb: 'run', ...base };
-  if (order.op === 'stop') return { verb: 'kill', ...base, windDownS: order.graceS };
+function encodeCommand(command: TaskCommand): Json {
+  const base = { hand: `${command.job}/${command.index}`, try: command.attempt };
+  if (command.op === 'start') return { verb: 'run', ...base };
+  if (command.op === 'stop') return { verb: 'kill', ...base, windDownS: command.graceS };
   return { verb: 'forget', ...base };
 }
 
-export function heartbeatResponseBody(token: number, orders: TaskCommand[]): Json {
-  return { baton: token, orders: orders.map(encodeCommand) };
+export function heartbeatResponseBody(token: number, commands: TaskCommand[]): Json {
+  return { baton: token, orders: commands.map(encodeCommand) };
 }
 
 /** An answer to a report without the last of its orders, as far as it takes to fit the bytes. */
@@ -227,8 +227,8 @@
   return leader === null ? {} : { steward: leader };
 }
 
-export function commandsBody(token: number, session: number, orders: TaskCommand[]): Json {
-  return { baton: token, shift: session, orders: orders.map(encodeCommand) };
+export function commandsBody(token: number, session: number, commands: TaskCommand[]): Json {
+  return { baton: token, shift: session, orders: commands.map(encodeCommand) };
 }
 
 function list(body: unknown, field: string): unknown[] {
@@ -287,8 +287,14 @@
   count: number;
 }
 
-export function provisionBody(r: ProvisionRequest): Json {
-  return { hire: r.name, rig: r.type, hall: r.zone, loaner: r.spot, count: r.count };
+export function provisionBody(request: ProvisionRequest): Json {
+  return {
+    hire: request.name,
+    rig: request.type,
+    hall: request.zone,
+    loaner: request.spot,
+    count: request.count,
+  };
 }
 
 export function parseProvisioned(body: unknown): string[] {
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -72,15 +72,15 @@
   return shape;
 }
 
-export function encodeForecast(load: DemandForecast): StoredForecast {
-  return overForm(load, {
-    spec: mapObject(load.spec, encodeJobSpec),
-    mean: load.mean,
-    variance: load.variance,
-    shape: mapObject(load.meanRequest, encodeResourceRequest),
-    holdS: load.occupancyS,
-    gapMs: load.arrivalIntervalMs,
-    quietMs: load.sinceLastArrivalMs,
+export function encodeForecast(forecast: DemandForecast): StoredForecast {
+  return overForm(forecast, {
+    spec: mapObject(forecast.spec, encodeJobSpec),
+    mean: forecast.mean,
+    variance: forecast.variance,
+    shape: mapObject(forecast.meanRequest, encodeResourceRequest),
+    holdS: forecast.occupancyS,
+    gapMs: forecast.arrivalIntervalMs,
+    quietMs: forecast.sinceLastArrivalMs,
   });
 }
 
@@ -88,7 +88,7 @@
 export function decodeForecast(value: unknown): DemandForecast | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredForecast;
-  const load: DemandForecast = {
+  const forecast: DemandForecast = {
     spec: mapObject(stored.spec, decodeJobSpec),
     mean: stored.mean,
     variance: stored.variance,
@@ -97,8 +97,8 @@
     arrivalIntervalMs: stored.gapMs,
     sinceLastArrivalMs: stored.quietMs,
   };
-  rememberForm(load, value, FORECAST_FIELDS);
-  return load;
+  rememberForm(forecast, value, FORECAST_FIELDS);
+  return forecast;
 }
 
 export function encodeFirstPage(
@@ -123,8 +123,8 @@
 export function decodeFirstPage(
   value: unknown,
 ): { loads: DemandForecast[]; upTo: number; more: number } | null {
-  const loads = decodeForecasts(value);
-  if (!loads) return null;
+  const forecasts = decodeForecasts(value);
+  if (!forecasts) return null;
   const { upTo, more = 0 } = value as StoredFirstPage;
-  return { loads, upTo, more };
+  return { loads: forecasts, upTo, more };
 }
--- a/src/scheduler/persistence/durable-writes.ts
+++ b/src/scheduler/persistence/durable-writes.ts
@@ -31,11 +31,12 @@
 
 /** What stands to be written, the most pressing first. */
 export function pendingWrites(cluster: ClusterState, limits: WriteBudget): DurableWrite[] {
-  const units: DurableWrite[] = [];
+  const writes: DurableWrite[] = [];
   const entries = [...cluster.pendingRosterAdds].map(rosterEntry);
-  for (const m of cluster.pendingRosterAdds) m.rosterWritePending = true;
+  for (const machine of cluster.pendingRosterAdds) machine.rosterWritePending = true;
   cluster.pendingRosterAdds.clear();
-  for (const w of cluster.roster.add(entries)) units.push(rosterPageWrite(cluster, w));
+  for (const pageWrite of cluster.roster.add(entries))
+    writes.push(rosterPageWrite(cluster, pageWrite));
   let spare = limits.progressChanges;
   const needed: DurableWrite[] = [];
   const ends: DurableWrite[] = [];
@@ -53,17 +54,17 @@
     }
     spare = addProgress(cluster, job, spare, partial);
   }
-  units.push(...needed, ...ends, ...partial);
-  for (const w of cluster.roster.rewriteStalePages(spare)) {
+  writes.push(...needed, ...ends, ...partial);
+  for (const pageWrite of cluster.roster.rewriteStalePages(spare)) {
     spare--;
-    units.push(rosterPageWrite(cluster, w));
+    writes.push(rosterPageWrite(cluster, pageWrite));
   }
   for (const key of cluster.obsoleteKeys) {
     if (spare < 1) break;
     spare--;
-    units.push(deleteWrite(key, () => cluster.obsoleteKeys.delete(key)));
+    writes.push(deleteWrite(key, () => cluster.obsoleteKeys.delete(key)));
   }
-  return units;
+  return writes;
 }
 
 /** Adds the job's changed chunks as long as changes are to spare; returns how many are left. */
@@ -71,7 +72,7 @@
   cluster: ClusterState,
   job: Job,
   spare: number,
-  units: DurableWrite[],
+  writes: DurableWrite[],
 ): number {
   let left = spare;
   for (const [chunk, waiting] of job.unsavedChunks) {
@@ -79,7 +80,7 @@
     const version = job.chunkVersions.get(chunk);
     if (version === null) continue;
     left--;
-    units.push(bitmapWrite(cluster, job, chunk, waiting, version ?? 0));
+    writes.push(bitmapWrite(cluster, job, chunk, waiting, version ?? 0));
   }
   return left;
 }
@@ -142,7 +143,7 @@
   // A first write that gets no answer may still leave a key behind.
   job.chunkVersions.set(chunk, version);
   const settle = () => {
-    for (const b of waiting) b.mayBeForgotten = true;
+    for (const attempt of waiting) attempt.mayBeForgotten = true;
   };
   const again = (known: number | null) => {
     if (job.ended) return settle();
@@ -174,38 +175,44 @@
   return out;
 }
 
-function rosterEntry(m: Machine): RosterEntry {
-  return { id: m.id, type: m.typeName, zone: m.zone, spot: m.spot, address: m.address };
+function rosterEntry(machine: Machine): RosterEntry {
+  return {
+    id: machine.id,
+    type: machine.typeName,
+    zone: machine.zone,
+    spot: machine.spot,
+    address: machine.address,
+  };
 }
 
-function rosterPageWrite(cluster: ClusterState, w: PageWrite): DurableWrite {
-  const key = rosterKey(w.key);
-  const value = encodeRosterPage(w.entries);
+function rosterPageWrite(cluster: ClusterState, pageWrite: PageWrite): DurableWrite {
+  const key = rosterKey(pageWrite.key);
+  const value = encodeRosterPage(pageWrite.entries);
   const settle = (done: boolean) => {
-    for (const e of w.added) {
-      const m = cluster.machines.get(e.id);
-      if (!m) continue;
-      m.rosterWritePending = false;
-      if (done) m.inRoster = true;
-      else if (!m.inRoster) cluster.pendingRosterAdds.add(m);
+    for (const entry of pageWrite.added) {
+      const machine = cluster.machines.get(entry.id);
+      if (!machine) continue;
+      machine.rosterWritePending = false;
+      if (done) machine.inRoster = true;
+      else if (!machine.inRoster) cluster.pendingRosterAdds.add(machine);
     }
     if (done) cluster.roundDue = true;
   };
   return {
-    conditions: w.version === null ? [] : [{ key, version: w.version }],
-    changes: [w.entries.length > 0 ? { op: 'put', key, value } : { op: 'delete', key }],
+    conditions: pageWrite.version === null ? [] : [{ key, version: pageWrite.version }],
+    changes: [pageWrite.entries.length > 0 ? { op: 'put', key, value } : { op: 'delete', key }],
     size: 400 + JSON.stringify(value.machines).length,
     applied: (revision) => {
-      w.applied(revision);
+      pageWrite.applied(revision);
       settle(true);
     },
     conflict: () => {
-      w.unknown();
+      pageWrite.unknown();
       settle(false);
     },
     retry: (sent) => {
-      if (sent) w.unknown();
-      else w.dropped();
+      if (sent) pageWrite.unknown();
+      else pageWrite.dropped();
       settle(false);
     },
   };
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -56,7 +56,7 @@
   /** A page as an earlier leader left it. */
   restore(key: string, version: number, entries: RosterEntry[]): void {
     const page = this.createPage(key, version);
-    for (const e of entries) this.addMember(page, e);
+    for (const entry of entries) this.addMember(page, entry);
   }
 
   removeMachine(id: string): void {
@@ -70,12 +70,12 @@
   /** Adds the machines to pages with room; each page is written once, whatever it gains and loses. */
   add(entries: RosterEntry[]): PageWrite[] {
     const gains = new Map<Page, RosterEntry[]>();
-    for (const e of entries) {
-      const page = this.pageWithSpace(entryBytes(e));
-      this.addMember(page, e);
+    for (const entry of entries) {
+      const page = this.pageWithSpace(entryBytes(entry));
+      this.addMember(page, entry);
       const gain = gains.get(page);
-      if (gain) gain.push(e);
-      else gains.set(page, [e]);
+      if (gain) gain.push(entry);
+      else gains.set(page, [entry]);
     }
     return [...gains].map(([page, gain]) => this.pageWrite(page, gain));
   }
@@ -110,7 +110,7 @@
       ...write,
       applied: (revision) => {
         write.applied(revision);
-        for (const e of write.added) this.forgetMember(page, e.id);
+        for (const entry of write.added) this.forgetMember(page, entry.id);
       },
     }));
   }
@@ -143,13 +143,13 @@
     return page;
   }
 
-  private addMember(page: Page, e: RosterEntry): void {
-    this.removeMember(page, e.id);
-    page.members.set(e.id, e);
-    page.bytes += entryBytes(e);
-    const on = this.pagesOfMachine.get(e.id);
+  private addMember(page: Page, entry: RosterEntry): void {
+    this.removeMember(page, entry.id);
+    page.members.set(entry.id, entry);
+    page.bytes += entryBytes(entry);
+    const on = this.pagesOfMachine.get(entry.id);
     if (on) on.add(page);
-    else this.pagesOfMachine.set(e.id, new Set([page]));
+    else this.pagesOfMachine.set(entry.id, new Set([page]));
   }
 
   private forgetMember(page: Page, id: string): void {
@@ -159,10 +159,10 @@
   }
 
   private removeMember(page: Page, id: string): void {
-    const e = page.members.get(id);
-    if (!e) return;
+    const entry = page.members.get(id);
+    if (!entry) return;
     page.members.delete(id);
-    page.bytes -= entryBytes(e);
+    page.bytes -= entryBytes(entry);
     this.pagesWithSpace.add(page);
   }
 
@@ -183,7 +183,7 @@
       dropped: () => {
         page.writing = false;
         page.stale = true;
-        for (const e of added) this.forgetMember(page, e.id);
+        for (const entry of added) this.forgetMember(page, entry.id);
         if (page.version === 0 && page.members.size === 0) this.removePage(page);
       },
       unknown: () => {
@@ -196,6 +196,6 @@
 }
 
 /** What an entry takes in a page's value, with the comma behind it. */
-function entryBytes(e: RosterEntry): number {
-  return Buffer.byteLength(JSON.stringify(encodeRosterEntry(e))) + 1;
+function entryBytes(entry: RosterEntry): number {
+  return Buffer.byteLength(JSON.stringify(encodeRosterEntry(entry))) + 1;
 }
--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -15,16 +15,16 @@
 }
 
 /** Takes new tasks at all. */
-export function acceptsTasks(cluster: ClusterState, m: Machine, now: number): boolean {
+export function acceptsTasks(cluster: ClusterState, machine: Machine, now: number): boolean {
   return (
-    m.confirmed &&
-    m.inRoster &&
-    m.type !== null &&
-    m.drainReason === null &&
-    m.unresponsiveSince === null &&
-    !m.hasUnknownTasks &&
-    m.admissionBackoffUntil <= now &&
-    now - m.lastHeartbeatAt < cluster.timing.heartbeatMs * 2
+    machine.confirmed &&
+    machine.inRoster &&
+    machine.type !== null &&
+    machine.drainReason === null &&
+    machine.unresponsiveSince === null &&
+    !machine.hasUnknownTasks &&
+    machine.admissionBackoffUntil <= now &&
+    now - machine.lastHeartbeatAt < cluster.timing.heartbeatMs * 2
   );
 }
 
@@ -34,8 +34,8 @@
  * ones that were stopped long before it is enough for a large one: they would
  * take it again and be stopped again, for as long as the large one waits.
  */
-export function respectsReservation(m: Machine, batch: Batch): boolean {
-  const { reservation } = m;
+export function respectsReservation(machine: Machine, batch: Batch): boolean {
+  const { reservation } = machine;
   if (!reservation || batch.starving || batch.priority < reservation.priority) return true;
   return (
     batch.priority === reservation.priority &&
@@ -44,14 +44,14 @@
 }
 
 /** Keeps room that is being made on the machine for one more task of the batch. */
-export function addReservation(m: Machine, batch: Batch, until: number): void {
+export function addReservation(machine: Machine, batch: Batch, until: number): void {
   const { priority: rank, withinGuarantee: guaranteed } = batch;
-  const old = m.reservation;
+  const old = machine.reservation;
   if (old && old.priority === rank && old.withinGuarantee === guaranteed) {
     old.remainingTasks++;
     old.expiresAt = until;
   } else
-    m.reservation = {
+    machine.reservation = {
       priority: rank,
       withinGuarantee: guaranteed,
       remainingTasks: 1,
@@ -60,9 +60,13 @@
 }
 
 /** A task was placed on the machine: of the same rank, it is what room was reserved for. */
-export function consumeReservation(m: Machine, batch: Batch): void {
-  const { reservation } = m;
-  if (!reservation || batch.priority !== reservation.priority || !respectsReservation(m, batch))
+export function consumeReservation(machine: Machine, batch: Batch): void {
+  const { reservation } = machine;
+  if (
+    !reservation ||
+    batch.priority !== reservation.priority ||
+    !respectsReservation(machine, batch)
+  )
     return;
-  if (--reservation.remainingTasks <= 0) m.reservation = null;
+  if (--reservation.remainingTasks <= 0) machine.reservation = null;
 }
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -26,14 +26,18 @@
 }
 
 /** How many more tasks of the batch the team's limit allows, doubt and what is kept for others counted in. */
-function remainingQuotaSlots(cluster: ClusterState, batch: Batch, doubt: ResourceUsage): number {
+function remainingQuotaSlots(
+  cluster: ClusterState,
+  batch: Batch,
+  unconfirmed: ResourceUsage,
+): number {
   const { spec } = batch;
   const team = cluster.quotas.get(spec.team);
   if (!team) return 0;
   const use = cluster.quotaUsage.get(spec.team) ?? NO_USAGE;
   const kept = batch.starving ? NO_USAGE : (cluster.reservedQuota.get(spec.team) ?? NO_USAGE);
-  const cpus = team.maxCpus - use.cpus - doubt.cpus - kept.cpus + EPSILON;
-  const gpus = team.maxGpus - use.gpus - doubt.gpus - kept.gpus + EPSILON;
+  const cpus = team.maxCpus - use.cpus - unconfirmed.cpus - kept.cpus + EPSILON;
+  const gpus = team.maxGpus - use.gpus - unconfirmed.gpus - kept.gpus + EPSILON;
   let n = 1e9;
   if (team.maxCpus > 0 && spec.cpus > 0) n = Math.min(n, Math.floor(cpus / spec.cpus));
   if (team.maxGpus > 0 && spec.gpus > 0) n = Math.min(n, Math.floor(gpus / spec.gpus));
@@ -69,12 +73,21 @@
 ): PlacementResult {
   const started: TaskAttempt[] = [];
   const batches = readyBatches(cluster, now);
-  const doubt = cluster.unconfirmedUsage();
-  const openMachines = [...cluster.machines.values()].filter((m) => acceptsTasks(cluster, m, now));
+  const unconfirmed = cluster.unconfirmedUsage();
+  const openMachines = [...cluster.machines.values()].filter((machine) =>
+    acceptsTasks(cluster, machine, now),
+  );
   // Most machines are full under load, and none of them needs to be scored for each batch.
-  const roomy = openMachines.filter((m) => m.hasFreeCapacity);
+  const roomy = openMachines.filter((machine) => machine.hasFreeCapacity);
   dropReservations(openMachines, now);
-  const state = { cluster, now, limit, doubt, dearest: dearestPrice(cluster), started };
+  const state = {
+    cluster,
+    now,
+    limit,
+    doubt: unconfirmed,
+    dearest: dearestPrice(cluster),
+    started,
+  };
   let unplaced = 0;
   let held = 0;
   cluster.unplacedBatches = [];
@@ -89,7 +102,7 @@
     const { team, cpus, gpus } = batch.spec;
     if (batch.starving && !cluster.reservedQuota.has(team))
       cluster.reservedQuota.set(team, { cpus, gpus });
-    if (started.length >= limit || remainingQuotaSlots(cluster, batch, doubt) === 0) continue;
+    if (started.length >= limit || remainingQuotaSlots(cluster, batch, unconfirmed) === 0) continue;
     if (batch.starving && held++ < openMachines.length * RESERVED_MACHINES_SHARE)
       reserveMachine(batch, roomy, openMachines);
     preempt(cluster, batch, left, openMachines, promised, now);
@@ -139,13 +152,17 @@
  * it has.
  */
 function reserveMachine(batch: Batch, roomy: Machine[], machines: Machine[]): void {
-  let held: Machine | null = null;
-  for (const m of machines)
-    if (m.type && satisfiesConstraints(m, batch.spec) && slotsOnType(m.type, batch.spec) > 0)
-      if (!held || m.utilization < held.utilization) held = m;
-  if (!held) return;
-  held.reservedForJob = batch.jobs[0]?.spec.id ?? null;
-  const at = roomy.indexOf(held);
+  let reserved: Machine | null = null;
+  for (const machine of machines)
+    if (
+      machine.type &&
+      satisfiesConstraints(machine, batch.spec) &&
+      slotsOnType(machine.type, batch.spec) > 0
+    )
+      if (!reserved || machine.utilization < reserved.utilization) reserved = machine;
+  if (!reserved) return;
+  reserved.reservedForJob = batch.jobs[0]?.spec.id ?? null;
+  const at = roomy.indexOf(reserved);
   if (at >= 0) roomy.splice(at, 1);
 }
 
@@ -156,22 +173,30 @@
  */
 export function placeOnMachine(
   cluster: ClusterState,
-  m: Machine,
+  machine: Machine,
   limit: number,
   now: number,
 ): TaskAttempt[] {
   const started: TaskAttempt[] = [];
-  if (cluster.unplacedBatches.length === 0 || !m.hasFreeCapacity || !acceptsTasks(cluster, m, now))
+  if (
+    cluster.unplacedBatches.length === 0 ||
+    !machine.hasFreeCapacity ||
+    !acceptsTasks(cluster, machine, now)
+  )
     return started;
-  const doubt = cluster.unconfirmedUsage();
+  const unconfirmed = cluster.unconfirmedUsage();
   for (const batch of cluster.unplacedBatches) {
-    if (started.length >= limit || !m.hasFreeCapacity) break;
-    if (!mayFill(m, batch)) continue;
+    if (started.length >= limit || !machine.hasFreeCapacity) break;
+    if (!mayFill(machine, batch)) continue;
     const most = batch.starving ? 1 : limit;
-    const room = Math.min(remainingQuotaSlots(cluster, batch, doubt), most, limit - started.length);
+    const room = Math.min(
+      remainingQuotaSlots(cluster, batch, unconfirmed),
+      most,
+      limit - started.length,
+    );
     if (room === 0) continue;
     const jobs = batch.jobs.filter((job) => isReady(cluster, job, now));
-    if (jobs.length > 0) startTasks(cluster, { ...batch, jobs }, m, room, started, now);
+    if (jobs.length > 0) startTasks(cluster, { ...batch, jobs }, machine, room, started, now);
   }
   return started;
 }
@@ -197,20 +222,20 @@
   const surplus = throughput + cost + locality + 1;
   let found: Machine | null = null;
   let top = Number.NEGATIVE_INFINITY;
-  for (const m of candidates) {
-    const room = m.freeSlots(batch.spec);
+  for (const machine of candidates) {
+    const room = machine.freeSlots(batch.spec);
     if (room === 0) continue;
     const score =
       (throughput * Math.min(room, left)) / left -
-      (dearest > 0 ? (cost * m.price) / dearest : 0) +
-      (m.images.has(batch.spec.image) ? locality : 0) -
-      (m.scaleInCandidate ? surplus : 0);
+      (dearest > 0 ? (cost * machine.price) / dearest : 0) +
+      (machine.images.has(batch.spec.image) ? locality : 0) -
+      (machine.scaleInCandidate ? surplus : 0);
     if (
       score > top + EPSILON ||
-      (score > top - EPSILON && found && m.utilization > found.utilization)
+      (score > top - EPSILON && found && machine.utilization > found.utilization)
     ) {
       top = Math.max(top, score);
-      found = m;
+      found = machine;
     }
   }
   return found;
@@ -220,7 +245,7 @@
 function startTasks(
   cluster: ClusterState,
   batch: Batch,
-  m: Machine,
+  machine: Machine,
   want: number,
   started: TaskAttempt[],
   now: number,
@@ -228,16 +253,23 @@
   let n = 0;
   for (const job of batch.jobs) {
     // A job that failed here goes elsewhere while there is an elsewhere.
-    if (job.failedMachines.has(m.id) && job.failedMachines.size < cluster.policy.failingJobMachines)
+    if (
+      job.failedMachines.has(machine.id) &&
+      job.failedMachines.size < cluster.policy.failingJobMachines
+    )
       continue;
-    let room = Math.min(want - n, m.freeSlots(job.spec), remainingZoneSlots(job, m.zone));
+    let room = Math.min(
+      want - n,
+      machine.freeSlots(job.spec),
+      remainingZoneSlots(job, machine.zone),
+    );
     while (room > 0 && job.readyCount > 0) {
       const index = job.takeReadyTask();
       if (index === null) break;
-      const b = cluster.assign(job, index, m, now);
-      b.exemptFromPreemption = batch.starving;
-      consumeReservation(m, batch);
-      started.push(b);
+      const attempt = cluster.assign(job, index, machine, now);
+      attempt.exemptFromPreemption = batch.starving;
+      consumeReservation(machine, batch);
+      started.push(attempt);
       n++;
       room--;
     }
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -114,14 +114,14 @@
   now: number,
 ): Victim[] {
   const victims: Victim[] = [];
-  for (const binding of machine.attempts.values()) {
-    const { spec } = binding.job;
-    if (binding.state === 'exited' || binding.state === 'assigned') continue;
-    if (binding.stopRequest) addCapacity(free, spec, 1);
-    else if (isPreemptible(cluster, batch, binding, lower, same))
+  for (const attempt of machine.attempts.values()) {
+    const { spec } = attempt.job;
+    if (attempt.state === 'exited' || attempt.state === 'assigned') continue;
+    if (attempt.stopRequest) addCapacity(free, spec, 1);
+    else if (isPreemptible(cluster, batch, attempt, lower, same))
       victims.push({
-        attempt: binding,
-        loss: lostWorkS(binding, now) * Math.max(spec.cpus, EPSILON),
+        attempt: attempt,
+        loss: lostWorkS(attempt, now) * Math.max(spec.cpus, EPSILON),
       });
   }
   return victims;
@@ -201,14 +201,14 @@
 function isPreemptible(
   cluster: ClusterState,
   batch: Batch,
-  b: TaskAttempt,
+  attempt: TaskAttempt,
   lower: boolean,
   same: boolean,
 ): boolean {
-  const { spec } = b.job;
-  if (b.exemptFromPreemption) return false;
-  if (b.job.priority > batch.priority) return lower;
-  if (!same || spec.team === batch.spec.team || b.job.withinGuarantee) return false;
+  const { spec } = attempt.job;
+  if (attempt.exemptFromPreemption) return false;
+  if (attempt.job.priority > batch.priority) return lower;
+  if (!same || spec.team === batch.spec.team || attempt.job.withinGuarantee) return false;
   const team = cluster.quotas.get(spec.team);
   const use = cluster.quotaUsage.get(spec.team);
   return (
@@ -220,9 +220,9 @@
 }
 
 /** Seconds of work that stopping the task now would lose. */
-function lostWorkS(b: TaskAttempt, now: number): number {
-  if (b.runningSince === null) return 0;
-  const ran = (now - b.runningSince) / 1000;
-  const { checkpointIntervalS: checkpointS, checkpointCostS: saveS } = b.job.spec;
+function lostWorkS(attempt: TaskAttempt, now: number): number {
+  if (attempt.runningSince === null) return 0;
+  const ran = (now - attempt.runningSince) / 1000;
+  const { checkpointIntervalS: checkpointS, checkpointCostS: saveS } = attempt.job.spec;
   return checkpointS > 0 ? saveS : ran;
 }
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -58,22 +58,22 @@
     sum.gpus += gpus * tasks;
     sums.set(team, sum);
     if (job.withinGuarantee !== null) continue;
-    const t = cluster.quotas.get(team);
+    const quota = cluster.quotas.get(team);
     const late =
       job.inherited &&
       cluster.objectives.guaranteedStartS !== null &&
       cluster.ageMs(job, now) > cluster.objectives.guaranteedStartS * 1000;
     job.withinGuarantee =
       !late &&
-      t !== undefined &&
-      sum.cpus <= t.guaranteedCpus + EPSILON &&
-      sum.gpus <= t.guaranteedGpus + EPSILON;
+      quota !== undefined &&
+      sum.cpus <= quota.guaranteedCpus + EPSILON &&
+      sum.gpus <= quota.guaranteedGpus + EPSILON;
   }
 }
 
 function batchKey(job: Job, costStep: number): string {
-  const s = job.spec;
-  return `${costStep}|${job.priority}|${job.withinGuarantee}|${s.team}|${s.image}|${s.cpus}|${s.gpus}|${s.memoryGb}|${s.machineTypes}|${s.zone}|${s.allowsSpot}|${s.singleZone || s.zoneAntiAffinity ? s.id : ''}`;
+  const spec = job.spec;
+  return `${costStep}|${job.priority}|${job.withinGuarantee}|${spec.team}|${spec.image}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${spec.machineTypes}|${spec.zone}|${spec.allowsSpot}|${spec.singleZone || spec.zoneAntiAffinity ? spec.id : ''}`;
 }
 
 /**
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -15,10 +15,10 @@
 export class InheritedMachines {
   private readonly pools = new Map<string, InheritedPool>();
 
-  add(m: Machine): void {
-    if (m.inherited) return;
-    m.inherited = true;
-    const { typeName, zone, spot } = m;
+  add(machine: Machine): void {
+    if (machine.inherited) return;
+    machine.inherited = true;
+    const { typeName, zone, spot } = machine;
     const key = machinePoolKey(typeName, zone, spot);
     const kind = this.pools.get(key) ?? { traits: { typeName, zone, spot }, count: 0 };
     kind.count++;
@@ -26,10 +26,10 @@
   }
 
   /** The machine is confirmed or gone. */
-  resolve(m: Machine): void {
-    if (!m.inherited) return;
-    m.inherited = false;
-    const key = machinePoolKey(m.typeName, m.zone, m.spot);
+  resolve(machine: Machine): void {
+    if (!machine.inherited) return;
+    machine.inherited = false;
+    const key = machinePoolKey(machine.typeName, machine.zone, machine.spot);
     const kind = this.pools.get(key);
     if (kind && --kind.count === 0) this.pools.delete(key);
   }
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -73,11 +73,11 @@
   }
 
   /** It hears nothing although its reports arrive: what it runs and holds can only be had back by a return. */
-  private isUnresponsiveTooLong(m: Machine, now: number): boolean {
+  private isUnresponsiveTooLong(machine: Machine, now: number): boolean {
     return (
-      m.unresponsiveSince !== null &&
-      !m.relayed &&
-      now - m.unresponsiveSince > this.cluster.timing.agentLeaseMs
+      machine.unresponsiveSince !== null &&
+      !machine.relayed &&
+      now - machine.unresponsiveSince > this.cluster.timing.agentLeaseMs
     );
   }
 
@@ -85,21 +85,21 @@
   private unresponsiveAreFew(): boolean {
     let up = 0;
     let deaf = 0;
-    for (const m of this.cluster.machines.values()) {
-      if (m.upAt === null) continue;
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.upAt === null) continue;
       up++;
-      if (m.unresponsiveSince !== null) deaf++;
+      if (machine.unresponsiveSince !== null) deaf++;
     }
     return deaf <= Math.max(1, up * MASS_OUTAGE_SHARE);
   }
 
   /** Its notice has run out and it has fallen silent. */
-  private wasPreempted(m: Machine, now: number): boolean {
+  private wasPreempted(machine: Machine, now: number): boolean {
     const { heartbeatMs: reportMs } = this.cluster.timing;
     return (
-      m.preemptionNoticeUntil !== null &&
-      now > m.preemptionNoticeUntil &&
-      now - m.lastHeartbeatAt > reportMs * PREEMPTED_AFTER_HEARTBEATS
+      machine.preemptionNoticeUntil !== null &&
+      now > machine.preemptionNoticeUntil &&
+      now - machine.lastHeartbeatAt > reportMs * PREEMPTED_AFTER_HEARTBEATS
     );
   }
 
@@ -111,21 +111,21 @@
    * nobody can have found a way yet: they are given as long as new ones would
    * take. When it is heard again, its workers come back one after the other.
    */
-  private isDeadLongEnough(m: Machine, manySilent: Set<string>, now: number): boolean {
+  private isDeadLongEnough(machine: Machine, manySilent: Set<string>, now: number): boolean {
     const {
       heartbeatMs: reportMs,
       unreachableAfterMs: silentMs,
       agentLeaseMs: workerLeaseMs,
     } = this.cluster.timing;
-    const silent = now - this.cluster.silentSince(m);
+    const silent = now - this.cluster.silentSince(machine);
     if (silent <= silentMs) return false;
-    const zone = this.cluster.zoneLiveness.get(m.zone);
-    const heard = zone && zone.last > m.lastHeartbeatAt + reportMs * 1.5;
+    const zone = this.cluster.zoneLiveness.get(machine.zone);
+    const heard = zone && zone.last > machine.lastHeartbeatAt + reportMs * 1.5;
     if (heard && now - zone.last <= reportMs * 1.5) {
-      if (zone.since > m.lastHeartbeatAt && now - zone.since <= silentMs * 1.5) return false;
-      return !manySilent.has(m.zone) || silent > workerLeaseMs + reportMs;
+      if (zone.since > machine.lastHeartbeatAt && now - zone.since <= silentMs * 1.5) return false;
+      return !manySilent.has(machine.zone) || silent > workerLeaseMs + reportMs;
     }
-    return silent > Math.max(workerLeaseMs * 2, (m.type?.bootS ?? 0) * 1000 + workerLeaseMs);
+    return silent > Math.max(workerLeaseMs * 2, (machine.type?.bootS ?? 0) * 1000 + workerLeaseMs);
   }
 
   /**
@@ -177,22 +177,23 @@
    * hold. When it would fill the machine, were it free to start elsewhere, it
    * is waited for.
    */
-  private blockedInheritedCpus(m: Machine, now: number): number {
+  private blockedInheritedCpus(machine: Machine, now: number): number {
     let cpus = 0;
     for (const job of this.cluster.jobs.values())
-      if (job.inherited && hasPlaceableTasks(job, now) && satisfiesConstraints(m, job.spec))
+      if (job.inherited && hasPlaceableTasks(job, now) && satisfiesConstraints(machine, job.spec))
         cpus += job.readyCount * job.spec.cpus;
     return cpus;
   }
 
   private zonesWithManyUnreachable(now: number): Set<string> {
     const zones = new Map<string, { up: number; silent: number }>();
-    for (const m of this.cluster.machines.values()) {
-      if (m.upAt === null || m.missingFromList) continue;
-      const z = zones.get(m.zone) ?? { up: 0, silent: 0 };
-      zones.set(m.zone, z);
+    for (const machine of this.cluster.machines.values()) {
+      if (machine.upAt === null || machine.missingFromList) continue;
+      const z = zones.get(machine.zone) ?? { up: 0, silent: 0 };
+      zones.set(machine.zone, z);
       z.up++;
-      if (now - this.cluster.silentSince(m) > this.cluster.timing.unreachableAfterMs) z.silent++;
+      if (now - this.cluster.silentSince(machine) > this.cluster.timing.unreachableAfterMs)
+        z.silent++;
     }
     const many = [...zones].filter(([, z]) => z.silent > Math.max(1, z.up * MASS_OUTAGE_SHARE));
     return new Set(many.map(([zone]) => zone));
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -119,7 +119,7 @@
 
   /** A job has arrived: its work counts towards what is expected. */
   recordArrival(spec: JobSpec): void {
-    const load: DemandForecast = this.forecasts.get(demandKey(spec)) ?? {
+    const forecast: DemandForecast = this.forecasts.get(demandKey(spec)) ?? {
       spec,
       mean: 0,
       variance: 0,
@@ -128,19 +128,24 @@
       arrivalIntervalMs: null,
       sinceLastArrivalMs: this.smoothingS() * 500,
     };
-    load.arrivalIntervalMs =
-      load.arrivalIntervalMs === null
-        ? load.sinceLastArrivalMs
-        : load.arrivalIntervalMs * 0.9 + load.sinceLastArrivalMs * 0.1;
-    load.sinceLastArrivalMs = 0;
+    forecast.arrivalIntervalMs =
+      forecast.arrivalIntervalMs === null
+        ? forecast.sinceLastArrivalMs
+        : forecast.arrivalIntervalMs * 0.9 + forecast.sinceLastArrivalMs * 0.1;
+    forecast.sinceLastArrivalMs = 0;
     const seconds = this.occupancyS(spec) / this.smoothingS();
-    load.spec = spec;
-    load.meanRequest = weightedMean(load.meanRequest, load.mean, spec, spec.tasks * seconds);
-    const share = (spec.tasks * seconds) / Math.max(1e-9, load.mean + spec.tasks * seconds);
-    load.occupancyS += (this.occupancyS(spec) - load.occupancyS) * share;
-    load.mean += spec.tasks * seconds;
-    load.variance += spec.tasks * spec.tasks * seconds;
-    this.forecasts.set(demandKey(spec), load);
+    forecast.spec = spec;
+    forecast.meanRequest = weightedMean(
+      forecast.meanRequest,
+      forecast.mean,
+      spec,
+      spec.tasks * seconds,
+    );
+    const share = (spec.tasks * seconds) / Math.max(1e-9, forecast.mean + spec.tasks * seconds);
+    forecast.occupancyS += (this.occupancyS(spec) - forecast.occupancyS) * share;
+    forecast.mean += spec.tasks * seconds;
+    forecast.variance += spec.tasks * spec.tasks * seconds;
+    this.forecasts.set(demandKey(spec), forecast);
   }
 
   /** For the state service, so that a takeover does not forget what to expect. */
@@ -148,10 +153,10 @@
     return [...this.forecasts.values()];
   }
 
-  restore(loads: DemandForecast[]): void {
+  restore(forecasts: DemandForecast[]): void {
     // Earlier versions kept no length.
-    for (const l of loads) l.occupancyS ??= this.occupancyS(l.spec);
-    this.forecasts = new Map(loads.map((l) => [demandKey(l.spec), l]));
+    for (const forecast of forecasts) forecast.occupancyS ??= this.occupancyS(forecast.spec);
+    this.forecasts = new Map(forecasts.map((forecast) => [demandKey(forecast.spec), forecast]));
   }
 
   recordRefusal(plan: ScaleOutPlan, now: number): void {
@@ -166,11 +171,11 @@
   }
 
   /** A machine of this kind has gone, so there may be capacity again: it is worth a try soon. */
-  capacityFreed(m: Machine, now: number): void {
-    const refusal = this.backoffs.get(machinePoolKey(m.typeName, m.zone, m.spot));
-    if (!refusal || !m.type) return;
+  capacityFreed(machine: Machine, now: number): void {
+    const refusal = this.backoffs.get(machinePoolKey(machine.typeName, machine.zone, machine.spot));
+    if (!refusal || !machine.type) return;
     refusal.doublings = 0;
-    const soon = now + m.type.bootS * 1000 * this.cluster.policy.backoffBoots;
+    const soon = now + machine.type.bootS * 1000 * this.cluster.policy.backoffBoots;
     refusal.until = Math.min(refusal.until, soon);
   }
 
@@ -180,7 +185,7 @@
 
   private longestBootS(): number {
     let boot = 1;
-    for (const t of this.cluster.machineTypes.values()) boot = Math.max(boot, t.bootS);
+    for (const type of this.cluster.machineTypes.values()) boot = Math.max(boot, type.bootS);
     return boot;
   }
 
@@ -191,7 +196,8 @@
   /** How long a task holds its room: its run and, now and then, the fetch of its image. */
   private occupancyS(spec: JobSpec): number {
     let rate = 0;
-    for (const t of this.cluster.machineTypes.values()) rate = Math.max(rate, t.imagePullGbPerS);
+    for (const type of this.cluster.machineTypes.values())
+      rate = Math.max(rate, type.imagePullGbPerS);
     return this.cluster.estimates.estimateS(spec) + (rate > 0 ? (spec.imageGb / rate) * 0.3 : 0);
   }
 
@@ -211,23 +217,24 @@
     const { cluster } = this;
     this.decayForecasts(now);
     if (cluster.machineTypes.size === 0) return [];
-    const supply = this.availableCapacity(now);
+    const capacity = this.availableCapacity(now);
     this.countMachines();
     const plans: ScaleOutPlan[] = [];
     const used = new Set<Machine>();
-    for (const need of this.demands(now)) {
-      const left = this.allocate(need, supply, used);
-      if (left > 0) this.planFor(need, left, supply, plans, now);
+    for (const demand of this.demands(now)) {
+      const left = this.allocate(demand, capacity, used);
+      if (left > 0) this.planFor(demand, left, capacity, plans, now);
     }
-    for (const m of cluster.machines.values()) m.scaleInCandidate = false;
-    for (const s of supply) if (s.machine) s.machine.scaleInCandidate = !used.has(s.machine);
+    for (const machine of cluster.machines.values()) machine.scaleInCandidate = false;
+    for (const available of capacity)
+      if (available.machine) available.machine.scaleInCandidate = !used.has(available.machine);
     return plans;
   }
 
   private countMachines(): void {
     this.machinesPerPool.clear();
-    for (const m of this.cluster.machines.values()) {
-      const key = machinePoolKey(m.typeName, m.zone, m.spot);
+    for (const machine of this.cluster.machines.values()) {
+      const key = machinePoolKey(machine.typeName, machine.zone, machine.spot);
       this.machinesPerPool.set(key, (this.machinesPerPool.get(key) ?? 0) + 1);
     }
   }
@@ -235,18 +242,25 @@
   private availableCapacity(now: number): AvailableCapacity[] {
     const { cluster } = this;
     const out: AvailableCapacity[] = [];
-    for (const m of cluster.machines.values()) {
-      if (m.type === null || m.drainReason !== null) continue;
-      if (m.upAt !== null && now - m.lastHeartbeatAt > cluster.timing.unreachableAfterMs) continue;
+    for (const machine of cluster.machines.values()) {
+      if (machine.type === null || machine.drainReason !== null) continue;
+      if (
+        machine.upAt !== null &&
+        now - machine.lastHeartbeatAt > cluster.timing.unreachableAfterMs
+      )
+        continue;
       // Far beyond its time to boot it may never come up: another is rented meanwhile.
-      if (m.upAt === null && now - m.provisionedAt > m.type.bootS * 1000 * LATE_BOOT_RATIO)
+      if (
+        machine.upAt === null &&
+        now - machine.provisionedAt > machine.type.bootS * 1000 * LATE_BOOT_RATIO
+      )
         continue;
       out.push({
-        machine: m,
-        type: m.type,
-        zone: m.zone,
-        spot: m.spot,
-        utilization: m.utilization,
+        machine: machine,
+        type: machine.type,
+        zone: machine.zone,
+        spot: machine.spot,
+        utilization: machine.utilization,
         freeShare: 1,
       });
     }
@@ -260,8 +274,8 @@
     const work = this.workByKind(now);
     const out: Demand[] = [];
     for (const key of new Set([...work.keys(), ...this.forecasts.keys()])) {
-      const need = this.needOf(this.forecasts.get(key), work.get(key), drainS);
-      if (need) out.push(need);
+      const demand = this.needOf(this.forecasts.get(key), work.get(key), drainS);
+      if (demand) out.push(demand);
     }
     // What may run on ordinary machines only chooses first among them.
     return out.sort(
@@ -282,8 +296,8 @@
         addWork(work, job.spec, job.readyCount, this.occupancyS(job.spec), false);
       if (job.activeAttempts.size === 0) continue;
       let boundS = 0;
-      for (const binding of job.activeAttempts.values())
-        boundS += cluster.estimates.remainingS(binding, now);
+      for (const attempt of job.activeAttempts.values())
+        boundS += cluster.estimates.remainingS(attempt, now);
       addWork(work, job.spec, 1, boundS, false);
     }
     return work;
@@ -291,22 +305,22 @@
 
   /** What one kind of work needs, by what arrives of it and what is there; it is worked off in `drainS` seconds. */
   private needOf(
-    load: DemandForecast | undefined,
+    forecast: DemandForecast | undefined,
     work: Work | undefined,
     drainS: number,
   ): Demand | null {
-    const spec = (work ?? load)?.spec;
+    const spec = (work ?? forecast)?.spec;
     if (!spec) return null;
-    const flowing = load ? this.activeProbability(load) : 0;
-    const mean = (load?.mean ?? 0) * flowing;
-    const margin = Math.sqrt(load?.variance ?? 0) * flowing * this.safetyMargin(spec);
+    const flowing = forecast ? this.activeProbability(forecast) : 0;
+    const mean = (forecast?.mean ?? 0) * flowing;
+    const margin = Math.sqrt(forecast?.variance ?? 0) * flowing * this.safetyMargin(spec);
     // What is usually left of the work under way: half of each task on average. One job's length
     // must not stand for all: the oldest live job is often the longest, and would hide a backlog
     // for as long as it lives.
-    const usual = (mean * (load?.occupancyS ?? 0)) / 2;
+    const usual = (mean * (forecast?.occupancyS ?? 0)) / 2;
     const excess = Math.max(0, (work?.seconds ?? 0) - usual) / drainS;
     const shape = weightedMean(
-      load?.meanRequest ?? spec,
+      forecast?.meanRequest ?? spec,
       mean + margin,
       work?.shape ?? spec,
       Math.max(0, excess - margin),
@@ -324,12 +338,12 @@
    * longer than usual without an arrival, it has stopped, and its machines
    * need not stay for what no longer comes.
    */
-  private activeProbability(load: DemandForecast): number {
-    if (load.arrivalIntervalMs === null) return 1;
+  private activeProbability(forecast: DemandForecast): number {
+    if (forecast.arrivalIntervalMs === null) return 1;
     const bootMs = this.longestBootS() * 1000;
-    const from = Math.max(load.arrivalIntervalMs * STALE_ARRIVAL_INTERVALS, bootMs * 0.5);
-    const to = Math.max(load.arrivalIntervalMs * STALE_ARRIVAL_INTERVALS * 2, bootMs);
-    return Math.min(1, Math.max(0, (to - load.sinceLastArrivalMs) / (to - from)));
+    const from = Math.max(forecast.arrivalIntervalMs * STALE_ARRIVAL_INTERVALS, bootMs * 0.5);
+    const to = Math.max(forecast.arrivalIntervalMs * STALE_ARRIVAL_INTERVALS * 2, bootMs);
+    return Math.min(1, Math.max(0, (to - forecast.sinceLastArrivalMs) / (to - from)));
   }
 
   /** How many standard deviations of room the class's aims are worth. */
@@ -339,36 +353,39 @@
   }
 
   /** Lays a need over the supply; returns the slots that found no place. */
-  private allocate(need: Demand, supply: AvailableCapacity[], used: Set<Machine>): number {
-    let left = need.slots;
-    for (const s of supply) {
+  private allocate(demand: Demand, capacity: AvailableCapacity[], used: Set<Machine>): number {
+    let left = demand.slots;
+    for (const available of capacity) {
       if (left <= 1e-9) break;
-      if (s.freeShare <= 1e-9 || !poolSatisfiesConstraints(s.type, s.zone, s.spot, need.spec))
+      if (
+        available.freeShare <= 1e-9 ||
+        !poolSatisfiesConstraints(available.type, available.zone, available.spot, demand.spec)
+      )
         continue;
-      if (slotsOnType(s.type, need.spec) === 0) continue;
-      const k = slotsOf(s.type, need.meanRequest);
-      const take = Math.min(left, s.freeShare * k);
-      s.freeShare -= take / k;
+      if (slotsOnType(available.type, demand.spec) === 0) continue;
+      const k = slotsOf(available.type, demand.meanRequest);
+      const take = Math.min(left, available.freeShare * k);
+      available.freeShare -= take / k;
       left -= take;
-      if (s.machine) used.add(s.machine);
+      if (available.machine) used.add(available.machine);
     }
     return Math.max(0, left);
   }
 
   private planFor(
-    need: Demand,
+    demand: Demand,
     slots: number,
-    supply: AvailableCapacity[],
+    capacity: AvailableCapacity[],
     plans: ScaleOutPlan[],
     now: number,
   ): void {
     let left = slots;
-    const options = this.poolOptions(need.spec, now);
+    const options = this.poolOptions(demand.spec, now);
     for (const [i, o] of options.entries()) {
-      const k = slotsOf(o.type, need.meanRequest);
+      const k = slotsOf(o.type, demand.meanRequest);
       // A small rest is left to the machines there are, unless none of them could ever take it.
       let count = Math.floor(left / k + 0.5);
-      if (count === 0 && need.backlog > 0 && !anyCanRun(supply, need.spec)) count = 1;
+      if (count === 0 && demand.backlog > 0 && !anyCanRun(capacity, demand.spec)) count = 1;
       if (count === 0) return;
       // A large need is spread over the zones, so that what takes one of them leaves the rest.
       const like = options.slice(i).filter((x) => x.type === o.type && x.spot === o.spot).length;
@@ -383,16 +400,16 @@
         spot: o.spot,
         count,
         reason: {
-          class: need.spec.jobClass,
-          slots: Math.round(need.slots),
+          class: demand.spec.jobClass,
+          slots: Math.round(demand.slots),
           short: Math.round(left),
-          ready: need.backlog,
+          ready: demand.backlog,
         },
       });
       for (let i = 0; i < count; i++) {
         const free = 1 - Math.min(1, left / k);
         left -= k;
-        supply.push({
+        capacity.push({
           machine: null,
           type: o.type,
           zone: o.zone,
@@ -411,22 +428,22 @@
       ordinary: { up: 0, booting: 0, fill: 0 },
       spot: { up: 0, booting: 0, fill: 0 },
     };
-    for (const m of this.cluster.machines.values()) {
-      const kind = m.spot ? kinds.spot : kinds.ordinary;
-      if (m.upAt === null) kind.booting++;
+    for (const machine of this.cluster.machines.values()) {
+      const kind = machine.spot ? kinds.spot : kinds.ordinary;
+      if (machine.upAt === null) kind.booting++;
       else {
         kind.up++;
-        kind.fill += m.utilization;
+        kind.fill += machine.utilization;
       }
     }
     const round = (x: number) => Math.round(x * 10) / 10;
     kinds.ordinary.fill = round(kinds.ordinary.fill);
     kinds.spot.fill = round(kinds.spot.fill);
-    const needs = this.demands(now).map((n) => ({
-      class: n.spec.jobClass,
-      mean: round(this.forecasts.get(demandKey(n.spec))?.mean ?? 0),
-      slots: round(n.slots),
-      ready: n.backlog,
+    const needs = this.demands(now).map((demand) => ({
+      class: demand.spec.jobClass,
+      mean: round(this.forecasts.get(demandKey(demand.spec))?.mean ?? 0),
+      slots: round(demand.slots),
+      ready: demand.backlog,
     }));
     return { ...kinds, needs };
   }
@@ -497,9 +514,11 @@
 }
 
 /** Whether any machine that is there or asked for could ever take such a task. */
-function anyCanRun(supply: AvailableCapacity[], spec: JobSpec): boolean {
-  return supply.some(
-    (s) => poolSatisfiesConstraints(s.type, s.zone, s.spot, spec) && slotsOnType(s.type, spec) > 0,
+function anyCanRun(capacity: AvailableCapacity[], spec: JobSpec): boolean {
+  return capacity.some(
+    (capacity) =>
+      poolSatisfiesConstraints(capacity.type, capacity.zone, capacity.spot, spec) &&
+      slotsOnType(capacity.type, spec) > 0,
   );
 }
 
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -96,7 +96,7 @@
   private appliedRevision = 0;
   private attemptCount = 0;
   /** Told of each machine that is proven gone. */
-  onMachineTerminated: (m: Machine) => void = () => {};
+  onMachineTerminated: (machine: Machine) => void = () => {};
 
   constructor(
     readonly term: number,
@@ -115,11 +115,11 @@
   }
 
   updateMachineTypes(types: MachineType[]): void {
-    for (const t of types) {
-      const old = this.machineTypes.get(t.name);
+    for (const type of types) {
+      const old = this.machineTypes.get(type.name);
       // Machines hold the object: prices move in place.
-      if (old) Object.assign(old, t);
-      else this.machineTypes.set(t.name, t);
+      if (old) Object.assign(old, type);
+      else this.machineTypes.set(type.name, type);
     }
   }
 
@@ -164,12 +164,12 @@
     for (const chunk of job.chunkVersions.keys())
       this.obsoleteKeys.add(this.bitmaps.key(id, chunk));
     for (const key of job.ownedKeys) this.obsoleteKeys.add(key);
-    for (const b of [...job.activeAttempts.values()]) {
-      if (isUnsent(b)) this.release(b, 0);
-      else this.stop(b, 0);
+    for (const attempt of [...job.activeAttempts.values()]) {
+      if (isUnsent(attempt)) this.release(attempt, 0);
+      else this.stop(attempt, 0);
     }
     for (const waiting of job.unsavedChunks.values())
-      for (const b of waiting) b.mayBeForgotten = true;
+      for (const attempt of waiting) attempt.mayBeForgotten = true;
     job.unsavedChunks.clear();
     this.roundDue = true;
   }
@@ -203,9 +203,9 @@
     ageS: number,
     now: number,
   ): Machine {
-    let m = this.machines.get(id);
-    if (!m) {
-      m = new Machine(
+    let machine = this.machines.get(id);
+    if (!machine) {
+      machine = new Machine(
         id,
         type,
         this.machineTypes.get(type) ?? null,
@@ -214,9 +214,9 @@
         now - Math.max(0, ageS) * 1000,
         now,
       );
-      this.machines.set(id, m);
+      this.machines.set(id, machine);
     }
-    return m;
+    return machine;
   }
 
   /** A machine of the durable roster, which an earlier leader may have given tasks. */
@@ -228,109 +228,124 @@
     address: string,
     now: number,
   ): void {
-    const m = this.ensureMachine(id, type, zone, spot, 0, now);
-    m.address = address;
-    m.inRoster = true;
-    m.lastHeartbeatAt = now;
-    m.upAt = now;
-    this.inheritedMachines.add(m);
+    const machine = this.ensureMachine(id, type, zone, spot, 0, now);
+    machine.address = address;
+    machine.inRoster = true;
+    machine.lastHeartbeatAt = now;
+    machine.upAt = now;
+    this.inheritedMachines.add(machine);
   }
 
   /** Proof that the machine and all on it are gone. */
   markTerminated(id: string, why: string, now: number): void {
-    const m = this.machines.get(id);
+    const machine = this.machines.get(id);
     this.tombstones.add(id, now);
-    if (!m) return;
-    this.onMachineTerminated(m);
-    const lost = this.releaseAll(m);
-    this.inheritedMachines.resolve(m);
+    if (!machine) return;
+    this.onMachineTerminated(machine);
+    const lost = this.releaseAll(machine);
+    this.inheritedMachines.resolve(machine);
     this.machines.delete(id);
-    this.pendingCommands.delete(m);
-    this.pendingProbes.delete(m);
+    this.pendingCommands.delete(machine);
+    this.pendingProbes.delete(machine);
     this.unknownTasks.delete(id);
-    this.machinesWithUnknownTasks.delete(m);
-    this.pendingRosterAdds.delete(m);
-    if (m.inRoster || m.rosterWritePending) this.roster.removeMachine(id);
+    this.machinesWithUnknownTasks.delete(machine);
+    this.pendingRosterAdds.delete(machine);
+    if (machine.inRoster || machine.rosterWritePending) this.roster.removeMachine(id);
     this.roundDue = true;
-    this.logDecision('machine gone', { machine: id, why, drain: m.drainReason, lostTasks: lost });
+    this.logDecision('machine gone', {
+      machine: id,
+      why,
+      drain: machine.drainReason,
+      lostTasks: lost,
+    });
   }
 
-  drain(m: Machine, why: DrainReason): void {
-    if (m.drainReason === why) return;
-    m.drainReason = why;
+  drain(machine: Machine, why: DrainReason): void {
+    if (machine.drainReason === why) return;
+    machine.drainReason = why;
     // What never left for the machine may go elsewhere.
-    for (const b of [...m.attempts.values()]) if (isUnsent(b)) this.release(b, 0);
-    this.logDecision('machine drained', { machine: m.id, why, running: m.attempts.size });
+    for (const attempt of [...machine.attempts.values()])
+      if (isUnsent(attempt)) this.release(attempt, 0);
+    this.logDecision('machine drained', {
+      machine: machine.id,
+      why,
+      running: machine.attempts.size,
+    });
   }
 
-  private releaseAll(m: Machine): number {
+  private releaseAll(machine: Machine): number {
     let lost = 0;
-    for (const b of [...m.attempts.values()]) {
-      if (b.state !== 'exited') lost++;
-      this.release(b, 0);
+    for (const attempt of [...machine.attempts.values()]) {
+      if (attempt.state !== 'exited') lost++;
+      this.release(attempt, 0);
     }
     return lost;
   }
 
   /** The binding has ended without a result. */
-  release(b: TaskAttempt, until: number): void {
+  release(attempt: TaskAttempt, until: number): void {
     // A command's answer may come after a new session or the machine's end released it: what it
     // used must not be taken off the team twice, or its limit is overrun.
-    if (b.machine.attempts.get(attemptKey(b.job.spec.id, b.index, b.attempt)) !== b) return;
-    if (b.state !== 'exited') this.chargeQuota(b, -1);
-    b.machine.removeAttempt(b);
-    b.job.removeAttempt(b, until);
-    this.startIdleTime(b.machine, b.assignedAt);
+    if (
+      attempt.machine.attempts.get(
+        attemptKey(attempt.job.spec.id, attempt.index, attempt.attempt),
+      ) !== attempt
+    )
+      return;
+    if (attempt.state !== 'exited') this.chargeQuota(attempt, -1);
+    attempt.machine.removeAttempt(attempt);
+    attempt.job.removeAttempt(attempt, until);
+    this.startIdleTime(attempt.machine, attempt.assignedAt);
     this.roundDue = true;
   }
 
-  private startIdleTime(m: Machine, now: number): void {
-    if (!m.busy) m.idleSince = Math.max(m.idleSince, now);
+  private startIdleTime(machine: Machine, now: number): void {
+    if (!machine.busy) machine.idleSince = Math.max(machine.idleSince, now);
   }
 
-  private chargeQuota(b: TaskAttempt, sign: number): void {
-    const { team, cpus, gpus } = b.job.spec;
-    const u = this.quotaUsage.get(team) ?? { cpus: 0, gpus: 0 };
-    u.cpus += sign * cpus;
-    u.gpus += sign * gpus;
-    this.quotaUsage.set(team, u);
+  private chargeQuota(attempt: TaskAttempt, sign: number): void {
+    const { team, cpus, gpus } = attempt.job.spec;
+    const usage = this.quotaUsage.get(team) ?? { cpus: 0, gpus: 0 };
+    usage.cpus += sign * cpus;
+    usage.gpus += sign * gpus;
+    this.quotaUsage.set(team, usage);
   }
 
   /** Has the task stopped; repeated until its exit is reported. */
-  stop(b: TaskAttempt, graceS: number): void {
-    b.stopRequest = { graceS, commandSent: false };
-    this.pendingCommands.add(b.machine);
+  stop(attempt: TaskAttempt, graceS: number): void {
+    attempt.stopRequest = { graceS, commandSent: false };
+    this.pendingCommands.add(attempt.machine);
   }
 
   /** Binds a ready task to a machine; the start leaves with the next answer or command. */
-  assign(job: Job, index: number, m: Machine, now: number): TaskAttempt {
-    const b = this.createAttempt(
+  assign(job: Job, index: number, machine: Machine, now: number): TaskAttempt {
+    const attempt = this.createAttempt(
       job,
       index,
       this.term * ATTEMPTS_PER_TERM + ++this.attemptCount,
-      m,
+      machine,
       now,
     );
-    this.chargeQuota(b, 1);
-    m.addAttempt(b);
-    m.recordImageUse(job.spec);
-    job.addAttempt(b);
-    this.pendingCommands.add(m);
-    return b;
+    this.chargeQuota(attempt, 1);
+    machine.addAttempt(attempt);
+    machine.recordImageUse(job.spec);
+    job.addAttempt(attempt);
+    this.pendingCommands.add(machine);
+    return attempt;
   }
 
   private createAttempt(
     job: Job,
     index: number,
     attempt: number,
-    m: Machine,
+    machine: Machine,
     now: number,
   ): TaskAttempt {
     return {
       job,
       index,
       attempt,
-      machine: m,
+      machine: machine,
       state: 'assigned',
       startSentSequence: null,
       directCommandFence: null,
@@ -347,12 +362,12 @@
    * every team's limit until it is cleared up.
    */
   unconfirmedUsage(): ResourceUsage {
-    const d = this.inheritedMachines.capacity(this.machineTypes);
-    for (const m of this.machinesWithUnknownTasks) {
-      d.cpus += (m.type?.cpus ?? 0) - m.usedCpus;
-      d.gpus += (m.type?.gpus ?? 0) - m.usedGpus;
+    const usage = this.inheritedMachines.capacity(this.machineTypes);
+    for (const machine of this.machinesWithUnknownTasks) {
+      usage.cpus += (machine.type?.cpus ?? 0) - machine.usedCpus;
+      usage.gpus += (machine.type?.gpus ?? 0) - machine.usedGpus;
     }
-    return d;
+    return usage;
   }
 
   // Reports
@@ -362,26 +377,37 @@
    * flight at a time, from the report in a command's answer. False: it is
    * older than what is known.
    */
-  applyHeartbeat(r: Heartbeat, beat: boolean, now: number): boolean {
-    if (this.tombstones.has(r.machineId)) return false;
-    if (!this.machines.has(r.machineId) && this.tombstones.mayBeTerminated(r.machineId))
+  applyHeartbeat(heartbeat: Heartbeat, beat: boolean, now: number): boolean {
+    if (this.tombstones.has(heartbeat.machineId)) return false;
+    if (
+      !this.machines.has(heartbeat.machineId) &&
+      this.tombstones.mayBeTerminated(heartbeat.machineId)
+    )
       return false;
     // Only under our own token it can't be a late copy from before this term: an older one proves
     // neither that the machine is alive nor that it exists. Its answer raises the token, and the
     // worker reports again at once.
-    const own = r.term === this.term;
-    if (!own && !this.machines.has(r.machineId)) return false;
-    const m = this.ensureMachine(r.machineId, r.type, r.zone, r.spot, 0, now);
+    const own = heartbeat.term === this.term;
+    if (!own && !this.machines.has(heartbeat.machineId)) return false;
+    const machine = this.ensureMachine(
+      heartbeat.machineId,
+      heartbeat.type,
+      heartbeat.zone,
+      heartbeat.spot,
+      0,
+      now,
+    );
     if (
-      r.agentEpoch < m.agentEpoch ||
-      (r.agentEpoch === m.agentEpoch && r.sequence <= m.lastSequence)
+      heartbeat.agentEpoch < machine.agentEpoch ||
+      (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.lastSequence)
     )
       return false;
-    if (r.agentEpoch > m.agentEpoch) this.beginSession(m, r.agentEpoch, now);
-    m.lastSequence = r.sequence;
-    m.address = r.address;
-    if (!m.inRoster && !m.rosterWritePending) this.pendingRosterAdds.add(m);
-    if (own) this.applyOwnReport(m, r, beat, now);
+    if (heartbeat.agentEpoch > machine.agentEpoch)
+      this.beginSession(machine, heartbeat.agentEpoch, now);
+    machine.lastSequence = heartbeat.sequence;
+    machine.address = heartbeat.address;
+    if (!machine.inRoster && !machine.rosterWritePending) this.pendingRosterAdds.add(machine);
+    if (own) this.applyOwnReport(machine, heartbeat, beat, now);
     return true;
   }
 
@@ -398,7 +424,7 @@
   }
 
   /** A report under our own token: proof that the machine is alive, with the whole list of its tasks. */
-  private applyOwnReport(machine: Machine, report: Heartbeat, beat: boolean, now: number): void {
+  private applyOwnReport(machine: Machine, heartbeat: Heartbeat, beat: boolean, now: number): void {
     machine.lastHeartbeatAt = now;
     machine.missingFromList = false;
     this.recordZoneHeartbeat(machine.zone, now);
@@ -408,11 +434,14 @@
     }
     if (machine.drainReason === 'silent' || machine.drainReason === 'no boot')
       machine.drainReason = null;
-    const noticed = report.preemptionNoticeS !== null && machine.preemptionNoticeUntil === null;
-    if (report.preemptionNoticeS !== null) {
+    const noticed = heartbeat.preemptionNoticeS !== null && machine.preemptionNoticeUntil === null;
+    if (heartbeat.preemptionNoticeS !== null) {
       if (noticed)
-        this.logDecision('spot notice', { machine: machine.id, seconds: report.preemptionNoticeS });
-      machine.preemptionNoticeUntil = now + report.preemptionNoticeS * 1000;
+        this.logDecision('spot notice', {
+          machine: machine.id,
+          seconds: heartbeat.preemptionNoticeS,
+        });
+      machine.preemptionNoticeUntil = now + heartbeat.preemptionNoticeS * 1000;
       this.drain(machine, 'notice');
     }
     // Under an older token commands of an earlier leader might still be executed; from here on the list is whole.
@@ -421,21 +450,22 @@
       this.inheritedMachines.resolve(machine);
       this.roundDue = true;
     }
-    this.reconcileTasks(machine, report, beat, now);
-    if (noticed) this.evacuate(machine, report.preemptionNoticeS ?? 0, now);
+    this.reconcileTasks(machine, heartbeat, beat, now);
+    if (noticed) this.evacuate(machine, heartbeat.preemptionNoticeS ?? 0, now);
   }
 
   /**
    * The machine will be taken: what can save does so, and what will hardly
    * finish starts anew elsewhere at once. The rest is left to finish.
    */
-  private evacuate(m: Machine, noticeS: number, now: number): void {
-    for (const b of m.attempts.values()) {
-      if (b.state === 'exited' || b.state === 'assigned' || b.stopRequest) continue;
-      const { checkpointIntervalS: checkpointS, checkpointCostS: saveS } = b.job.spec;
-      const left = this.estimates.remainingS(b, now);
-      if (checkpointS > 0 && saveS < noticeS && left > noticeS) this.stop(b, saveS);
-      else if (checkpointS === 0 && left > noticeS * HOPELESS_NOTICE_RATIO) this.stop(b, 0);
+  private evacuate(machine: Machine, noticeS: number, now: number): void {
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.state === 'exited' || attempt.state === 'assigned' || attempt.stopRequest)
+        continue;
+      const { checkpointIntervalS: checkpointS, checkpointCostS: saveS } = attempt.job.spec;
+      const left = this.estimates.remainingS(attempt, now);
+      if (checkpointS > 0 && saveS < noticeS && left > noticeS) this.stop(attempt, saveS);
+      else if (checkpointS === 0 && left > noticeS * HOPELESS_NOTICE_RATIO) this.stop(attempt, 0);
     }
   }
 
@@ -455,9 +485,9 @@
    * has tried in vain and gone elsewhere: that is not its silence. For longer
    * than its lease nothing excuses it.
    */
-  silentSince(m: Machine): number {
-    const excused = Math.min(this.laggingAt, m.lastHeartbeatAt + this.timing.agentLeaseMs);
-    return Math.max(m.lastHeartbeatAt, excused);
+  silentSince(machine: Machine): number {
+    const excused = Math.min(this.laggingAt, machine.lastHeartbeatAt + this.timing.agentLeaseMs);
+    return Math.max(machine.lastHeartbeatAt, excused);
   }
 
   private recordZoneHeartbeat(zone: string, now: number): void {
@@ -468,20 +498,20 @@
   }
 
   /** Brings what is known of the machine's tasks in line with its own list of them. */
-  private reconcileTasks(machine: Machine, report: Heartbeat, beat: boolean, now: number): void {
+  private reconcileTasks(machine: Machine, heartbeat: Heartbeat, beat: boolean, now: number): void {
     const listed = new Set<string>();
-    machine.fence = Math.max(machine.fence, report.fence);
-    machine.acknowledgedFence = Math.max(machine.acknowledgedFence, report.fence);
-    const strays: TaskStatus[] = [];
-    for (const task of report.tasks) {
+    machine.fence = Math.max(machine.fence, heartbeat.fence);
+    machine.acknowledgedFence = Math.max(machine.acknowledgedFence, heartbeat.fence);
+    const unknownTasks: TaskStatus[] = [];
+    for (const task of heartbeat.tasks) {
       const key = attemptKey(task.jobId, task.index, task.attempt);
       listed.add(key);
-      const binding = machine.attempts.get(key) ?? this.adopt(task, machine, now);
-      if (binding) this.applyTaskReport(binding, task, now);
-      else strays.push(task);
+      const attempt = machine.attempts.get(key) ?? this.adopt(task, machine, now);
+      if (attempt) this.applyTaskReport(attempt, task, now);
+      else unknownTasks.push(task);
     }
-    this.keepStrays(machine, strays);
-    this.releaseUnlisted(machine, listed, beat ? report.sequence : null, now);
+    this.keepStrays(machine, unknownTasks);
+    this.releaseUnlisted(machine, listed, beat ? heartbeat.sequence : null, now);
   }
 
   /** A listed task that is not known here, of a live job; null: there is no such job. */
@@ -491,24 +521,24 @@
     return this.adoptAttempt(job, task, machine, now);
   }
 
-  private applyTaskReport(binding: TaskAttempt, task: TaskStatus, now: number): void {
+  private applyTaskReport(attempt: TaskAttempt, task: TaskStatus, now: number): void {
     if (task.state === 'exited') {
-      if (binding.state !== 'exited') this.applyExit(binding, task, now);
+      if (attempt.state !== 'exited') this.applyExit(attempt, task, now);
       return;
     }
-    if (binding.state === 'assigned') this.markResponsive(binding.machine);
-    if (task.state === 'running' && binding.runningSince === null) {
-      binding.runningSince = now;
-      binding.machine.recordImageUse(binding.job.spec);
+    if (attempt.state === 'assigned') this.markResponsive(attempt.machine);
+    if (task.state === 'running' && attempt.runningSince === null) {
+      attempt.runningSince = now;
+      attempt.machine.recordImageUse(attempt.job.spec);
     }
-    binding.state = task.state;
+    attempt.state = task.state;
   }
 
-  private keepStrays(machine: Machine, strays: TaskStatus[]): void {
-    machine.hasUnknownTasks = strays.some((task) => task.state !== 'exited');
+  private keepStrays(machine: Machine, unknownTasks: TaskStatus[]): void {
+    machine.hasUnknownTasks = unknownTasks.some((task) => task.state !== 'exited');
     if (machine.hasUnknownTasks) this.machinesWithUnknownTasks.add(machine);
     else this.machinesWithUnknownTasks.delete(machine);
-    if (strays.length > 0) this.unknownTasks.set(machine.id, strays);
+    if (unknownTasks.length > 0) this.unknownTasks.set(machine.id, unknownTasks);
     else this.unknownTasks.delete(machine.id);
   }
 
@@ -535,11 +565,11 @@
   }
 
   /** Releases an unlisted task whose start can't reach the machine any more; true: an answer with it was lost. */
-  private releaseUnstarted(binding: TaskAttempt, cutOff: boolean, beatSeq: number | null): boolean {
+  private releaseUnstarted(attempt: TaskAttempt, cutOff: boolean, beatSeq: number | null): boolean {
     // It left by a direct command alone, which is refused from here on.
-    const refused = cutOff && binding.startSentSequence === null;
-    const lost = !refused && beatSeq !== null && isStartLost(binding, beatSeq);
-    if (refused || lost) this.release(binding, 0);
+    const refused = cutOff && attempt.startSentSequence === null;
+    const lost = !refused && beatSeq !== null && isStartLost(attempt, beatSeq);
+    if (refused || lost) this.release(attempt, 0);
     return lost;
   }
 
@@ -548,80 +578,80 @@
    * One loss is ordinary; from the second in a row on it gets no work until it
    * has answered a command: its reports alone would draw ever more starts.
    */
-  markUnresponsive(m: Machine, now: number): void {
-    m.unresponsiveSince ??= now;
+  markUnresponsive(machine: Machine, now: number): void {
+    machine.unresponsiveSince ??= now;
   }
 
-  markResponsive(m: Machine): void {
-    m.missedAcknowledgements = 0;
-    this.pendingProbes.delete(m);
-    if (m.unresponsiveSince === null) return;
-    m.unresponsiveSince = null;
+  markResponsive(machine: Machine): void {
+    machine.missedAcknowledgements = 0;
+    this.pendingProbes.delete(machine);
+    if (machine.unresponsiveSince === null) return;
+    machine.unresponsiveSince = null;
     this.roundDue = true;
   }
 
   /** A task that an earlier leader started, or that was taken for lost. */
-  private adoptAttempt(job: Job, t: TaskStatus, m: Machine, now: number): TaskAttempt {
-    const b = this.createAttempt(job, t.index, t.attempt, m, now);
+  private adoptAttempt(job: Job, task: TaskStatus, machine: Machine, now: number): TaskAttempt {
+    const attempt = this.createAttempt(job, task.index, task.attempt, machine, now);
     // For an exited task this is balanced by the exit that follows at once.
-    this.chargeQuota(b, 1);
-    m.addAttempt(b);
-    if (t.state === 'exited') return b;
-    const other = job.activeAttempts.get(t.index);
+    this.chargeQuota(attempt, 1);
+    machine.addAttempt(attempt);
+    if (task.state === 'exited') return attempt;
+    const other = job.activeAttempts.get(task.index);
     if (other && isUnsent(other)) this.release(other, 0);
-    if (job.isDone(t.index) || job.activeAttempts.has(t.index)) this.stop(b, 0);
-    else job.addAttempt(b);
-    return b;
+    if (job.isDone(task.index) || job.activeAttempts.has(task.index)) this.stop(attempt, 0);
+    else job.addAttempt(attempt);
+    return attempt;
   }
 
-  private applyExit(b: TaskAttempt, t: TaskStatus, now: number): void {
-    const { job, machine: m } = b;
-    this.chargeQuota(b, -1);
-    m.markExited(b);
-    b.mayBeForgotten = true;
+  private applyExit(attempt: TaskAttempt, task: TaskStatus, now: number): void {
+    const { job, machine: m } = attempt;
+    this.chargeQuota(attempt, -1);
+    m.markExited(attempt);
+    attempt.mayBeForgotten = true;
     this.roundDue = true;
     if (!m.busy) m.idleSince = now;
-    switch (t.cause) {
+    switch (task.cause) {
       case 'done':
-        this.recordSuccess(b, now);
+        this.recordSuccess(attempt, now);
         return;
       case 'error':
-        this.recordFailure(b, now);
+        this.recordFailure(attempt, now);
         return;
       case 'no_room':
         m.admissionBackoffUntil = now + this.timing.heartbeatMs;
-        job.removeAttempt(b, 0);
+        job.removeAttempt(attempt, 0);
         return;
       case 'unknown':
-        job.removeAttempt(b, now + this.timing.heartbeatMs);
+        job.removeAttempt(attempt, now + this.timing.heartbeatMs);
         return;
       default:
-        job.removeAttempt(b, 0);
+        job.removeAttempt(attempt, 0);
     }
   }
 
-  private recordSuccess(b: TaskAttempt, now: number): void {
-    const { job, machine: m } = b;
-    this.estimates.recordDuration(b, now);
+  private recordSuccess(attempt: TaskAttempt, now: number): void {
+    const { job, machine: m } = attempt;
+    this.estimates.recordDuration(attempt, now);
     job.failedMachines.clear();
     job.failures = 0;
     job.succeeded = true;
     m.failedJobs.clear();
-    const other = job.activeAttempts.get(b.index);
-    const first = job.markDone(b.index);
-    job.removeAttempt(b, 0);
-    if (other && other !== b) this.stop(other, 0);
+    const other = job.activeAttempts.get(attempt.index);
+    const first = job.markDone(attempt.index);
+    job.removeAttempt(attempt, 0);
+    if (other && other !== attempt) this.stop(other, 0);
     if (!first || job.ended) return;
-    b.mayBeForgotten = false;
-    const chunk = this.bitmaps.chunkOf(b.index);
+    attempt.mayBeForgotten = false;
+    const chunk = this.bitmaps.chunkOf(attempt.index);
     const waiting = job.unsavedChunks.get(chunk);
-    if (waiting) waiting.push(b);
-    else job.unsavedChunks.set(chunk, [b]);
+    if (waiting) waiting.push(attempt);
+    else job.unsavedChunks.set(chunk, [attempt]);
   }
 
   /** Tells a sick machine, on which several jobs fail, from a faulty job, which fails on several machines. */
-  private recordFailure(b: TaskAttempt, now: number): void {
-    const { job, machine: m } = b;
+  private recordFailure(attempt: TaskAttempt, now: number): void {
+    const { job, machine: m } = attempt;
     const { heartbeatMs: reportMs, agentLeaseMs: workerLeaseMs } = this.timing;
     job.failures++;
     job.failedMachines.add(m.id);
@@ -645,7 +675,7 @@
       )
         this.drain(m, 'sick');
     }
-    job.removeAttempt(b, now + reportMs * 0.5 * Math.min(4, job.failedMachines.size));
+    job.removeAttempt(attempt, now + reportMs * 0.5 * Math.min(4, job.failedMachines.size));
   }
 
   // Orders
@@ -654,24 +684,24 @@
    * Whatever else an answer may order: it renews the lease, so it stops what
    * the report shows of jobs that have ended.
    */
-  stopsOfEndedJobs(r: Heartbeat): TaskCommand[] {
-    return stopsOfEndedJobs(r, this.jobs);
+  stopsOfEndedJobs(heartbeat: Heartbeat): TaskCommand[] {
+    return stopsOfEndedJobs(heartbeat, this.jobs);
   }
 
   /** The orders for a machine that has just reported, in the order of their execution. */
-  heartbeatCommands(m: Machine): TaskCommand[] {
-    return heartbeatCommands(m, this.unknownTasks.get(m.id) ?? []);
+  heartbeatCommands(machine: Machine): TaskCommand[] {
+    return heartbeatCommands(machine, this.unknownTasks.get(machine.id) ?? []);
   }
 
   /** The machine answered the command with its report `seq`. */
-  applyCommandResult(starts: TaskAttempt[], executed: boolean, seq: number): void {
-    for (const b of starts) {
+  applyCommandResult(startedAttempts: TaskAttempt[], executed: boolean, seq: number): void {
+    for (const attempt of startedAttempts) {
       // Executed: a copy of it may yet arrive, until the fence has moved on.
-      if (executed) b.startSentSequence = Math.max(b.startSentSequence ?? 0, seq);
+      if (executed) attempt.startSentSequence = Math.max(attempt.startSentSequence ?? 0, seq);
       else {
         // Refused for its token or session, and so will every copy be.
-        b.directCommandFence = null;
-        if (isUnsent(b)) this.release(b, 0);
+        attempt.directCommandFence = null;
+        if (isUnsent(attempt)) this.release(attempt, 0);
       }
     }
   }
@@ -724,10 +754,10 @@
 }
 
 /** The answer that carried the start was dropped: the worker sends one report at a time and drops late answers. */
-function isStartLost(binding: TaskAttempt, seq: number): boolean {
+function isStartLost(attempt: TaskAttempt, seq: number): boolean {
   return (
-    binding.startSentSequence !== null &&
-    seq > binding.startSentSequence &&
-    binding.directCommandFence === null
+    attempt.startSentSequence !== null &&
+    seq > attempt.startSentSequence &&
+    attempt.directCommandFence === null
   );
 }
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -165,11 +165,11 @@
     }
   }
 
-  private inheritUrgency(needed: Job, by: Job): boolean {
-    const rank = Math.min(needed.priority, by.priority);
-    const goal = by.effectiveDeadline && {
-      job: by.effectiveDeadline.job,
-      remainingPathS: by.effectiveDeadline.remainingPathS + this.durations.longestTaskS(by),
+  private inheritUrgency(needed: Job, job: Job): boolean {
+    const rank = Math.min(needed.priority, job.priority);
+    const goal = job.effectiveDeadline && {
+      job: job.effectiveDeadline.job,
+      remainingPathS: job.effectiveDeadline.remainingPathS + this.durations.longestTaskS(job),
     };
     const tighter =
       goal !== null &&
@@ -187,7 +187,7 @@
     for (let next = jobs.pop(); next; next = jobs.pop()) {
       const { priority: rank, effectiveDeadline: goal } = next;
       next.resetPriority();
-      for (const by of this.dependents.get(next.spec.id) ?? []) this.inheritUrgency(next, by);
+      for (const job of this.dependents.get(next.spec.id) ?? []) this.inheritUrgency(next, job);
       if (next.priority === rank && sameDeadline(next.effectiveDeadline, goal)) continue;
       for (const id of next.pendingDependencies) {
         const needed = this.jobs.get(id);
--- a/src/scheduler/state/job.ts
+++ b/src/scheduler/state/job.ts
@@ -111,19 +111,19 @@
     return null;
   }
 
-  addAttempt(binding: TaskAttempt): void {
-    const { index, machine } = binding;
+  addAttempt(attempt: TaskAttempt): void {
+    const { index, machine } = attempt;
     if (this.status[index] === READY) this.readyCount--;
     this.status[index] = ASSIGNED;
     this.started = true;
-    this.activeAttempts.set(index, binding);
+    this.activeAttempts.set(index, attempt);
     this.attemptsByZone.set(machine.zone, (this.attemptsByZone.get(machine.zone) ?? 0) + 1);
   }
 
   /** The binding has ended; unless done, its task is ready again, at once or at `until`. */
-  removeAttempt(binding: TaskAttempt, until: number): void {
-    const { index, machine } = binding;
-    if (this.activeAttempts.get(index) !== binding) return;
+  removeAttempt(attempt: TaskAttempt, until: number): void {
+    const { index, machine } = attempt;
+    if (this.activeAttempts.get(index) !== attempt) return;
     this.activeAttempts.delete(index);
     this.attemptsByZone.set(machine.zone, (this.attemptsByZone.get(machine.zone) ?? 1) - 1);
     if (this.status[index] !== ASSIGNED) return;
--- a/src/scheduler/state/machine.ts
+++ b/src/scheduler/state/machine.ts
@@ -115,48 +115,53 @@
 
   /** How many tasks like this one the free room takes. */
   freeSlots(spec: JobSpec): number {
-    const t = this.type;
-    if (!t) return 0;
+    const type = this.type;
+    if (!type) return 0;
     return slotsWithin(
-      t.cpus - this.usedCpus,
-      t.gpus - this.usedGpus,
-      t.memoryGb - this.usedMemoryGb,
+      type.cpus - this.usedCpus,
+      type.gpus - this.usedGpus,
+      type.memoryGb - this.usedMemoryGb,
       spec,
     );
   }
 
   /** Anything at all is free. */
   get hasFreeCapacity(): boolean {
-    const t = this.type;
+    const type = this.type;
     return (
-      t !== null && t.cpus - this.usedCpus > EPSILON && t.memoryGb - this.usedMemoryGb > EPSILON
+      type !== null &&
+      type.cpus - this.usedCpus > EPSILON &&
+      type.memoryGb - this.usedMemoryGb > EPSILON
     );
   }
 
   get utilization(): number {
-    const t = this.type;
-    if (!t) return 0;
+    const type = this.type;
+    if (!type) return 0;
     return Math.max(
-      t.cpus > 0 ? this.usedCpus / t.cpus : 0,
-      this.usedMemoryGb / Math.max(1, t.memoryGb),
+      type.cpus > 0 ? this.usedCpus / type.cpus : 0,
+      this.usedMemoryGb / Math.max(1, type.memoryGb),
     );
   }
 
-  addAttempt(b: TaskAttempt): void {
-    this.attempts.set(attemptKey(b.job.spec.id, b.index, b.attempt), b);
-    if (b.state !== 'exited') this.charge(b.job.spec, 1);
+  addAttempt(attempt: TaskAttempt): void {
+    this.attempts.set(attemptKey(attempt.job.spec.id, attempt.index, attempt.attempt), attempt);
+    if (attempt.state !== 'exited') this.charge(attempt.job.spec, 1);
   }
 
-  removeAttempt(b: TaskAttempt): void {
-    if (this.attempts.delete(attemptKey(b.job.spec.id, b.index, b.attempt)) && b.state !== 'exited')
-      this.charge(b.job.spec, -1);
+  removeAttempt(attempt: TaskAttempt): void {
+    if (
+      this.attempts.delete(attemptKey(attempt.job.spec.id, attempt.index, attempt.attempt)) &&
+      attempt.state !== 'exited'
+    )
+      this.charge(attempt.job.spec, -1);
   }
 
   /** The task holds no resources any more. */
-  markExited(b: TaskAttempt): void {
-    if (b.state === 'exited') return;
-    b.state = 'exited';
-    this.charge(b.job.spec, -1);
+  markExited(attempt: TaskAttempt): void {
+    if (attempt.state === 'exited') return;
+    attempt.state = 'exited';
+    this.charge(attempt.job.spec, -1);
   }
 
   get busy(): boolean {
--- a/src/scheduler/state/work-estimates.ts
+++ b/src/scheduler/state/work-estimates.ts
@@ -81,20 +81,20 @@
     return Math.max(0.5, spec.estimatedDurationS * (this.durationRatios.get(spec.jobClass) ?? 1));
   }
 
-  remainingS(b: TaskAttempt, now: number): number {
-    const estimate = this.estimateS(b.job.spec);
-    if (b.runningSince === null) return estimate;
+  remainingS(attempt: TaskAttempt, now: number): number {
+    const estimate = this.estimateS(attempt.job.spec);
+    if (attempt.runningSince === null) return estimate;
     // A task that has outrun its estimate is expected to need a part of it more.
-    return Math.max(estimate - (now - b.runningSince) / 1000, estimate * 0.2);
+    return Math.max(estimate - (now - attempt.runningSince) / 1000, estimate * 0.2);
   }
 
   /** A task has completed: how long it ran corrects the estimates of its class. */
-  recordDuration(b: TaskAttempt, now: number): void {
-    const spec = b.job.spec;
-    if (b.runningSince === null || spec.estimatedDurationS <= 0) return;
+  recordDuration(attempt: TaskAttempt, now: number): void {
+    const spec = attempt.job.spec;
+    if (attempt.runningSince === null || spec.estimatedDurationS <= 0) return;
     const seen = Math.min(
       5,
-      Math.max(0.2, (now - b.runningSince) / 1000 / spec.estimatedDurationS),
+      Math.max(0.2, (now - attempt.runningSince) / 1000 / spec.estimatedDurationS),
     );
     const old = this.durationRatios.get(spec.jobClass) ?? 1;
     this.durationRatios.set(spec.jobClass, old + (seen - old) * 0.05);
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -54,12 +54,12 @@
   ] as const) {
     const p = structuredClone(PLATFORM);
     p.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
-    const t = timingOf(parsePlatform(JSON.stringify(p), 'f'));
+    const timing = timingOf(parsePlatform(JSON.stringify(p), 'f'));
     // Proof ends before another node could hold the lease.
-    assert.ok(t.leadershipProofMs < t.leaseMs * (1 - DRIFT));
-    assert.ok(t.renewMs * 2 < t.leadershipProofMs);
+    assert.ok(timing.leadershipProofMs < timing.leaseMs * (1 - DRIFT));
+    assert.ok(timing.renewMs * 2 < timing.leadershipProofMs);
     // With answers to reports over, leases end in time for a cancellation.
-    assert.ok((t.agentRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
-    assert.ok((t.delegatedRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
+    assert.ok((timing.agentRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
+    assert.ok((timing.delegatedRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
   }
 });
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -73,19 +73,20 @@
   }
 
   private leader(term: number): ClusterState {
-    const c = createCluster({ term, teams: [teamQuota({ name: 'ops', maxCpus: LIMIT })] });
+    const cluster = createCluster({ term, teams: [teamQuota({ name: 'ops', maxCpus: LIMIT })] });
     // The leader key's version fences what an earlier leader still has on its way.
     this.lateWrites = [];
     for (const [key, page] of this.roster) {
-      c.roster.restore(key, page.version, page.machines);
-      for (const m of page.machines) c.inheritMachine(m.id, m.type, m.zone, m.spot, '', this.now);
+      cluster.roster.restore(key, page.version, page.machines);
+      for (const entry of page.machines)
+        cluster.inheritMachine(entry.id, entry.type, entry.zone, entry.spot, '', this.now);
     }
     for (const [id, version] of this.live) {
-      const job = c.addJob(jobSpec({ id, tasks: 3 }), version, 0, true);
+      const job = cluster.addJob(jobSpec({ id, tasks: 3 }), version, 0, true);
       for (let i = 0; i < 3; i++) if (this.done.has(`${id}/${i}`)) job?.markDone(i);
       if (this.bits.has(id)) job?.chunkVersions.set(0, this.bits.get(id) as number);
     }
-    return c;
+    return cluster;
   }
 
   private addWorker(): void {
@@ -174,21 +175,21 @@
 
   private reportIn(worker: ScriptedAgent): void {
     const term = this.c;
-    const orders = this.answer(worker.heartbeat(), term);
+    const commands = this.answer(worker.heartbeat(), term);
     const fence = term.machines.get(worker.id)?.fence ?? 0;
-    if (this.pick(4) > 0) worker.execute(term.term, orders, fence);
+    if (this.pick(4) > 0) worker.execute(term.term, commands, fence);
   }
 
-  private answer(report: Heartbeat, c: ClusterState): TaskCommand[] {
-    if (report.term > c.term) return [];
-    if (!c.applyHeartbeat(report, true, this.now)) return [];
+  private answer(heartbeat: Heartbeat, cluster: ClusterState): TaskCommand[] {
+    if (heartbeat.term > cluster.term) return [];
+    if (!cluster.applyHeartbeat(heartbeat, true, this.now)) return [];
     // A leader that another has followed has no proof any more and starts nothing.
-    if (c !== this.c) return [];
-    this.started += runPlacementRound(c, 32, this.now).started.length;
-    const m = c.machines.get(report.machineId);
-    if (!m) return [];
-    raiseFenceIfDue(m, c.timing, this.now);
-    return c.heartbeatCommands(m);
+    if (cluster !== this.c) return [];
+    this.started += runPlacementRound(cluster, 32, this.now).started.length;
+    const machine = cluster.machines.get(heartbeat.machineId);
+    if (!machine) return [];
+    raiseFenceIfDue(machine, cluster.timing, this.now);
+    return cluster.heartbeatCommands(machine);
   }
 
   private commandsOut(): void {
@@ -222,23 +223,23 @@
       cmd.session === cmd.worker.agentEpoch &&
       cmd.worker.execute(cmd.term.term, cmd.orders, cmd.fence);
     if (copied || this.pick(3) === 0) return;
-    const report = cmd.worker.heartbeat();
-    if (report.term <= cmd.term.term) cmd.term.applyHeartbeat(report, false, this.now);
-    cmd.term.applyCommandResult(cmd.starts, executed, report.sequence);
+    const heartbeat = cmd.worker.heartbeat();
+    if (heartbeat.term <= cmd.term.term) cmd.term.applyHeartbeat(heartbeat, false, this.now);
+    cmd.term.applyCommandResult(cmd.starts, executed, heartbeat.sequence);
   }
 
   private flush(): void {
     for (const { job, chunk } of chunksOfUnknownVersion(this.c))
       job.chunkVersions.set(chunk, this.bits.get(job.spec.id) ?? 0);
-    for (const unit of pendingWrites(this.c, { progressChanges: 9, wallNow: 0 })) {
+    for (const write of pendingWrites(this.c, { progressChanges: 9, wallNow: 0 })) {
       const fate = this.pick(8);
       if (fate < 2) {
-        if (fate === 0) this.lateWrites.push({ term: this.c, unit });
-        unit.retry(fate === 0);
+        if (fate === 0) this.lateWrites.push({ term: this.c, unit: write });
+        write.retry(fate === 0);
         continue;
       }
-      if (this.apply(unit)) unit.applied(this.revision);
-      else unit.conflict(this.failed(unit));
+      if (this.apply(write)) write.applied(this.revision);
+      else write.conflict(this.failed(write));
     }
     const late = this.one(this.lateWrites);
     if (!late || this.pick(3) > 0) return;
@@ -252,16 +253,18 @@
     return (kind === 'live' ? this.live : this.bits).get(id) ?? 0;
   }
 
-  private failed(unit: DurableWrite): string[] {
-    const failed = unit.conditions.filter((c) => this.versionOf(c.key) !== c.version);
-    return failed.map((c) => c.key);
+  private failed(write: DurableWrite): string[] {
+    const failed = write.conditions.filter(
+      (condition) => this.versionOf(condition.key) !== condition.version,
+    );
+    return failed.map((condition) => condition.key);
   }
 
   /** The state service's part: all or nothing, over the versions of its keys. */
-  private apply(unit: DurableWrite): boolean {
-    if (this.failed(unit).length > 0) return false;
+  private apply(write: DurableWrite): boolean {
+    if (this.failed(write).length > 0) return false;
     this.revision++;
-    for (const change of unit.changes) {
+    for (const change of write.changes) {
       const [kind, id = ''] = change.key.split('/');
       if (kind === 'roster' && change.op === 'put')
         this.roster.set(id, {
@@ -291,7 +294,9 @@
     const running = this.workers.flatMap((w) => w.running());
     assert.equal(new Set(running).size, running.length, 'a task runs on two machines');
     assert.ok(running.length * 4 <= LIMIT, 'the team is over its limit');
-    const rostered = new Set([...this.roster.values()].flatMap((p) => p.machines.map((m) => m.id)));
+    const rostered = new Set(
+      [...this.roster.values()].flatMap((p) => p.machines.map((entry) => entry.id)),
+    );
     for (const w of this.workers)
       if (w.running().length > 0)
         assert.ok(rostered.has(w.id), 'a machine with tasks is not in the roster');
@@ -300,7 +305,7 @@
       for (const spot of [true, false]) {
         const job = jobSpec({ zone, allowsSpot: spot });
         const held = [...this.c.machines.values()].some(
-          (m) => m.inherited && satisfiesConstraints(m, job),
+          (machine) => machine.inherited && satisfiesConstraints(machine, job),
         );
         assert.equal(
           this.c.inheritedMachines.mayHold(job),
@@ -309,8 +314,9 @@
         );
       }
     let used = 0;
-    for (const m of this.c.machines.values())
-      for (const b of m.attempts.values()) if (b.state !== 'exited') used += b.job.spec.cpus;
+    for (const machine of this.c.machines.values())
+      for (const attempt of machine.attempts.values())
+        if (attempt.state !== 'exited') used += attempt.job.spec.cpus;
     assert.equal(
       this.c.quotaUsage.get('ops')?.cpus ?? 0,
       used,
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -167,8 +167,8 @@
         { connections: 1, bodyLimit: 1000 },
       );
       for (const n of [1, 2, 3]) {
-        const answer = await client.request('POST', '/x', { n }, 5000);
-        assert.deepEqual(answer, { status: 200, body: { got: `{"n":${n}}` } });
+        const response = await client.request('POST', '/x', { n }, 5000);
+        assert.deepEqual(response, { status: 200, body: { got: `{"n":${n}}` } });
       }
       client.close();
       assert.equal(ports.size, 1);
@@ -289,16 +289,16 @@
     serving(
       () => ({ status: 200, body: answer }),
       async (b) => {
-        const workers = new AgentClient(60_000, 1);
+        const agents = new AgentClient(60_000, 1);
         const send = (port: number) =>
-          workers.command(`127.0.0.1:${port}`, 1, 1, [], new AbortController().signal, () => true);
+          agents.command(`127.0.0.1:${port}`, 1, 1, [], new AbortController().signal, () => true);
         const first = send(a);
         await assert.rejects(send(b), NotSentError);
         while (!release) await new Promise(setImmediate);
         release();
         assert.equal((await first).executed, true);
         assert.equal((await send(b)).executed, true);
-        workers.close();
+        agents.close();
       },
     ),
   );
--- a/test/leadership.test.ts
+++ b/test/leadership.test.ts
@@ -109,7 +109,7 @@
   assert.ok(['n-0-3', 'n-1-1'].includes(record.incarnation), record.incarnation);
   assert.equal([third, other].filter((n) => n.leadership.current).length, 1);
   assert.equal(w.terms.at(-1)?.number, record.term);
-  assert.equal(new Set(w.terms.map((t) => t.number)).size, w.terms.length);
+  assert.equal(new Set(w.terms.map((term) => term.number)).size, w.terms.length);
   w.stop.abort();
 });
 
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -103,11 +103,11 @@
   const leader = w.leading;
   assert.ok(leader);
   // Its first report goes through, then it is cut off for good: the answer has to do.
-  const report = m.worker.heartbeat();
-  assert.ok(report.term < (leader.leadership.current?.number ?? 0));
-  const { orders } = leader.leader?.handleHeartbeat(report, false) ?? { orders: [] };
-  const stops = orders.filter((o) => o.op === 'stop' && o.job === ids[0]);
-  assert.equal(stops.length, report.tasks.filter((t) => t.jobId === ids[0]).length);
+  const heartbeat = m.worker.heartbeat();
+  assert.ok(heartbeat.term < (leader.leadership.current?.number ?? 0));
+  const { orders } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { orders: [] };
+  const stops = orders.filter((command) => command.op === 'stop' && command.job === ids[0]);
+  assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
   assert.ok(stops.length > 0);
   // Under a later term's own token, without proof, the same.
   assert.equal(orders.length, stops.length);
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -149,7 +149,7 @@
   ];
   for (const record of records)
     assert.deepEqual(decodeLiveJob(throughText(encodeLiveJob(record))), record);
-  const load: DemandForecast = {
+  const forecast: DemandForecast = {
     spec: job,
     mean: 0.5,
     variance: 2,
@@ -158,7 +158,7 @@
     arrivalIntervalMs: null,
     sinceLastArrivalMs: 9,
   };
-  assert.deepEqual(decodeForecast(throughText(encodeForecast(load))), load);
+  assert.deepEqual(decodeForecast(throughText(encodeForecast(forecast))), forecast);
   assert.deepEqual(decodeMachineTypes(throughText(encodeMachineTypes([MACHINE_TYPE]))), [
     MACHINE_TYPE,
   ]);
@@ -239,17 +239,17 @@
     gapMs: 5,
     quietMs: 6,
   };
-  const load = readable(decodeForecast(stored));
-  load.mean = 4;
-  load.occupancyS = 9;
+  const forecast = readable(decodeForecast(stored));
+  forecast.mean = 4;
+  forecast.occupancyS = 9;
   assert.equal(
-    JSON.stringify(encodeForecast(load)),
+    JSON.stringify(encodeForecast(forecast)),
     JSON.stringify({ ...stored, mean: 4, holdS: 9 }),
   );
   // What is made anew has nothing of it.
-  load.meanRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
+  forecast.meanRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   const shape: StoredResourceRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
-  assert.deepEqual(encodeForecast(load).shape, shape);
+  assert.deepEqual(encodeForecast(forecast).shape, shape);
   const header = readable(decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }));
   assert.equal(JSON.stringify(encodeRemoval(header)), '{"by":"n-1","pages":2,"removing":true}');
 });
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -119,7 +119,13 @@
   assert.equal(jobs.get('req-000001')?.doneCount, 1);
   assert.equal(jobs.get('req-000002')?.isDone(1), true);
   assert.deepEqual(
-    [...machines.values()].map((m) => [m.id, m.typeName, m.zone, m.spot, m.address]),
+    [...machines.values()].map((machine) => [
+      machine.id,
+      machine.typeName,
+      machine.zone,
+      machine.spot,
+      machine.address,
+    ]),
     [
       ['n-1', 'm16', 'a', true, '10.0.0.1:9001'],
       ['n-2', 'm16', 'b', false, '10.0.0.1:9002'],
@@ -139,7 +145,13 @@
   );
   const { leader, end } = await takeover(ctx);
   const { machines, jobs } = leader.cluster;
-  const read = [...machines.values()].map((m) => [m.id, m.typeName, m.zone, m.spot, m.address]);
+  const read = [...machines.values()].map((machine) => [
+    machine.id,
+    machine.typeName,
+    machine.zone,
+    machine.spot,
+    machine.address,
+  ]);
   assert.deepEqual(read, [
     ['n-7', 'm16', 'a', true, ''],
     ['odd', 'undefined', 'undefined', false, ''],
@@ -254,7 +266,7 @@
   // A later version's field is no longer there once this one has written.
   seed(store, ['types', textOf(WRITTEN.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1')]);
   assert.deepEqual(
-    (await readMachineTypes(ctx, cloud, never)).map((t) => t.gpus),
+    (await readMachineTypes(ctx, cloud, never)).map((type) => type.gpus),
     [0, 8],
   );
   await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -81,15 +81,16 @@
 test('ends of jobs: done, cancelled by their user, with another and before they began', async () => {
   const { ctx, state } = recordingNode(new FakeClock());
   const store = new JobStore(ctx);
-  const c = createCluster();
-  for (const id of ['req-000001', 'req-000002']) c.addJob(jobSpec({ id, tasks: 3 }), 7, 0, false);
-  const done = c.jobs.get('req-000001');
-  const waiting = c.jobs.get('req-000002');
+  const cluster = createCluster();
+  for (const id of ['req-000001', 'req-000002'])
+    cluster.addJob(jobSpec({ id, tasks: 3 }), 7, 0, false);
+  const done = cluster.jobs.get('req-000001');
+  const waiting = cluster.jobs.get('req-000002');
   assert.ok(done && waiting);
   for (const index of [0, 1, 2]) done.markDone(index);
   waiting.dependencyCancelled = true;
-  for (const unit of pendingWrites(c, { progressChanges: 9, wallNow: ctx.clock.wall() }))
-    await state.transact([], unit.changes);
+  for (const write of pendingWrites(cluster, { progressChanges: 9, wallNow: ctx.clock.wall() }))
+    await state.transact([], write.changes);
   await store.createCancelled(jobSpec({ id: 'req-000003', tasks: 4 }), RequestPriority.users);
   const accepted: LiveJobRecord = { spec: jobSpec({ id: 'req-000004' }), acceptedAt: 5 };
   await store.create(accepted, [], [], RequestPriority.users);
@@ -104,25 +105,25 @@
 
 test('finished tasks of an array, and pages of machines', async () => {
   const { state } = recordingNode(new FakeClock());
-  const c = createCluster({ term: 3 });
-  c.addJob(jobSpec({ id: 'req-000001', tasks: 100 }), 7, 0, false);
-  const job = c.jobs.get('req-000001');
+  const cluster = createCluster({ term: 3 });
+  cluster.addJob(jobSpec({ id: 'req-000001', tasks: 100 }), 7, 0, false);
+  const job = cluster.jobs.get('req-000001');
   assert.ok(job);
   for (const index of [0, 9, 63, 64, 99]) {
     job.markDone(index);
-    job.unsavedChunks.set(c.bitmaps.chunkOf(index), []);
+    job.unsavedChunks.set(cluster.bitmaps.chunkOf(index), []);
   }
   for (const worker of [new ScriptedAgent('n-1', 'a', true), new ScriptedAgent('n-2', 'b')]) {
-    c.applyHeartbeat(worker.heartbeat(), true, 0);
-    worker.execute(c.term, []);
-    c.applyHeartbeat(worker.heartbeat(), true, 0);
+    cluster.applyHeartbeat(worker.heartbeat(), true, 0);
+    worker.execute(cluster.term, []);
+    cluster.applyHeartbeat(worker.heartbeat(), true, 0);
   }
-  const units = pendingWrites(c, { progressChanges: 9, wallNow: 0 });
-  for (const unit of units) await state.transact([], unit.changes);
+  const writes = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  for (const write of writes) await state.transact([], write.changes);
   assertWritten(state.written, 'progress');
   // What the writer takes their room for, beside the bytes themselves.
   assert.deepEqual(
-    units.map((unit) => unit.size),
+    writes.map((write) => write.size),
     [552, 532, 528],
   );
 });
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -16,91 +16,91 @@
 } from './support/scheduler.js';
 
 test('a task starts once, and its loss on the way makes it ready again', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m && job);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine && job);
   // The answer that carries the start is lost.
-  assert.equal(c.heartbeatCommands(m).length, 1);
-  assert.equal(runPlacementRound(c, 32, 0).started.length, 0);
-  c.applyHeartbeat(w.heartbeat(), true, 100);
+  assert.equal(cluster.heartbeatCommands(machine).length, 1);
+  assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
+  cluster.applyHeartbeat(w.heartbeat(), true, 100);
   assert.equal(job.readyCount, 1);
-  runPlacementRound(c, 32, 100);
-  sendHeartbeat(c, w, 200);
+  runPlacementRound(cluster, 32, 100);
+  sendHeartbeat(cluster, w, 200);
   assert.deepEqual(w.running(), ['req-000001/0']);
 });
 
 test("a command's answer does not prove that a start in a report's answer is lost", () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m && job);
-  const late = c.heartbeatCommands(m);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine && job);
+  const late = cluster.heartbeatCommands(machine);
   // A direct command is answered first, without the task.
-  c.applyHeartbeat(w.heartbeat(), false, 10);
+  cluster.applyHeartbeat(w.heartbeat(), false, 10);
   assert.equal(job.readyCount, 0);
   w.execute(1, late);
-  c.applyHeartbeat(w.heartbeat(), true, 20);
+  cluster.applyHeartbeat(w.heartbeat(), true, 20);
   assert.equal(job.activeAttempts.get(0)?.state, 'running');
 });
 
 test('an unanswered direct start stays bound and is repeated with its attempt', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m && job);
-  const { commands: orders } = takePendingCommands(m);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine && job);
+  const { commands: orders } = takePendingCommands(machine);
   assert.equal(orders.length, 1);
   // No answer came, and several reports do not list it.
-  c.applyHeartbeat(w.heartbeat(), true, 100);
-  c.applyHeartbeat(w.heartbeat(), true, 200);
+  cluster.applyHeartbeat(w.heartbeat(), true, 100);
+  cluster.applyHeartbeat(w.heartbeat(), true, 200);
   assert.equal(job.readyCount, 0);
-  const again = c.heartbeatCommands(m);
+  const again = cluster.heartbeatCommands(machine);
   assert.deepEqual(again, orders);
   w.execute(1, again);
   w.exit([...w.tasks.keys()][0] as string, 'stopped');
-  assert.deepEqual(sendHeartbeat(c, w, 300), []);
+  assert.deepEqual(sendHeartbeat(cluster, w, 300), []);
   // The late command finds the attempt still known, and has no effect.
   w.execute(1, orders);
   assert.deepEqual(w.running(), []);
   w.lapse();
-  sendHeartbeat(c, w, 400);
-  assert.equal(m.attempts.size, 0);
+  sendHeartbeat(cluster, w, 400);
+  assert.equal(machine.attempts.size, 0);
 });
 
 test('a direct command that was answered without execution frees its starts', () => {
-  const c = createCluster();
-  joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m && job);
-  c.applyCommandResult(takePendingCommands(m).starts, false, 9);
+  const cluster = createCluster();
+  joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine && job);
+  cluster.applyCommandResult(takePendingCommands(machine).starts, false, 9);
   assert.equal(job.readyCount, 1);
 });
 
 test('an executed direct start is held until a later report could lack it', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m && job);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine && job);
   const older = w.heartbeat();
-  const { commands: orders, starts } = takePendingCommands(m);
+  const { commands: orders, starts } = takePendingCommands(machine);
   w.execute(1, orders);
   const answer = w.heartbeat();
-  c.applyCommandResult(starts, true, answer.sequence);
+  cluster.applyCommandResult(starts, true, answer.sequence);
   // A report from before the command must not undo it.
-  c.applyHeartbeat(older, true, 10);
+  cluster.applyHeartbeat(older, true, 10);
   assert.equal(job.readyCount, 0);
-  c.drain(m, 'notice');
+  cluster.drain(machine, 'notice');
   assert.equal(job.readyCount, 0);
 });
 
@@ -114,33 +114,33 @@
   sendHeartbeat(old, b, 10);
   assert.equal(a.running().length + b.running().length, 6);
 
-  const c = createCluster({ term: 2 });
-  c.inheritMachine('n-1', 'm16', 'a', false, '', 100);
-  c.inheritMachine('n-2', 'm16', 'a', false, '', 100);
-  const job = c.addJob(jobSpec({ tasks: 6 }), 5, 0, true);
+  const cluster = createCluster({ term: 2 });
+  cluster.inheritMachine('n-1', 'm16', 'a', false, '', 100);
+  cluster.inheritMachine('n-2', 'm16', 'a', false, '', 100);
+  const job = cluster.addJob(jobSpec({ tasks: 6 }), 5, 0, true);
   assert.ok(job);
   // A report under the old token proves nothing, even when it lists nothing.
-  c.applyHeartbeat({ ...a.heartbeat(), tasks: [] }, true, 110);
-  assert.equal(runPlacementRound(c, 32, 110).started.length, 0);
+  cluster.applyHeartbeat({ ...a.heartbeat(), tasks: [] }, true, 110);
+  assert.equal(runPlacementRound(cluster, 32, 110).started.length, 0);
   a.execute(2, []);
-  sendHeartbeat(c, a, 120);
+  sendHeartbeat(cluster, a, 120);
   assert.equal(job.activeAttempts.size, a.running().length);
-  assert.equal(runPlacementRound(c, 32, 120).started.length, 0);
+  assert.equal(runPlacementRound(cluster, 32, 120).started.length, 0);
   // Work accepted after the takeover waits for nobody.
-  c.addJob(jobSpec({ id: 'req-000002', tasks: 1, cpus: 1 }), 9, 0, false);
-  assert.equal(runPlacementRound(c, 32, 125).started.length, 0);
+  cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, cpus: 1 }), 9, 0, false);
+  assert.equal(runPlacementRound(cluster, 32, 125).started.length, 0);
   a.exit([...a.tasks.keys()][0] as string, 'done');
-  sendHeartbeat(c, a, 130);
+  sendHeartbeat(cluster, a, 130);
   assert.deepEqual(
-    runPlacementRound(c, 32, 130).started.map((s) => s.job.spec.id),
+    runPlacementRound(cluster, 32, 130).started.map((attempt) => attempt.job.spec.id),
     ['req-000002'],
   );
   const inheritedOnA = job.activeAttempts.size;
   // The rest is ready once the other machine is gone.
-  c.markTerminated('n-2', 'returned', 130);
+  cluster.markTerminated('n-2', 'returned', 130);
   assert.equal(job.readyCount, 6 - 1 - job.activeAttempts.size);
-  joinCluster(c, new ScriptedAgent('n-3'), 140);
-  assert.equal(runPlacementRound(c, 32, 140).started.length, 5 - inheritedOnA);
+  joinCluster(cluster, new ScriptedAgent('n-3'), 140);
+  assert.equal(runPlacementRound(cluster, 32, 140).started.length, 5 - inheritedOnA);
   assert.equal(job.readyCount, 0);
 });
 
@@ -149,54 +149,54 @@
   const w = joinCluster(old, new ScriptedAgent('n-1'), 0);
   old.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   runPlacementRound(old, 32, 0);
-  const m = old.machines.get('n-1');
-  assert.ok(m);
-  const late = old.heartbeatCommands(m);
+  const machine = old.machines.get('n-1');
+  assert.ok(machine);
+  const late = old.heartbeatCommands(machine);
   w.execute(2, []);
   assert.equal(w.execute(1, late), false);
   assert.deepEqual(w.running(), []);
 });
 
 test('reports out of order and of an earlier session are dropped', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   const early = w.heartbeat();
-  runPlacementRound(c, 32, 0);
-  sendHeartbeat(c, w, 10);
-  sendHeartbeat(c, w, 20);
-  assert.equal(c.applyHeartbeat(early, true, 30), false);
+  runPlacementRound(cluster, 32, 0);
+  sendHeartbeat(cluster, w, 10);
+  sendHeartbeat(cluster, w, 20);
+  assert.equal(cluster.applyHeartbeat(early, true, 30), false);
   assert.equal(job?.activeAttempts.size, 1);
   w.lapse();
-  sendHeartbeat(c, w, 40);
+  sendHeartbeat(cluster, w, 40);
   assert.equal(job?.readyCount, 1);
-  assert.equal(c.applyHeartbeat({ ...early, sequence: 999 }, true, 50), false);
+  assert.equal(cluster.applyHeartbeat({ ...early, sequence: 999 }, true, 50), false);
 });
 
 test('a finished task is durable before it is forgotten, and the job ends once', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
   assert.ok(job);
-  runPlacementRound(c, 32, 0);
-  sendHeartbeat(c, w, 10);
+  runPlacementRound(cluster, 32, 0);
+  sendHeartbeat(cluster, w, 10);
   const [first, second] = [...w.tasks.keys()] as [string, string];
   w.exit(first, 'done');
-  assert.deepEqual(sendHeartbeat(c, w, 20), []);
-  const [bits] = pendingWrites(c, { progressChanges: 9, wallNow: 0 });
+  assert.deepEqual(sendHeartbeat(cluster, w, 20), []);
+  const [bits] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   assert.ok(bits);
   // Refused: it stands to be written again.
   bits.retry(false);
-  assert.deepEqual(sendHeartbeat(c, w, 30), []);
-  const [again] = pendingWrites(c, { progressChanges: 9, wallNow: 0 });
+  assert.deepEqual(sendHeartbeat(cluster, w, 30), []);
+  const [again] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   again?.applied(9);
   assert.deepEqual(
-    sendHeartbeat(c, w, 40).map((o) => o.op),
+    sendHeartbeat(cluster, w, 40).map((command) => command.op),
     ['forget'],
   );
   w.exit(second, 'done');
-  sendHeartbeat(c, w, 50);
-  const [end] = pendingWrites(c, { progressChanges: 0, wallNow: 0 });
+  sendHeartbeat(cluster, w, 50);
+  const [end] = pendingWrites(cluster, { progressChanges: 0, wallNow: 0 });
   assert.deepEqual(
     end?.changes.map((x) => [x.op, x.key]),
     [
@@ -207,63 +207,63 @@
   assert.deepEqual(end?.conditions, [{ key: 'live/req-000001', version: 5 }]);
   // Somebody cancelled it first: its end stands, and the worker may forget.
   end?.conflict(['live/req-000001']);
-  assert.equal(c.jobs.size, 0);
+  assert.equal(cluster.jobs.size, 0);
   assert.deepEqual(
-    sendHeartbeat(c, w, 60).map((o) => o.op),
+    sendHeartbeat(cluster, w, 60).map((command) => command.op),
     ['forget'],
   );
 });
 
 test('a cancelled job is stopped everywhere, also where its start was still in flight', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  c.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m);
-  const inFlight = c.heartbeatCommands(m);
-  c.endJob('req-000001', { state: 'cancelled', at: null });
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine);
+  const inFlight = cluster.heartbeatCommands(machine);
+  cluster.endJob('req-000001', { state: 'cancelled', at: null });
   w.execute(1, inFlight);
   assert.equal(w.running().length, 2);
-  sendHeartbeat(c, w, 20);
+  sendHeartbeat(cluster, w, 20);
   assert.deepEqual(w.running(), []);
-  assert.equal(runPlacementRound(c, 32, 30).started.length, 0);
-  sendHeartbeat(c, w, 40);
-  assert.equal(c.quotaUsage.get('ops')?.cpus, 0);
+  assert.equal(runPlacementRound(cluster, 32, 30).started.length, 0);
+  sendHeartbeat(cluster, w, 40);
+  assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
 });
 
 test('a cancelled start in doubt is over for good once the fence has been raised', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m);
-  const { commands: orders } = takePendingCommands(m);
-  c.endJob('req-000001', { state: 'cancelled', at: null });
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine);
+  const { commands: orders } = takePendingCommands(machine);
+  cluster.endJob('req-000001', { state: 'cancelled', at: null });
   let now = 0;
   // It counts against the limit until then, whatever the reports list.
-  for (; m.fence === 0; now += 1000) sendHeartbeat(c, w, now);
-  assert.ok(now <= c.timing.agentLeaseMs / 2, `raised after ${now}`);
-  assert.equal(c.quotaUsage.get('ops')?.cpus, 4);
-  sendHeartbeat(c, w, now);
-  assert.equal(c.quotaUsage.get('ops')?.cpus, 0);
+  for (; machine.fence === 0; now += 1000) sendHeartbeat(cluster, w, now);
+  assert.ok(now <= cluster.timing.agentLeaseMs / 2, `raised after ${now}`);
+  assert.equal(cluster.quotaUsage.get('ops')?.cpus, 4);
+  sendHeartbeat(cluster, w, now);
+  assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
   // The command comes out of the cut at last, and is refused.
   assert.equal(w.execute(1, orders, 0), false);
   assert.deepEqual(w.running(), []);
 });
 
 test('a copy of a direct start that was carried out finds the attempt known, or is refused', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
-  runPlacementRound(c, 1, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m && job);
-  const { commands: orders, starts } = takePendingCommands(m);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
+  runPlacementRound(cluster, 1, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine && job);
+  const { commands: orders, starts } = takePendingCommands(machine);
   w.execute(1, orders);
-  c.applyCommandResult(starts, true, w.heartbeat().sequence);
-  sendHeartbeat(c, w, 100);
+  cluster.applyCommandResult(starts, true, w.heartbeat().sequence);
+  sendHeartbeat(cluster, w, 100);
   w.exit([...w.tasks.keys()][0] as string, 'stopped');
   let now = 200;
   // The attempt is over and could be forgotten, but a copy would start it again beside the next one.
@@ -272,51 +272,54 @@
     assert.deepEqual(w.running(), []);
     w.execute(1, orders, 0);
     assert.deepEqual(w.running(), []);
-    sendHeartbeat(c, w, now);
+    sendHeartbeat(cluster, w, now);
   }
   assert.equal(w.fence, 1);
   assert.equal(w.execute(1, orders, 0), false);
   // Starts under the raised fence are carried out as before.
-  runPlacementRound(c, 32, now);
-  const next = takePendingCommands(m);
-  assert.equal(w.execute(1, next.commands, m.fence), true);
+  runPlacementRound(cluster, 32, now);
+  const next = takePendingCommands(machine);
+  assert.equal(w.execute(1, next.commands, machine.fence), true);
   assert.ok(w.running().length > 0);
 });
 
 test('a late copy of a bitmap takes no finished task back', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 3 }), 5, 0, false);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 3 }), 5, 0, false);
   assert.ok(job);
-  runPlacementRound(c, 32, 0);
-  sendHeartbeat(c, w, 10);
+  runPlacementRound(cluster, 32, 0);
+  sendHeartbeat(cluster, w, 10);
   const [first, second] = [...w.tasks.keys()] as [string, string];
   w.exit(first, 'done');
-  sendHeartbeat(c, w, 20);
-  const [one] = pendingWrites(c, { progressChanges: 9, wallNow: 0 });
+  sendHeartbeat(cluster, w, 20);
+  const [one] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   assert.deepEqual(one?.conditions[1], { key: 'bits/req-000001/0000/0', version: 0 });
   // No answer: whether it stands is read back before the next write.
   one?.retry(true);
-  assert.deepEqual(pendingWrites(c, { progressChanges: 9, wallNow: 0 }), []);
-  assert.deepEqual(chunksOfUnknownVersion(c), [{ job, chunk: 0 }]);
+  assert.deepEqual(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
+  assert.deepEqual(chunksOfUnknownVersion(cluster), [{ job, chunk: 0 }]);
   assert.deepEqual(
-    sendHeartbeat(c, w, 30).filter((o) => o.op === 'forget'),
+    sendHeartbeat(cluster, w, 30).filter((command) => command.op === 'forget'),
     [],
   );
   job.chunkVersions.set(0, 7);
   w.exit(second, 'done');
-  sendHeartbeat(c, w, 40);
-  const [two] = pendingWrites(c, { progressChanges: 9, wallNow: 0 });
+  sendHeartbeat(cluster, w, 40);
+  const [two] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   // Over that version alone: the late one, over none, is refused from then on.
   assert.deepEqual(two?.conditions[1], { key: 'bits/req-000001/0000/0', version: 7 });
   two?.applied(9);
   assert.equal(job.chunkVersions.get(0), 9);
-  assert.equal(sendHeartbeat(c, w, 50).filter((o) => o.op === 'forget').length, 2);
+  assert.equal(
+    sendHeartbeat(cluster, w, 50).filter((command) => command.op === 'forget').length,
+    2,
+  );
 });
 
 test('a task that an earlier leader started for an ended job is stopped', () => {
-  const c = createCluster({ term: 2 });
-  c.inheritMachine('n-1', 'm16', 'a', false, '', 0);
+  const cluster = createCluster({ term: 2 });
+  cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
   const w = new ScriptedAgent('n-1');
   w.tasks.set('req-000007/0/3', {
     jobId: 'req-000007',
@@ -325,15 +328,15 @@
     state: 'running',
     cause: null,
   });
-  sendHeartbeat(c, w, 0);
-  sendHeartbeat(c, w, 10);
+  sendHeartbeat(cluster, w, 0);
+  sendHeartbeat(cluster, w, 10);
   assert.deepEqual(w.running(), []);
   // What it used is in doubt until it is gone.
-  assert.equal(c.machines.get('n-1')?.hasUnknownTasks, true);
-  assert.equal(c.unconfirmedUsage().cpus, c.machineTypes.get('m16')?.cpus);
-  sendHeartbeat(c, w, 20);
-  assert.equal(c.machines.get('n-1')?.hasUnknownTasks, false);
-  assert.equal(c.unconfirmedUsage().cpus, 0);
+  assert.equal(cluster.machines.get('n-1')?.hasUnknownTasks, true);
+  assert.equal(cluster.unconfirmedUsage().cpus, cluster.machineTypes.get('m16')?.cpus);
+  sendHeartbeat(cluster, w, 20);
+  assert.equal(cluster.machines.get('n-1')?.hasUnknownTasks, false);
+  assert.equal(cluster.unconfirmedUsage().cpus, 0);
   // Nor is a machine in doubt that has gone with them.
   w.tasks.set('req-000007/0/3', {
     jobId: 'req-000007',
@@ -342,48 +345,48 @@
     state: 'running',
     cause: null,
   });
-  c.applyHeartbeat(w.heartbeat(), true, 30);
-  assert.ok(c.unconfirmedUsage().cpus > 0);
-  c.markTerminated('n-1', 'returned', 40);
-  assert.equal(c.unconfirmedUsage().cpus, 0);
+  cluster.applyHeartbeat(w.heartbeat(), true, 30);
+  assert.ok(cluster.unconfirmedUsage().cpus > 0);
+  cluster.markTerminated('n-1', 'returned', 40);
+  assert.equal(cluster.unconfirmedUsage().cpus, 0);
 });
 
 test('silence proves nothing; a list proves a machine gone only when it cannot be older than its listing', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 1000);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 1000);
-  sendHeartbeat(c, w, 1100);
-  c.applyMachineList([], 10_000, 10_200);
-  assert.ok(c.machines.has('n-1'));
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 1000);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 1000);
+  sendHeartbeat(cluster, w, 1100);
+  cluster.applyMachineList([], 10_000, 10_200);
+  assert.ok(cluster.machines.has('n-1'));
   assert.equal(job?.readyCount, 0);
   // It was up before: the cloud is asked to take it back, which is proof.
-  assert.equal(c.machines.get('n-1')?.missingFromList, true);
-  c.applyMachineList([], 1100 + c.timing.listProofMs + 1, 40_000);
-  assert.equal(c.machines.has('n-1'), false);
+  assert.equal(cluster.machines.get('n-1')?.missingFromList, true);
+  cluster.applyMachineList([], 1100 + cluster.timing.listProofMs + 1, 40_000);
+  assert.equal(cluster.machines.has('n-1'), false);
   assert.equal(job?.readyCount, 1);
   // Its late report does not bring it back.
-  assert.equal(c.applyHeartbeat(w.heartbeat(), true, 41_000), false);
-  assert.equal(c.machines.has('n-1'), false);
+  assert.equal(cluster.applyHeartbeat(w.heartbeat(), true, 41_000), false);
+  assert.equal(cluster.machines.has('n-1'), false);
 });
 
 test("doubt counts against a team's limit", () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
-  const c = createCluster({ term: 2, teams });
-  c.inheritMachine('n-1', 'm16', 'a', false, '', 0);
-  joinCluster(c, new ScriptedAgent('n-2'), 0);
-  c.addJob(jobSpec({ tasks: 8 }), 9, 0, false);
-  assert.equal(runPlacementRound(c, 32, 0).started.length, 0);
-  c.markTerminated('n-1', 'returned', 0);
-  assert.equal(runPlacementRound(c, 32, 0).started.length, 4);
-  assert.equal(runPlacementRound(c, 32, 0).started.length, 0);
+  const cluster = createCluster({ term: 2, teams });
+  cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
+  joinCluster(cluster, new ScriptedAgent('n-2'), 0);
+  cluster.addJob(jobSpec({ tasks: 8 }), 9, 0, false);
+  assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
+  cluster.markTerminated('n-1', 'returned', 0);
+  assert.equal(runPlacementRound(cluster, 32, 0).started.length, 4);
+  assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
 });
 
 test('a spot notice saves what can be saved, and moves what will hardly finish', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1', 'a', true), 0);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   const small = { tasks: 1, cpus: 1, memoryGb: 1 };
-  c.addJob(
+  cluster.addJob(
     jobSpec({
       ...small,
       id: 'req-1',
@@ -395,34 +398,34 @@
     0,
     false,
   );
-  c.addJob(jobSpec({ ...small, id: 'req-2', estimatedDurationS: 60 }), 2, 0, false);
-  c.addJob(jobSpec({ ...small, id: 'req-3', estimatedDurationS: 15 }), 3, 0, false);
-  runPlacementRound(c, 32, 0);
-  sendHeartbeat(c, w, 0);
-  sendHeartbeat(c, w, 0);
+  cluster.addJob(jobSpec({ ...small, id: 'req-2', estimatedDurationS: 60 }), 2, 0, false);
+  cluster.addJob(jobSpec({ ...small, id: 'req-3', estimatedDurationS: 15 }), 3, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  sendHeartbeat(cluster, w, 0);
+  sendHeartbeat(cluster, w, 0);
   w.preemptionNoticeS = 10;
-  c.applyHeartbeat(w.heartbeat(), true, 5000);
-  const stops = [...(c.machines.get('n-1')?.attempts.values() ?? [])]
-    .filter((b) => b.stopRequest)
-    .map((b) => [b.job.spec.id, b.stopRequest?.graceS]);
+  cluster.applyHeartbeat(w.heartbeat(), true, 5000);
+  const stops = [...(cluster.machines.get('n-1')?.attempts.values() ?? [])]
+    .filter((attempt) => attempt.stopRequest)
+    .map((attempt) => [attempt.job.spec.id, attempt.stopRequest?.graceS]);
   assert.deepEqual(stops, [
     ['req-1', 3],
     ['req-2', 0],
   ]);
-  assert.equal(runPlacementRound(c, 32, 5000).started.length, 0);
+  assert.equal(runPlacementRound(cluster, 32, 5000).started.length, 0);
 });
 
 test('a refused command of an earlier session does not free its room twice', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  c.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(c, 32, 0);
-  const m = c.machines.get('n-1');
-  assert.ok(m);
-  const { starts } = takePendingCommands(m);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine);
+  const { starts } = takePendingCommands(machine);
   w.lapse();
-  c.applyHeartbeat(w.heartbeat(), true, 10);
-  assert.equal(c.quotaUsage.get('ops')?.cpus, 0);
-  c.applyCommandResult(starts, false, w.sequence);
-  assert.equal(c.quotaUsage.get('ops')?.cpus, 0);
+  cluster.applyHeartbeat(w.heartbeat(), true, 10);
+  assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
+  cluster.applyCommandResult(starts, false, w.sequence);
+  assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -39,27 +39,27 @@
   steps = 0;
 
   override *values(): MapIterator<Machine> {
-    for (const m of super.values()) {
+    for (const machine of super.values()) {
       this.steps++;
-      yield m;
+      yield machine;
     }
   }
 }
 
-function counting(c: ClusterState): CountingMap {
-  const machines = new CountingMap(c.machines);
-  (c as { machines: Map<string, Machine> }).machines = machines;
+function counting(cluster: ClusterState): CountingMap {
+  const machines = new CountingMap(cluster.machines);
+  (cluster as { machines: Map<string, Machine> }).machines = machines;
   return machines;
 }
 
 /** A fleet in which every machine reports, half of them in each zone. */
 function fleet(size: number, options: Parameters<typeof createCluster>[0] = {}) {
-  const c = createCluster(options);
-  const machines = counting(c);
+  const cluster = createCluster(options);
+  const machines = counting(cluster);
   const workers = Array.from({ length: size }, (_, i) =>
-    joinCluster(c, new ScriptedAgent(name(i + 1), i % 2 === 0 ? 'a' : 'b'), 0),
+    joinCluster(cluster, new ScriptedAgent(name(i + 1), i % 2 === 0 ? 'a' : 'b'), 0),
   );
-  return { c, machines, workers };
+  return { c: cluster, machines, workers };
 }
 
 test('a report and the answer that fills its room look at no other machine, however many there are', () => {
@@ -83,12 +83,12 @@
 test('a look at renting and returns goes through the machines a fixed number of times', () => {
   const passes = [SMALL, MACHINES].map((size) => {
     const { c, machines } = fleet(size);
-    const renting = new ScaleOutPlanner(c);
+    const scaleOut = new ScaleOutPlanner(c);
     for (let i = 1; i <= 20; i++)
       c.addJob(jobSpec({ id: `req-${i}`, jobClass: `class-${i}`, tasks: size }), i, 0, false);
     machines.steps = 0;
-    assert.ok(renting.plan(1000).length > 0);
-    renting.planScaleIn(1000);
+    assert.ok(scaleOut.plan(1000).length > 0);
+    scaleOut.planScaleIn(1000);
     return machines.steps / size;
   });
   assert.equal(passes[0], passes[1]);
@@ -175,8 +175,10 @@
       else stored.delete(write.key);
       write.applied(++revision);
     }
-  const expected = new Set([...entries.filter((_, i) => i % 2 === 1), ...gained].map((e) => e.id));
-  assert.deepEqual(new Set([...stored.values()].flat().map((e) => e.id)), expected);
+  const expected = new Set(
+    [...entries.filter((_, i) => i % 2 === 1), ...gained].map((entry) => entry.id),
+  );
+  assert.deepEqual(new Set([...stored.values()].flat().map((entry) => entry.id)), expected);
   assert.ok(stored.size <= (MACHINES / 15) * 1.2, `${stored.size} pages`);
 });
 
@@ -273,7 +275,7 @@
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   ctx.platform.settings.cloud.rps = 40;
   const { c } = fleet(MACHINES);
-  for (const m of c.machines.values()) m.drainReason = 'sick';
+  for (const machine of c.machines.values()) machine.drainReason = 'sick';
   const calls: { count: number; at: number }[] = [];
   const stop = new AbortController();
   const cloud = {
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -13,8 +13,8 @@
   constructor(store: FakeStore) {
     super(store);
     this.onTransact = (changes: Change[]) => {
-      for (const c of changes)
-        if (c.op === 'put') this.written.push([c.key, JSON.stringify(c.value)]);
+      for (const change of changes)
+        if (change.op === 'put') this.written.push([change.key, JSON.stringify(change.value)]);
     };
   }
 
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -32,9 +32,9 @@
   options: { term?: number; teams?: TeamQuota[]; types?: MachineType[] } = {},
 ) {
   const teams = options.teams ?? [teamQuota({ name: 'ops' })];
-  const c = new ClusterState(
+  const cluster = new ClusterState(
     options.term ?? 1,
-    new Map(teams.map((t) => [t.name, t])),
+    new Map(teams.map((quota) => [quota.name, quota])),
     {
       heartbeatMs: 3000,
       agentLeaseMs: 20_000,
@@ -59,8 +59,8 @@
     new BitmapLayout(64, 64),
     () => {},
   );
-  c.updateMachineTypes(options.types ?? [MACHINE_TYPE]);
-  return c;
+  cluster.updateMachineTypes(options.types ?? [MACHINE_TYPE]);
+  return cluster;
 }
 
 export function jobSpec(fields: Partial<JobSpec> = {}): JobSpec {
@@ -123,16 +123,16 @@
     };
   }
 
-  execute(term: number, orders: TaskCommand[], fence = 0): boolean {
+  execute(term: number, commands: TaskCommand[], fence = 0): boolean {
     if (term < this.term || (term === this.term && fence < this.fence)) return false;
     this.term = term;
     this.fence = fence;
-    for (const order of orders) this.carryOut(order);
+    for (const command of commands) this.carryOut(command);
     return true;
   }
 
-  private carryOut(order: TaskCommand): void {
-    const { op, job, index, attempt } = order;
+  private carryOut(command: TaskCommand): void {
+    const { op, job, index, attempt } = command;
     const key = `${job}/${index}/${attempt}`;
     const known = this.tasks.get(key);
     if (op === 'start') {
@@ -164,23 +164,23 @@
 }
 
 /** Brings a machine up, confirmed and in the roster, as a leader's duties would. */
-export function joinCluster(c: ClusterState, w: ScriptedAgent, now: number): ScriptedAgent {
-  c.applyHeartbeat(w.heartbeat(), true, now);
-  w.execute(c.term, []);
-  c.applyHeartbeat(w.heartbeat(), true, now);
-  const m = c.machines.get(w.id);
-  if (!m) throw new Error('machine is not known');
-  m.inRoster = true;
-  c.pendingRosterAdds.delete(m);
+export function joinCluster(cluster: ClusterState, w: ScriptedAgent, now: number): ScriptedAgent {
+  cluster.applyHeartbeat(w.heartbeat(), true, now);
+  w.execute(cluster.term, []);
+  cluster.applyHeartbeat(w.heartbeat(), true, now);
+  const machine = cluster.machines.get(w.id);
+  if (!machine) throw new Error('machine is not known');
+  machine.inRoster = true;
+  cluster.pendingRosterAdds.delete(machine);
   return w;
 }
 
 /** One report with its answer executed. */
-export function sendHeartbeat(c: ClusterState, w: ScriptedAgent, now: number): TaskCommand[] {
-  c.applyHeartbeat(w.heartbeat(), true, now);
-  const m = c.machines.get(w.id);
-  if (m) raiseFenceIfDue(m, c.timing, now);
-  const orders = m ? c.heartbeatCommands(m) : [];
-  w.execute(c.term, orders, m?.fence ?? 0);
-  return orders;
+export function sendHeartbeat(cluster: ClusterState, w: ScriptedAgent, now: number): TaskCommand[] {
+  cluster.applyHeartbeat(w.heartbeat(), true, now);
+  const machine = cluster.machines.get(w.id);
+  if (machine) raiseFenceIfDue(machine, cluster.timing, now);
+  const commands = machine ? cluster.heartbeatCommands(machine) : [];
+  w.execute(cluster.term, commands, machine?.fence ?? 0);
+  return commands;
 }
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -62,10 +62,10 @@
     }
   }
 
-  execute(token: number, orders: TaskCommand[]): boolean {
+  execute(token: number, commands: TaskCommand[]): boolean {
     this.sync();
     const before = new Set(this.worker.tasks.keys());
-    const took = this.worker.execute(Math.floor(token / FENCES), orders, token % FENCES);
+    const took = this.worker.execute(Math.floor(token / FENCES), commands, token % FENCES);
     for (const [key, t] of this.worker.tasks)
       if (!before.has(key) && t.state === 'running') {
         if (this.world.completed.has(`${t.jobId}/${t.index}`)) this.worker.exit(key, 'done');
@@ -78,8 +78,8 @@
   }
 
   /** A direct command. */
-  command(token: number, session: number, orders: TaskCommand[]) {
-    const took = session === this.worker.agentEpoch && this.execute(token, orders);
+  command(token: number, session: number, commands: TaskCommand[]) {
+    const took = session === this.worker.agentEpoch && this.execute(token, commands);
     return { executed: took, heartbeat: this.worker.heartbeat() };
   }
 
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -67,12 +67,12 @@
   transact(conditions: Condition[], changes: Change[]): TransactionResult {
     this.expire();
     this.checkSize(conditions, changes);
-    for (const c of changes)
-      if (c.op === 'put' && c.lease !== undefined && !this.leases.has(c.lease))
+    for (const change of changes)
+      if (change.op === 'put' && change.lease !== undefined && !this.leases.has(change.lease))
         throw new NoResponseError('400 no such lease');
     const failed = conditions
-      .filter((c) => (this.entries.get(c.key)?.version ?? 0) !== c.version)
-      .map((c) => c.key);
+      .filter((condition) => (this.entries.get(condition.key)?.version ?? 0) !== condition.version)
+      .map((condition) => condition.key);
     if (failed.length > 0) return { ok: false, revision: this.revision, failed };
     this.change(changes);
     return { ok: true, revision: this.revision, failed: [] };
@@ -82,26 +82,32 @@
     if (!this.limits) return;
     const { valueBytes, changes: most } = this.limits;
     const large = changes.filter(
-      (c) => c.op === 'put' && Buffer.byteLength(JSON.stringify(c.value)) > valueBytes,
+      (change) =>
+        change.op === 'put' && Buffer.byteLength(JSON.stringify(change.value)) > valueBytes,
     );
     if (changes.length > most || conditions.length > most * 4) large.push(...changes);
     if (large.length === 0) return;
-    this.oversize.push(...large.map((c) => c.key));
-    throw new RequestRejectedError(`400 too large: ${large.map((c) => c.key).join(', ')}`);
+    this.oversize.push(...large.map((change) => change.key));
+    throw new RequestRejectedError(
+      `400 too large: ${large.map((change) => change.key).join(', ')}`,
+    );
   }
 
   private change(changes: Change[]): void {
     this.revision++;
-    for (const c of changes) {
+    for (const change of changes) {
       const version = this.revision;
-      if (c.op === 'delete') {
-        this.entries.delete(c.key);
-        this.log.push({ op: 'delete', key: c.key, version });
+      if (change.op === 'delete') {
+        this.entries.delete(change.key);
+        this.log.push({ op: 'delete', key: change.key, version });
       } else {
-        const value = JSON.parse(JSON.stringify(c.value));
-        const entry = { key: c.key, value, version };
-        this.entries.set(c.key, c.lease === undefined ? entry : { ...entry, lease: c.lease });
-        this.log.push({ op: 'put', key: c.key, value, version });
+        const value = JSON.parse(JSON.stringify(change.value));
+        const entry = { key: change.key, value, version };
+        this.entries.set(
+          change.key,
+          change.lease === undefined ? entry : { ...entry, lease: change.lease },
+        );
+        this.log.push({ op: 'put', key: change.key, value, version });
       }
     }
     const waiting = this.watchers;
@@ -110,7 +116,7 @@
   }
 
   since(prefix: string, after: number): StoreEvent[] {
-    return this.log.filter((e) => e.version > after && e.key.startsWith(prefix));
+    return this.log.filter((event) => event.version > after && event.key.startsWith(prefix));
   }
 
   onChange(wake: () => void): void {
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -5,23 +5,23 @@
 const STANDINGS = { fetching: 'pulling', running: 'running', saving: 'saving', exited: 'exited' };
 
 /** A report in the wire's words. */
-export function onWire(r: Heartbeat): Buffer {
+export function onWire(heartbeat: Heartbeat): Buffer {
   return Buffer.from(
     JSON.stringify({
-      cart: r.machineId,
-      endpoint: r.address,
-      rig: r.type,
-      hall: r.zone,
-      loaner: r.spot,
-      shift: r.agentEpoch,
-      tally: r.sequence,
-      baton: fencingToken(r.term, r.fence),
-      recallS: r.preemptionNoticeS,
-      hands: r.tasks.map((t) => ({
-        hand: `${t.jobId}/${t.index}`,
-        try: t.attempt,
-        standing: STANDINGS[t.state],
-        ...(t.cause ? { cause: t.cause === 'stopped' ? 'halted' : t.cause } : {}),
+      cart: heartbeat.machineId,
+      endpoint: heartbeat.address,
+      rig: heartbeat.type,
+      hall: heartbeat.zone,
+      loaner: heartbeat.spot,
+      shift: heartbeat.agentEpoch,
+      tally: heartbeat.sequence,
+      baton: fencingToken(heartbeat.term, heartbeat.fence),
+      recallS: heartbeat.preemptionNoticeS,
+      hands: heartbeat.tasks.map((task) => ({
+        hand: `${task.jobId}/${task.index}`,
+        try: task.attempt,
+        standing: STANDINGS[task.state],
+        ...(task.cause ? { cause: task.cause === 'stopped' ? 'halted' : task.cause } : {}),
       })),
     }),
   );
@@ -34,9 +34,9 @@
   windDownS?: number;
 }
 
-export function fromWire(o: WireOrder): TaskCommand {
-  const [job = '', index = ''] = o.hand.split('/');
-  const base = { job, index: Number(index), attempt: o.try };
-  if (o.verb === 'run') return { op: 'start', ...base };
-  return o.verb === 'kill' ? { op: 'stop', ...base, graceS: 0 } : { op: 'forget', ...base };
+export function fromWire(command: WireOrder): TaskCommand {
+  const [job = '', index = ''] = command.hand.split('/');
+  const base = { job, index: Number(index), attempt: command.try };
+  if (command.verb === 'run') return { op: 'start', ...base };
+  return command.verb === 'kill' ? { op: 'stop', ...base, graceS: 0 } : { op: 'forget', ...base };
 }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -151,7 +151,7 @@
         address: string,
         token: number,
         session: number,
-        orders: TaskCommand[],
+        commands: TaskCommand[],
         _signal: AbortSignal,
         fit: () => boolean,
       ) => {
@@ -161,10 +161,10 @@
         if (!m || from.dead || from.cutFromWorkers || m.deaf)
           throw new NoResponseError('timed out');
         if (m.hangs) {
-          m.hold(() => m.command(token, session, orders));
+          m.hold(() => m.command(token, session, commands));
           throw new NoResponseError('timed out');
         }
-        return m.command(token, session, orders);
+        return m.command(token, session, commands);
       },
       retainOnly: () => {},
       close: () => {},
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -21,110 +21,118 @@
 import { FakeStateService, FakeStore } from './support/state.js';
 
 test('a late copy under an old token proves neither a machine nor its life to a new leader', () => {
-  const c = createCluster({ term: 2 });
-  c.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
+  const cluster = createCluster({ term: 2 });
+  cluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   const w = new ScriptedAgent('n-1', 'a', true);
   w.term = 1;
   w.preemptionNoticeS = 5;
   const copy = w.heartbeat();
-  assert.equal(c.applyHeartbeat(copy, true, 8000), true);
-  const m = c.machines.get('n-1');
-  assert.ok(m);
+  assert.equal(cluster.applyHeartbeat(copy, true, 8000), true);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine);
   // Not alive, no notice, nothing confirmed, its zone not heard.
   assert.deepEqual(
-    [m.lastHeartbeatAt, m.preemptionNoticeUntil, m.drainReason, m.confirmed],
+    [
+      machine.lastHeartbeatAt,
+      machine.preemptionNoticeUntil,
+      machine.drainReason,
+      machine.confirmed,
+    ],
     [0, null, null, false],
   );
-  assert.equal(c.zoneLiveness.size, 0);
+  assert.equal(cluster.zoneLiveness.size, 0);
   // The same copy again, and one of a machine that is not known: dropped.
-  assert.equal(c.applyHeartbeat(copy, true, 9000), false);
-  assert.equal(c.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), true, 9000), false);
-  assert.equal(c.machines.has('n-7'), false);
+  assert.equal(cluster.applyHeartbeat(copy, true, 9000), false);
+  assert.equal(cluster.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), true, 9000), false);
+  assert.equal(cluster.machines.has('n-7'), false);
   // The machine itself, once it knows the term, counts.
   w.execute(2, []);
-  c.applyHeartbeat(w.heartbeat(), true, 10_000);
-  assert.deepEqual([m.lastHeartbeatAt, m.drainReason, m.confirmed], [10_000, 'notice', true]);
+  cluster.applyHeartbeat(w.heartbeat(), true, 10_000);
+  assert.deepEqual(
+    [machine.lastHeartbeatAt, machine.drainReason, machine.confirmed],
+    [10_000, 'notice', true],
+  );
 });
 
 test('a late copy does not undo what came after it, nor bring a returned machine back', () => {
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const job = c.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
   const copy = w.heartbeat();
-  c.applyHeartbeat(copy, true, 100);
-  runPlacementRound(c, 32, 100);
-  sendHeartbeat(c, w, 200);
-  sendHeartbeat(c, w, 300);
-  assert.equal(c.applyHeartbeat(copy, true, 60_000), false);
-  assert.equal(c.machines.get('n-1')?.lastHeartbeatAt, 300);
+  cluster.applyHeartbeat(copy, true, 100);
+  runPlacementRound(cluster, 32, 100);
+  sendHeartbeat(cluster, w, 200);
+  sendHeartbeat(cluster, w, 300);
+  assert.equal(cluster.applyHeartbeat(copy, true, 60_000), false);
+  assert.equal(cluster.machines.get('n-1')?.lastHeartbeatAt, 300);
   assert.equal(job?.activeAttempts.get(0)?.state, 'running');
-  c.markTerminated('n-1', 'returned', 60_050);
-  assert.equal(c.applyHeartbeat(w.heartbeat(), true, 60_100), false);
-  assert.equal(c.machines.size, 0);
+  cluster.markTerminated('n-1', 'returned', 60_050);
+  assert.equal(cluster.applyHeartbeat(w.heartbeat(), true, 60_100), false);
+  assert.equal(cluster.machines.size, 0);
 });
 
 test('a machine that hears nothing gets no new work until it answers, and is fenced in the end', () => {
-  const c = createCluster();
-  const r = new ScaleOutPlanner(c);
-  const deaf = joinCluster(c, new ScriptedAgent('n-1'), 0);
+  const cluster = createCluster();
+  const scaleOut = new ScaleOutPlanner(cluster);
+  const deaf = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const others = ['n-2', 'n-3', 'n-4', 'n-5', 'n-6'].map((id) =>
-    joinCluster(c, new ScriptedAgent(id, 'b'), 0),
+    joinCluster(cluster, new ScriptedAgent(id, 'b'), 0),
   );
-  const m = c.machines.get('n-1');
-  assert.ok(m);
-  const job = c.addJob(jobSpec({ tasks: 1, zone: 'a' }), 1, 0, false);
+  const machine = cluster.machines.get('n-1');
+  assert.ok(machine);
+  const job = cluster.addJob(jobSpec({ tasks: 1, zone: 'a' }), 1, 0, false);
   assert.ok(job);
   let now = 0;
   let starts = 0;
   const pass = () => {
     now += 3000;
     // Its reports arrive, the answers don't reach it.
-    c.applyHeartbeat(deaf.heartbeat(), true, now);
-    starts += runPlacementRound(c, 32, now).started.length;
-    c.heartbeatCommands(m);
-    for (const w of others) sendHeartbeat(c, w, now);
+    cluster.applyHeartbeat(deaf.heartbeat(), true, now);
+    starts += runPlacementRound(cluster, 32, now).started.length;
+    cluster.heartbeatCommands(machine);
+    for (const w of others) sendHeartbeat(cluster, w, now);
   };
   for (let i = 0; i < 5; i++) pass();
   assert.equal(starts, 2);
-  assert.notEqual(m.unresponsiveSince, null);
+  assert.notEqual(machine.unresponsiveSince, null);
   assert.equal(job.readyCount, 1);
   // An answered command shows that it hears again.
-  c.markResponsive(m);
+  cluster.markResponsive(machine);
   pass();
   assert.equal(starts, 3);
   // Its lease ends although it reports: deaf from there on, and returned when that lasts.
   deaf.lapse();
   pass();
   assert.equal(job.readyCount, 1);
-  while (now < 60_000 && r.planScaleIn(now).length === 0) pass();
+  while (now < 60_000 && scaleOut.planScaleIn(now).length === 0) pass();
   assert.deepEqual(
-    r.planScaleIn(now).map((x) => [x.machine.id, x.reason]),
+    scaleOut.planScaleIn(now).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'deaf']],
   );
   assert.equal(starts, 3);
   // When many seem deaf it is the leader that is not heard, and nobody is returned for it.
   for (const w of others) {
-    const other = c.machines.get(w.id);
-    if (other) c.markUnresponsive(other, 0);
+    const other = cluster.machines.get(w.id);
+    if (other) cluster.markUnresponsive(other, 0);
   }
-  assert.deepEqual(r.planScaleIn(now), []);
+  assert.deepEqual(scaleOut.planScaleIn(now), []);
 });
 
 test('an inherited machine that answers nothing, asked directly or not, is fenced after a report interval', () => {
   const endOf = (unanswered: boolean) => {
-    const c = createCluster({ term: 2 });
-    const r = new ScaleOutPlanner(c);
-    c.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
-    c.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
-    const well = joinCluster(c, new ScriptedAgent('n-2'), 100);
-    const silent = c.machines.get('n-1');
+    const cluster = createCluster({ term: 2 });
+    const scaleOut = new ScaleOutPlanner(cluster);
+    cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
+    cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
+    const well = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
+    const silent = cluster.machines.get('n-1');
     assert.ok(silent);
     silent.confirmationUnanswered = unanswered;
     // Work that it may hold would fill it.
-    c.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
+    cluster.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
     for (let now = 200; now < 60_000; now += 100) {
-      sendHeartbeat(c, well, now);
-      if (r.planScaleIn(now).some((x) => x.machine === silent)) return now;
+      sendHeartbeat(cluster, well, now);
+      if (scaleOut.planScaleIn(now).some((x) => x.machine === silent)) return now;
     }
     return null;
   };
@@ -138,9 +146,9 @@
 test('only a machine that was asked and gave no answer counts as unanswered', async () => {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
-  const c = createCluster({ term: 2 });
+  const cluster = createCluster({ term: 2 });
   for (const id of ['n-1', 'n-2', 'n-3'])
-    c.inheritMachine(id, 'm16', 'a', false, `10.0.0.1:${id}`, 0);
+    cluster.inheritMachine(id, 'm16', 'a', false, `10.0.0.1:${id}`, 0);
   const stop = new AbortController();
   const workers = {
     command: async (address: string) => {
@@ -152,82 +160,92 @@
     },
   };
   const term = { number: 2, signal: stop.signal, isProven: () => true } as never;
-  const commands = new AgentCommands(ctx, term, c, workers, { commands: 9, confirmations: 9 });
+  const commands = new AgentCommands(ctx, term, cluster, workers, {
+    commands: 9,
+    confirmations: 9,
+  });
   void commands.confirmInheritedMachines(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.heartbeatMs);
   stop.abort();
-  const unanswered = [...c.machines.values()].map((m) => m.confirmationUnanswered);
+  const unanswered = [...cluster.machines.values()].map(
+    (machine) => machine.confirmationUnanswered,
+  );
   assert.deepEqual(unanswered, [true, false, false]);
 });
 
 test('a machine that never learns of the new term holds up only work it could hold, and not for ever', () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
-  const c = createCluster({ term: 2, teams });
-  const r = new ScaleOutPlanner(c);
-  c.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
-  c.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
+  const cluster = createCluster({ term: 2, teams });
+  const scaleOut = new ScaleOutPlanner(cluster);
+  cluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
+  cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
   const oneWay = new ScriptedAgent('n-1', 'a', true);
   oneWay.term = 1;
-  const well = joinCluster(c, new ScriptedAgent('n-2'), 100);
-  const ordinary = c.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
-  const cheap = c.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
+  const well = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
+  const ordinary = cluster.addJob(
+    jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }),
+    1,
+    0,
+    true,
+  );
+  const cheap = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
   // What it may hold counts against the limit.
-  assert.equal(runPlacementRound(c, 32, 200).started.length, 0);
+  assert.equal(runPlacementRound(cluster, 32, 200).started.length, 0);
   let now = 200;
   let gone = 0;
   while (now < 60_000 && gone === 0) {
     now += 1000;
-    c.applyHeartbeat(oneWay.heartbeat(), true, now);
-    sendHeartbeat(c, well, now);
-    for (const x of r.planScaleIn(now)) {
+    cluster.applyHeartbeat(oneWay.heartbeat(), true, now);
+    sendHeartbeat(cluster, well, now);
+    for (const x of scaleOut.planScaleIn(now)) {
       assert.deepEqual([x.machine.id, x.reason], ['n-1', 'silent']);
-      c.markTerminated(x.machine.id, 'returned', now);
+      cluster.markTerminated(x.machine.id, 'returned', now);
       gone = now;
     }
   }
   // As soon as two reports under the new token would have come, since work waits for it.
   assert.ok(gone > 6000 && gone <= 8000, `gone at ${gone}`);
-  assert.equal(runPlacementRound(c, 32, now).started.length, 2);
+  assert.equal(runPlacementRound(cluster, 32, now).started.length, 2);
   assert.deepEqual([ordinary?.readyCount, cheap?.readyCount], [0, 1]);
 
   // Without a limit, work that may not use spot machines waits for ordinary ones only.
-  const d = createCluster({ term: 2 });
-  d.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
-  joinCluster(d, new ScriptedAgent('n-2'), 100);
-  d.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
-  d.addJob(jobSpec({ id: 'req-000002', tasks: 1 }), 2, 0, true);
+  const clusterState = createCluster({ term: 2 });
+  clusterState.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
+  joinCluster(clusterState, new ScriptedAgent('n-2'), 100);
+  clusterState.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
+  clusterState.addJob(jobSpec({ id: 'req-000002', tasks: 1 }), 2, 0, true);
   assert.deepEqual(
-    runPlacementRound(d, 32, 200).started.map((b) => b.job.spec.id),
+    runPlacementRound(clusterState, 32, 200).started.map((attempt) => attempt.job.spec.id),
     ['req-000001'],
   );
 });
 
 test('while a cut keeps many machines from a new leader, none of them is fenced for the work that waits', () => {
-  const c = createCluster({ term: 2 });
-  const r = new ScaleOutPlanner(c);
+  const cluster = createCluster({ term: 2 });
+  const scaleOut = new ScaleOutPlanner(cluster);
   const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
-  for (const w of workers) c.inheritMachine(w.id, 'm16', 'a', false, '', 0);
-  c.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
+  for (const w of workers) cluster.inheritMachine(w.id, 'm16', 'a', false, '', 0);
+  cluster.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
   const returned = (heard: number, now: number) => {
-    for (const w of workers.slice(0, heard)) joinCluster(c, w, now);
-    return r.planScaleIn(now).map((x) => x.machine.id);
+    for (const w of workers.slice(0, heard)) joinCluster(cluster, w, now);
+    return scaleOut.planScaleIn(now).map((x) => x.machine.id);
   };
   assert.deepEqual(returned(7, 8000), []);
   assert.deepEqual(returned(8, 8500), ['n-8', 'n-9']);
   // Nothing waits for them: they are given their time.
-  const d = createCluster({ term: 2 });
-  for (const w of workers) d.inheritMachine(w.id, 'm16', 'a', false, '', 0);
-  for (const w of workers.slice(0, 9)) joinCluster(d, w, 8000);
-  assert.deepEqual(new ScaleOutPlanner(d).planScaleIn(8500), []);
+  const clusterState = createCluster({ term: 2 });
+  for (const w of workers) clusterState.inheritMachine(w.id, 'm16', 'a', false, '', 0);
+  for (const w of workers.slice(0, 9)) joinCluster(clusterState, w, 8000);
+  assert.deepEqual(new ScaleOutPlanner(clusterState).planScaleIn(8500), []);
 });
 
 test('a leader that stood still under a kept lease takes no healthy machine for silent or missing', () => {
-  const c = createCluster();
-  const r = new ScaleOutPlanner(c);
+  const cluster = createCluster();
+  const scaleOut = new ScaleOutPlanner(cluster);
   const workers = Array.from({ length: 6 }, (_, i) =>
-    joinCluster(c, new ScriptedAgent(`n-${i}`, i < 3 ? 'a' : 'b'), 0),
+    joinCluster(cluster, new ScriptedAgent(`n-${i}`, i < 3 ? 'a' : 'b'), 0),
   );
-  const young = joinCluster(c, new ScriptedAgent('n-8'), 900);
+  const young = joinCluster(cluster, new ScriptedAgent('n-8'), 900);
   const entry = (w: ScriptedAgent) => ({
     id: w.id,
     address: '',
@@ -240,17 +258,17 @@
   // The list was asked for just before, and does not show the newest machine yet.
   const shown = workers.map(entry);
   const woken = 30_000;
-  c.applyMachineList(shown, 1000, woken);
-  assert.deepEqual(r.planScaleIn(woken), []);
+  cluster.applyMachineList(shown, 1000, woken);
+  assert.deepEqual(scaleOut.planScaleIn(woken), []);
   for (const [i, w] of [...workers, young].entries()) {
-    sendHeartbeat(c, w, woken + 100 * i);
-    assert.deepEqual(r.planScaleIn(woken + 100 * i), []);
+    sendHeartbeat(cluster, w, woken + 100 * i);
+    assert.deepEqual(scaleOut.planScaleIn(woken + 100 * i), []);
   }
   // Up within a second or two and heard all the while, but not listed yet.
-  joinCluster(c, new ScriptedAgent('n-9'), woken + 900);
-  c.applyMachineList([...workers, young].map(entry), woken + 1000, woken + 1100);
-  assert.deepEqual(r.planScaleIn(woken + 1200), []);
-  assert.ok(c.machines.has('n-9'));
+  joinCluster(cluster, new ScriptedAgent('n-9'), woken + 900);
+  cluster.applyMachineList([...workers, young].map(entry), woken + 1000, woken + 1100);
+  assert.deepEqual(scaleOut.planScaleIn(woken + 1200), []);
+  assert.ok(cluster.machines.has('n-9'));
 });
 
 test('a node that hears neither state service nor peers says that it is unhealthy, and in an outage it does not', async () => {
@@ -326,7 +344,7 @@
   const r = new Roster(4, 3 * (JSON.stringify(entry(1)).length + 1));
   const writes = r.add([1, 2, 3, 4].map(entry));
   assert.deepEqual(
-    writes.map((w) => [w.key, w.version, w.entries.length]),
+    writes.map((pageWrite) => [pageWrite.key, pageWrite.version, pageWrite.entries.length]),
     [
       ['4-1', 0, 3],
       ['4-2', 0, 1],
@@ -351,8 +369,11 @@
   rest?.applied(13);
   for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) r.removeMachine(id);
   const ends = r.rewriteStalePages(9);
-  assert.deepEqual(new Set(ends.map((w) => w.key)), new Set([first.key, again?.key, other?.key]));
-  assert.ok(ends.every((w) => w.entries.length === 0));
-  for (const w of ends) w.applied(14);
+  assert.deepEqual(
+    new Set(ends.map((pageWrite) => pageWrite.key)),
+    new Set([first.key, again?.key, other?.key]),
+  );
+  assert.ok(ends.every((pageWrite) => pageWrite.entries.length === 0));
+  for (const pageWrite of ends) pageWrite.applied(14);
   assert.deepEqual(r.rewriteStalePages(9), []);
 });
