--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -206,16 +206,20 @@
     writes.length > 0;
     writes = roster.rewriteStalePages(9)
   )
-    for (const w of writes) {
-      assert.ok(JSON.stringify({ machines: w.entries }).length <= NEXT.value_kb * KIB, w.key);
-      stored.set(w.key, w.entries);
-      w.applied(revision++);
+    for (const pageWrite of writes) {
+      assert.ok(
+        JSON.stringify({ machines: pageWrite.entries }).length <= NEXT.value_kb * KIB,
+        pageWrite.key,
+      );
+      stored.set(pageWrite.key, pageWrite.entries);
+      pageWrite.applied(revision++);
       // At no moment is a machine that may have tasks missing.
-      const names = new Set([...stored.values()].flat().map((e) => e.id));
-      for (const e of all) if (e.id !== 'n-000002') assert.ok(names.has(e.id), e.id);
+      const names = new Set([...stored.values()].flat().map((entry) => entry.id));
+      for (const entry of all)
+        if (entry.id !== 'n-000002') assert.ok(names.has(entry.id), entry.id);
     }
   assert.ok((stored.get('3-1')?.length ?? 99) < 32);
-  assert.ok([...stored.values()].flat().every((e) => e.id !== 'n-000002'));
+  assert.ok([...stored.values()].flat().every((entry) => entry.id !== 'n-000002'));
 });
 
 test('a page that could not be moved is left as it is, and no machine is taken off it', () => {
@@ -223,10 +227,10 @@
   roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(entry));
   roster.removeMachine('n-000001');
   const moves = roster.rewriteStalePages(9);
-  assert.ok(moves.length > 0 && moves.every((w) => w.key !== '3-1'));
+  assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.key !== '3-1'));
   // No answer: what stands there is not known, so both pages keep them.
-  for (const w of moves) w.unknown();
-  for (const w of roster.rewriteStalePages(9)) assert.notEqual(w.key, '3-1');
+  for (const pageWrite of moves) pageWrite.unknown();
+  for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.key, '3-1');
 });
 
 test('peers of both versions read each other, and tokens stay what they were', () => {
@@ -265,9 +269,9 @@
   const ctx = createContext('n-0', new FakeStateService(store), clock, NEXT);
   const stop = new AbortController();
   const term = { number: 1, version: 0, signal: stop.signal } as never;
-  const c = createCluster();
-  const renting = new ScaleOutPlanner(c);
-  const loads = new DemandStore(ctx, term, renting);
+  const cluster = createCluster();
+  const scaleOut = new ScaleOutPlanner(cluster);
+  const loads = new DemandStore(ctx, term, scaleOut);
   for (let i = 1; i <= 12; i++)
     loads.recordArrival(jobSpec({ jobClass: `class-${i}`, tasks: i }), i);
   void loads.run(stop.signal).catch(() => {});
@@ -277,7 +281,7 @@
   assert.deepEqual(store.oversize, []);
   const first = store.entries.get('loads')?.value as { loads: unknown[]; upTo: number };
   assert.equal(first.upTo, 12);
-  const next = new ScaleOutPlanner(c);
+  const next = new ScaleOutPlanner(cluster);
   const again = new DemandStore(
     ctx,
     { number: 2, signal: new AbortController().signal } as never,
@@ -285,7 +289,7 @@
   );
   await again.read();
   // Four pages take them all but for the smallest.
-  const kept = next.snapshot().map((l) => l.spec.jobClass);
+  const kept = next.snapshot().map((forecast) => forecast.spec.jobClass);
   assert.ok(kept.length > first.loads.length && kept.length >= 10, `${kept.length}`);
   // A job that is counted in it is not counted again.
   again.recordArrival(jobSpec({ jobClass: 'class-12' }), 12);
@@ -311,7 +315,7 @@
   });
   await again.read();
   assert.deepEqual(
-    next.snapshot().map((l) => l.mean),
+    next.snapshot().map((forecast) => forecast.mean),
     [8240],
   );
 });
@@ -322,17 +326,17 @@
   const state = new FakeStateService(store);
   const ctx = createContext('n-0', state, clock, NEXT);
   const stop = new AbortController();
-  const c = createCluster();
-  const w = joinCluster(c, new ScriptedAgent('n-1'), 0);
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   for (const n of [1, 2]) {
     const id = `req-00000${n}`;
     store.transact([], [{ op: 'put', key: `live/${id}`, value: {} }]);
-    c.addJob(jobSpec({ id, tasks: 1 }), store.revision, 0, false);
+    cluster.addJob(jobSpec({ id, tasks: 1 }), store.revision, 0, false);
   }
-  runPlacementRound(c, 9, 0);
-  sendHeartbeat(c, w, 10);
+  runPlacementRound(cluster, 9, 0);
+  sendHeartbeat(cluster, w, 10);
   for (const key of [...w.tasks.keys()]) w.exit(key, 'done');
-  sendHeartbeat(c, w, 20);
+  sendHeartbeat(cluster, w, 20);
   let refused = 0;
   const { transact } = state;
   state.transact = (conditions, changes) => {
@@ -342,12 +346,12 @@
     return Promise.reject(new RequestRejectedError('400 too large'));
   };
   const term = { number: 1, version: 0, signal: stop.signal, resign: () => {} } as never;
-  void new ProgressWriter(ctx, term, c).run(stop.signal).catch(() => {});
+  void new ProgressWriter(ctx, term, cluster).run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.progressWriteMs * 1.5);
   assert.ok(store.entries.has('over/req-000002'));
   assert.equal(refused, 2);
   stop.abort();
-  assert.equal(pendingWrites(c, { progressChanges: 9, wallNow: 0 }).length, 1);
+  assert.equal(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }).length, 1);
 });
 
 test('a 429 to a change lowers the rate of changes at once, and what leads still goes first', async () => {
--- a/test/upstream-lists.test.ts
+++ b/test/upstream-lists.test.ts
@@ -141,23 +141,23 @@
   const record = scene.record(id(1));
   assert.ok(record.dependencyList);
   for (const job of named.slice(1)) scene.end(job, 'done');
-  const c = createCluster();
-  joinCluster(c, new ScriptedAgent('n-1'), 0);
-  const last = c.addJob(jobSpec({ id: named[0] as string, tasks: 1 }), 2, 0, false);
-  assert.ok(c.addJob(record.spec, 5, 0, false, { ids: [], unread: true, keys: [] }));
+  const cluster = createCluster();
+  joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const last = cluster.addJob(jobSpec({ id: named[0] as string, tasks: 1 }), 2, 0, false);
+  assert.ok(cluster.addJob(record.spec, 5, 0, false, { ids: [], unread: true, keys: [] }));
   const stop = new AbortController();
-  const resolver = new DependencyResolver(node.ctx, c, node.jobs);
+  const resolver = new DependencyResolver(node.ctx, cluster, node.jobs);
   void resolver.run(stop.signal).catch(() => {});
   const before = node.state.requests;
   await scene.clock.advance(node.ctx.timing.renewMs * 4);
   assert.ok(node.state.requests - before < 20, `${node.state.requests - before} requests`);
-  assert.deepEqual([...(c.jobs.get(id(1))?.pendingDependencies ?? [])], [named[0]]);
+  assert.deepEqual([...(cluster.jobs.get(id(1))?.pendingDependencies ?? [])], [named[0]]);
   assert.deepEqual(
-    runPlacementRound(c, 32, 0).started.map((b) => b.job),
+    runPlacementRound(cluster, 32, 0).started.map((attempt) => attempt.job),
     [last],
   );
-  c.endJob(named[0] as string, { state: 'done', at: 5 });
-  assert.equal(runPlacementRound(c, 32, 0).started[0]?.job.spec.id, id(1));
+  cluster.endJob(named[0] as string, { state: 'done', at: 5 });
+  assert.equal(runPlacementRound(cluster, 32, 0).started[0]?.job.spec.id, id(1));
   stop.abort();
 });
 
@@ -275,10 +275,14 @@
   assert.deepEqual(record.dependencies, [`${id(1)}/list`]);
   assert.equal(record.dependencyPages, undefined);
   // It takes the ids that stand in the record for all.
-  const c = createCluster();
-  joinCluster(c, new ScriptedAgent('n-1'), 0);
-  c.addJob(record.spec, 5, 0, false, { ids: record.dependencies ?? [], unread: false, keys: [] });
-  assert.equal(runPlacementRound(c, 32, 0).started.length, 0);
+  const cluster = createCluster();
+  joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  cluster.addJob(record.spec, 5, 0, false, {
+    ids: record.dependencies ?? [],
+    unread: false,
+    keys: [],
+  });
+  assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
 });
 
 test('questions about a thousand jobs, one after or beside another, cost a bounded number of requests', async () => {
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -93,7 +93,7 @@
 });
 
 test('reports and orders carry the wire’s own words', () => {
-  const report = parseHeartbeat({
+  const heartbeat = parseHeartbeat({
     cart: 'n-000231',
     endpoint: '10.1.0.232:9000',
     rig: 'm16',
@@ -109,7 +109,7 @@
     ],
   });
   assert.deepEqual(
-    report.tasks.map((t) => [t.jobId, t.index, t.state, t.cause, t.saved]),
+    heartbeat.tasks.map((task) => [task.jobId, task.index, task.state, task.cause, task.saved]),
     [
       ['req-000412', 3, 'fetching', null, false],
       ['req-000398', 0, 'exited', 'stopped', true],
