--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -1,6 +1,7 @@
 import { parseAddress } from '../config/settings.js';
 import { HttpClient, NotAttemptedError } from '../http/client.js';
-import type { Heartbeat, TaskCommand } from '../model/model.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import type { TaskCommand } from '../model/task-command.js';
 import { commandsBody, PATHS, parseHeartbeat } from '../protocol/wire.js';
 
 export interface CommandResult {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import type { TeamQuota } from '../model/model.js';
+import type { TeamQuota } from '../model/resources.js';
 
 /** The platform hands over a file that cannot be used; the message names file and field. */
 export class SettingsError extends Error {}
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -1,5 +1,6 @@
 import type { Reply } from '../../http/server.js';
-import { type JobSpec, unrunnableReason } from '../../model/model.js';
+import type { JobSpec } from '../../model/job.js';
+import { unrunnableReason } from '../../model/job-feasibility.js';
 import {
   JOB_ID_PATTERN,
   type JobState,
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -3,7 +3,8 @@
 import type { Platform } from '../config/settings.js';
 import type { StateLimits } from '../config/state-limits.js';
 import type { Timing } from '../config/timing.js';
-import type { MachineType, TeamQuota } from '../model/model.js';
+import type { MachineType } from '../model/machine.js';
+import type { TeamQuota } from '../model/resources.js';
 import type { Clock } from '../runtime/clock.js';
 
 /** What every duty of one node shares. */
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -1,5 +1,6 @@
 import type { Reply } from '../../http/server.js';
-import type { Heartbeat, TaskCommand } from '../../model/model.js';
+import type { Heartbeat } from '../../model/heartbeat.js';
+import type { TaskCommand } from '../../model/task-command.js';
 import {
   fencingToken,
   heartbeatResponseBody,
@@ -145,7 +146,7 @@
         if (over.get(task.jobId))
           commands.push({
             op: 'stop',
-            job: task.jobId,
+            jobId: task.jobId,
             index: task.index,
             attempt: task.attempt,
             graceS: 0,
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -1,6 +1,7 @@
 import type { AgentClient } from '../../clients/agent-client.js';
 import { NotAttemptedError, NotSentError } from '../../http/client.js';
-import type { Heartbeat, TaskCommand } from '../../model/model.js';
+import type { Heartbeat } from '../../model/heartbeat.js';
+import type { TaskCommand } from '../../model/task-command.js';
 import { fencingToken } from '../../protocol/wire.js';
 import { waitWhileLagging } from '../../runtime/clock.js';
 import { takePendingCommands } from '../../scheduler/reconcile/task-commands.js';
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,3 +1,4 @@
+import type { DemandForecast } from '../../model/demand-forecast.js';
 import type { Change } from '../../protocol/store.js';
 import {
   decodeFirstPage,
@@ -8,7 +9,7 @@
   type StoredForecast,
 } from '../../records/demand-record.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
-import type { DemandForecast, ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
+import type { ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
 import type { ControllerContext } from '../context.js';
 import { LEADER_KEY, type LeaderTerm } from '../election/leader-election.js';
 import { retry } from '../retry.js';
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -1,5 +1,5 @@
 import { type CloudClient, MAX_MACHINES_PER_TERMINATION } from '../../clients/cloud-client.js';
-import type { ListedMachine } from '../../model/model.js';
+import type { ListedMachine } from '../../model/machine.js';
 import { waitWhileLagging } from '../../runtime/clock.js';
 import type { MachineTermination } from '../../scheduler/scaling/scale-in.js';
 import type { ScaleOutPlan, ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -1,5 +1,5 @@
 import type { CloudClient } from '../clients/cloud-client.js';
-import type { MachineType } from '../model/model.js';
+import type { MachineType } from '../model/machine.js';
 import {
   decodeMachineTypes,
   encodeMachineTypes,
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -38,9 +38,3 @@
   /** Work within its team's guarantee should start within this. */
   guaranteedStartS: number | null;
 }
-
-/** What tasks take of a team's limit or of machines. */
-export interface ResourceUsage {
-  cpus: number;
-  gpus: number;
-}
--- a/src/protocol/wire.ts
+++ b/src/protocol/wire.ts
@@ -1,18 +1,11 @@
+import type { ExitCause, Heartbeat, TaskState, TaskStatus } from '../model/heartbeat.js';
+import { type JobSpec, PRIORITIES } from '../model/job.js';
+import type { ListedMachine, MachineType } from '../model/machine.js';
+import type { TaskCommand } from '../model/task-command.js';
 /**
  * The wire's words and shapes, mapped to the field's terms. Words such as
  * hand, baton or cart appear in this folder only.
  */
-import {
-  type ExitCause,
-  type Heartbeat,
-  type JobSpec,
-  type ListedMachine,
-  type MachineType,
-  PRIORITIES,
-  type TaskCommand,
-  type TaskState,
-  type TaskStatus,
-} from '../model/model.js';
 
 export const PATHS = {
   jobs: '/v1/jobs',
@@ -200,7 +193,7 @@
 }
 
 function encodeCommand(command: TaskCommand): Json {
-  const base = { hand: `${command.job}/${command.index}`, try: command.attempt };
+  const base = { hand: `${command.jobId}/${command.index}`, try: command.attempt };
   if (command.op === 'start') return { verb: 'run', ...base };
   if (command.op === 'stop') return { verb: 'kill', ...base, windDownS: command.graceS };
   return { verb: 'forget', ...base };
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from '../model/model.js';
+import type { JobSpec } from '../model/job.js';
 import { isObject } from '../protocol/wire.js';
 import { mapObject, overForm, rememberForm } from './stored-form.js';
 
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -1,4 +1,4 @@
-import type { MachineType } from '../model/model.js';
+import type { MachineType } from '../model/machine.js';
 import { isObject } from '../protocol/wire.js';
 import { mapObject } from './stored-form.js';
 
--- a/src/records/roster-record.ts
+++ b/src/records/roster-record.ts
@@ -1,4 +1,4 @@
-import type { RosterEntry } from '../model/model.js';
+import type { RosterEntry } from '../model/machine.js';
 import { isObject } from '../protocol/wire.js';
 
 /**
--- a/src/scheduler/persistence/durable-writes.ts
+++ b/src/scheduler/persistence/durable-writes.ts
@@ -1,13 +1,14 @@
+import type { JobEnd } from '../../model/job.js';
+import type { RosterEntry } from '../../model/machine.js';
 import type { Change, Condition } from '../../protocol/store.js';
 import { encodeFinishedTasks } from '../../records/finished-tasks-record.js';
 import { encodeJobEnd } from '../../records/job-end-record.js';
 import { endedJobKey, liveJobKey, rosterKey } from '../../records/keys.js';
 import { encodeRosterPage } from '../../records/roster-record.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { JobEnd } from '../state/dependency-graph.js';
 import type { Job } from '../state/job.js';
 import type { Machine, TaskAttempt } from '../state/machine.js';
-import type { PageWrite, RosterEntry } from './roster.js';
+import type { PageWrite } from './roster.js';
 
 /** A piece of durable work; several share a transaction. */
 export interface DurableWrite {
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -1,8 +1,6 @@
-import type { RosterEntry } from '../../model/model.js';
+import type { RosterEntry } from '../../model/machine.js';
 import { encodeRosterEntry } from '../../records/roster-record.js';
 
-export type { RosterEntry } from '../../model/model.js';
-
 interface Page {
   key: string;
   /** What its members take in its value. */
--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from '../../model/model.js';
+import type { JobSpec } from '../../model/job.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Machine } from '../state/machine.js';
 import type { Batch } from './ready-queue.js';
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -1,5 +1,4 @@
-import { EPSILON } from '../../model/model.js';
-import type { ResourceUsage } from '../../model/policy.js';
+import { EPSILON, type ResourceUsage } from '../../model/resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/job.js';
 import { type Machine, slotsOnType, type TaskAttempt } from '../state/machine.js';
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -1,4 +1,6 @@
-import { EPSILON, type JobSpec, type MachineType } from '../../model/model.js';
+import type { JobSpec } from '../../model/job.js';
+import type { MachineType } from '../../model/machine.js';
+import { EPSILON } from '../../model/resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Machine, TaskAttempt } from '../state/machine.js';
 import { addReservation, satisfiesConstraints } from './feasibility.js';
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -1,5 +1,5 @@
-import { EPSILON, type JobSpec } from '../../model/model.js';
-import type { ResourceUsage } from '../../model/policy.js';
+import type { JobSpec } from '../../model/job.js';
+import { EPSILON, type ResourceUsage } from '../../model/resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/job.js';
 
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -1,7 +1,8 @@
-import type { JobSpec, MachineType } from '../../model/model.js';
-import type { ResourceUsage } from '../../model/policy.js';
+import type { JobSpec } from '../../model/job.js';
+import { type MachineType, machinePoolKey } from '../../model/machine.js';
+import type { ResourceUsage } from '../../model/resources.js';
 import { type MachineTraits, satisfiesConstraints } from '../placement/feasibility.js';
-import { type Machine, machinePoolKey } from '../state/machine.js';
+import type { Machine } from '../state/machine.js';
 
 interface InheritedPool {
   traits: MachineTraits;
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -1,5 +1,6 @@
-import type { Heartbeat, TaskCommand, TaskStatus } from '../../model/model.js';
+import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
 import type { SchedulerTiming } from '../../model/policy.js';
+import type { TaskCommand } from '../../model/task-command.js';
 import type { Job } from '../state/job.js';
 import type { Machine, TaskAttempt } from '../state/machine.js';
 
@@ -29,7 +30,13 @@
   for (const task of heartbeat.tasks) {
     if (out.length >= MAX_COMMANDS_PER_MESSAGE) break;
     if (task.state === 'exited' || liveJobs.has(task.jobId)) continue;
-    out.push({ op: 'stop', job: task.jobId, index: task.index, attempt: task.attempt, graceS: 0 });
+    out.push({
+      op: 'stop',
+      jobId: task.jobId,
+      index: task.index,
+      attempt: task.attempt,
+      graceS: 0,
+    });
   }
   return out;
 }
@@ -43,37 +50,40 @@
   if (!machine.confirmed) return commands;
   // Ends of jobs come first: where an answer is full, what runs on does so under a renewed lease.
   addStopsOfEndedJobs(commands, machine);
-  addStrayOrders(commands, unknownTasks);
-  addBindingOrders(commands, machine);
+  addUnknownTaskCommands(commands, unknownTasks);
+  addAttemptCommands(commands, machine);
   return commands;
 }
 
 function addStopsOfEndedJobs(commands: TaskCommand[], machine: Machine): void {
   for (const { job, index, attempt, state, stopRequest: stop } of machine.attempts.values())
     if (job.ended && stop && state !== 'exited' && state !== 'assigned')
-      commands.push({ op: 'stop', job: job.spec.id, index, attempt, graceS: 0 });
+      commands.push({ op: 'stop', jobId: job.spec.id, index, attempt, graceS: 0 });
 }
 
-function addStrayOrders(commands: TaskCommand[], unknownTasks: readonly TaskStatus[]): void {
-  for (const { jobId: job, index, attempt, state } of unknownTasks) {
+function addUnknownTaskCommands(
+  commands: TaskCommand[],
+  unknownTasks: readonly TaskStatus[],
+): void {
+  for (const { jobId, index, attempt, state } of unknownTasks) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
-    if (state === 'exited') commands.push({ op: 'forget', job, index, attempt });
-    else commands.push({ op: 'stop', job, index, attempt, graceS: 0 });
+    if (state === 'exited') commands.push({ op: 'forget', jobId, index, attempt });
+    else commands.push({ op: 'stop', jobId, index, attempt, graceS: 0 });
   }
 }
 
-function addBindingOrders(commands: TaskCommand[], machine: Machine): void {
+function addAttemptCommands(commands: TaskCommand[], machine: Machine): void {
   for (const attempt of machine.attempts.values()) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
-    const command = takeOrder(attempt, machine.lastSequence);
+    const command = takeCommand(attempt, machine.lastSequence);
     if (command) commands.push(command);
   }
 }
 
 /** What the answer to the report of this number tells the machine of the task; a start counts as sent with it. */
-function takeOrder(attempt: TaskAttempt, seq: number): TaskCommand | null {
+function takeCommand(attempt: TaskAttempt, seq: number): TaskCommand | null {
   const { job, stopRequest: stop } = attempt;
-  const base = { job: job.spec.id, index: attempt.index, attempt: attempt.attempt };
+  const base = { jobId: job.spec.id, index: attempt.index, attempt: attempt.attempt };
   if (attempt.state === 'exited')
     return attempt.mayBeForgotten && attempt.directCommandFence === null
       ? { op: 'forget', ...base }
@@ -123,7 +133,7 @@
   if (!machine.confirmed || machine.relayed) return { commands: commands, starts: startedAttempts };
   for (const attempt of machine.attempts.values()) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
-    const base = { job: attempt.job.spec.id, index: attempt.index, attempt: attempt.attempt };
+    const base = { jobId: attempt.job.spec.id, index: attempt.index, attempt: attempt.attempt };
     if (attempt.state === 'assigned') {
       if (attempt.job.ended || !isUnsent(attempt)) continue;
       attempt.directCommandFence = machine.fence;
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -1,7 +1,11 @@
-import { canRunOnType, type JobSpec, type MachineType } from '../../model/model.js';
+import type { DemandForecast } from '../../model/demand-forecast.js';
+import type { JobSpec } from '../../model/job.js';
+import { canRunOnType } from '../../model/job-feasibility.js';
+import { type MachineType, machinePoolKey } from '../../model/machine.js';
+import type { ResourceRequest } from '../../model/resources.js';
 import { hasPlaceableTasks } from '../placement/ready-queue.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { type Machine, machinePoolKey, slotsOnType } from '../state/machine.js';
+import { type Machine, slotsOnType } from '../state/machine.js';
 import { type MachineTermination, ScaleInPlanner } from './scale-in.js';
 
 export interface ScaleOutPlan {
@@ -12,29 +16,6 @@
   reason: Record<string, unknown>;
 }
 
-/** What arrives of one kind of work, smoothed over a few boot times. */
-export interface DemandForecast {
-  spec: JobSpec;
-  /** Tasks that run at once on average: task-seconds arriving each second. */
-  mean: number;
-  /** The variance of that number: arrays arrive whole. */
-  variance: number;
-  /** What a task of this kind takes on average. */
-  meanRequest: ResourceRequest;
-  /** How long the tasks that run at a time hold their room on average, in seconds. */
-  occupancyS: number;
-  /** Mean milliseconds between arrivals; null until there were two. */
-  arrivalIntervalMs: number | null;
-  /** Time since the last arrival; kept as a span, since clocks differ between leaders. */
-  sinceLastArrivalMs: number;
-}
-
-interface ResourceRequest {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
-
 /** After this many mean gaps without an arrival a stream may have stopped: chance alone does so once in twelve; after twice as many it has. */
 const STALE_ARRIVAL_INTERVALS = 2.5;
 
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -1,25 +1,21 @@
-import type {
-  Heartbeat,
-  JobSpec,
-  ListedMachine,
-  MachineType,
-  TaskCommand,
-  TaskStatus,
-  TeamQuota,
-} from '../../model/model.js';
-import type {
-  ResourceUsage,
-  SchedulerPolicy,
-  SchedulerTiming,
-  ServiceObjectives,
-} from '../../model/policy.js';
+import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
+import {
+  type DependencyList,
+  type JobEnd,
+  type JobSpec,
+  NO_DEPENDENCIES,
+} from '../../model/job.js';
+import type { ListedMachine, MachineType } from '../../model/machine.js';
+import type { SchedulerPolicy, SchedulerTiming, ServiceObjectives } from '../../model/policy.js';
+import type { ResourceUsage, TeamQuota } from '../../model/resources.js';
+import type { TaskCommand } from '../../model/task-command.js';
 import type { BitmapLayout } from '../../records/bitmap-layout.js';
 import { Roster } from '../persistence/roster.js';
 import type { Batch } from '../placement/ready-queue.js';
 import { InheritedMachines } from '../reconcile/inherited-machines.js';
 import { MachineTombstones } from '../reconcile/machine-tombstones.js';
 import { heartbeatCommands, isUnsent, stopsOfEndedJobs } from '../reconcile/task-commands.js';
-import { DependencyGraph, type JobEnd } from './dependency-graph.js';
+import { DependencyGraph } from './dependency-graph.js';
 import { Job } from './job.js';
 import { attemptKey, type DrainReason, Machine, type TaskAttempt } from './machine.js';
 import { WorkEstimates } from './work-estimates.js';
@@ -27,17 +23,6 @@
 /** Tells why a larger decision was made; the duties write it to the log. */
 export type DecisionLogger = (message: string, fields: Record<string, unknown>) => void;
 
-/** What a job needs, as its record tells. */
-export interface DependencyList {
-  ids: readonly string[];
-  /** There are more than these, which have to be read. */
-  unread: boolean;
-  /** Keys that go with the job. */
-  keys: readonly string[];
-}
-
-const NO_DEPENDENCIES: DependencyList = { ids: [], unread: false, keys: [] };
-
 /** Attempts rise across leaders: the term is the high part. */
 const ATTEMPTS_PER_TERM = 2 ** 28;
 /** A machine that is gone is remembered for this many times as long as the list may still show it. */
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -1,12 +1,6 @@
+import type { JobEnd } from '../../model/job.js';
 import type { Job } from './job.js';
 
-/** How a job ended, as its durable record says. */
-export interface JobEnd {
-  state: 'done' | 'cancelled';
-  /** Time of day of the end; null: its record is from a version that did not keep it. */
-  at: number | null;
-}
-
 /** Ends that are remembered, so that a job which names one of them need not look it up. */
 const MAX_REMEMBERED_ENDS = 2000;
 
--- a/src/scheduler/state/job.ts
+++ b/src/scheduler/state/job.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from '../../model/model.js';
+import type { JobSpec } from '../../model/job.js';
 import type { EffectiveDeadline } from './dependency-graph.js';
 import type { TaskAttempt } from './machine.js';
 
--- a/src/scheduler/state/machine.ts
+++ b/src/scheduler/state/machine.ts
@@ -1,4 +1,7 @@
-import { EPSILON, type JobSpec, type MachineType, type TaskState } from '../../model/model.js';
+import type { TaskState } from '../../model/heartbeat.js';
+import type { JobSpec } from '../../model/job.js';
+import type { MachineType } from '../../model/machine.js';
+import { EPSILON } from '../../model/resources.js';
 import type { Job } from './job.js';
 
 export interface TaskAttempt {
@@ -200,8 +203,3 @@
 export function slotsOnType(type: MachineType, spec: JobSpec): number {
   return slotsWithin(type.cpus, type.gpus, type.memoryGb, spec);
 }
-
-/** Names what a machine is for the cloud: its type, zone and kind. */
-export function machinePoolKey(type: string, zone: string, spot: boolean): string {
-  return `${type}|${zone}|${spot}`;
-}
--- a/src/scheduler/state/work-estimates.ts
+++ b/src/scheduler/state/work-estimates.ts
@@ -1,5 +1,6 @@
-import { EPSILON, type JobSpec } from '../../model/model.js';
+import type { JobSpec } from '../../model/job.js';
 import type { ServiceObjectives } from '../../model/policy.js';
+import { EPSILON } from '../../model/resources.js';
 import type { Job } from './job.js';
 import type { TaskAttempt } from './machine.js';
 
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -2,13 +2,14 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { Heartbeat, TaskCommand } from '../src/model/model.js';
+import type { Heartbeat } from '../src/model/heartbeat.js';
+import type { RosterEntry } from '../src/model/machine.js';
+import type { TaskCommand } from '../src/model/task-command.js';
 import {
   chunksOfUnknownVersion,
   type DurableWrite,
   pendingWrites,
 } from '../src/scheduler/persistence/durable-writes.js';
-import type { RosterEntry } from '../src/scheduler/persistence/roster.js';
 import { satisfiesConstraints } from '../src/scheduler/placement/feasibility.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -106,7 +106,7 @@
   const heartbeat = m.worker.heartbeat();
   assert.ok(heartbeat.term < (leader.leadership.current?.number ?? 0));
   const { orders } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { orders: [] };
-  const stops = orders.filter((command) => command.op === 'stop' && command.job === ids[0]);
+  const stops = orders.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
   assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
   assert.ok(stops.length > 0);
   // Under a later term's own token, without proof, the same.
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { RosterEntry } from '../src/model/model.js';
+import type { DemandForecast } from '../src/model/demand-forecast.js';
+import type { RosterEntry } from '../src/model/machine.js';
 import { FrameReader, packFrame } from '../src/peer/frames.js';
 import {
   decodeFirstPage,
@@ -58,7 +59,6 @@
   encodeRosterPage,
 } from '../src/records/roster-record.js';
 import { mapObject } from '../src/records/stored-form.js';
-import type { DemandForecast } from '../src/scheduler/scaling/scale-out.js';
 import { PEER_FRAMES, WRITTEN } from './support/records.js';
 import { jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -11,7 +11,7 @@
 import { DependencyListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
 import { Leader, schedulerPolicy } from '../src/controller/leader/leader.js';
 import { readMachineTypes, storeMachineTypes } from '../src/controller/machine-types.js';
-import type { JobSpec } from '../src/model/model.js';
+import type { JobSpec } from '../src/model/job.js';
 import type { EndedJobRecord } from '../src/records/job-end-record.js';
 import { RequestPriority } from '../src/runtime/request-budget.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -1,12 +1,8 @@
-import type {
-  ExitCause,
-  Heartbeat,
-  JobSpec,
-  MachineType,
-  TaskCommand,
-  TaskState,
-  TeamQuota,
-} from '../../src/model/model.js';
+import type { ExitCause, Heartbeat, TaskState } from '../../src/model/heartbeat.js';
+import type { JobSpec } from '../../src/model/job.js';
+import type { MachineType } from '../../src/model/machine.js';
+import type { TeamQuota } from '../../src/model/resources.js';
+import type { TaskCommand } from '../../src/model/task-command.js';
 import { BitmapLayout } from '../../src/records/bitmap-layout.js';
 import { raiseFenceIfDue } from '../../src/scheduler/reconcile/task-commands.js';
 import { ClusterState } from '../../src/scheduler/state/cluster-state.js';
@@ -132,12 +128,11 @@
   }
 
   private carryOut(command: TaskCommand): void {
-    const { op, job, index, attempt } = command;
-    const key = `${job}/${index}/${attempt}`;
+    const { op, jobId, index, attempt } = command;
+    const key = `${jobId}/${index}/${attempt}`;
     const known = this.tasks.get(key);
     if (op === 'start') {
-      if (!known)
-        this.tasks.set(key, { jobId: job, index, attempt, state: 'running', cause: null });
+      if (!known) this.tasks.set(key, { jobId, index, attempt, state: 'running', cause: null });
     } else if (op === 'stop') {
       if (known && known.state !== 'exited') this.exit(key, 'stopped');
     } else if (known?.state === 'exited') this.tasks.delete(key);
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -1,5 +1,5 @@
 import type { Reply } from '../../src/http/server.js';
-import type { TaskCommand } from '../../src/model/model.js';
+import type { TaskCommand } from '../../src/model/task-command.js';
 import { fencingToken } from '../../src/protocol/wire.js';
 import type { ScriptedController } from './controller.js';
 import { ScriptedAgent } from './scheduler.js';
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -1,5 +1,6 @@
 /** Workers' messages in the wire's words. */
-import type { Heartbeat, TaskCommand } from '../../src/model/model.js';
+import type { Heartbeat } from '../../src/model/heartbeat.js';
+import type { TaskCommand } from '../../src/model/task-command.js';
 import { fencingToken } from '../../src/protocol/wire.js';
 
 const STANDINGS = { fetching: 'pulling', running: 'running', saving: 'saving', exited: 'exited' };
@@ -35,8 +36,8 @@
 }
 
 export function fromWire(command: WireOrder): TaskCommand {
-  const [job = '', index = ''] = command.hand.split('/');
-  const base = { job, index: Number(index), attempt: command.try };
+  const [jobId = '', index = ''] = command.hand.split('/');
+  const base = { jobId, index: Number(index), attempt: command.try };
   if (command.verb === 'run') return { op: 'start', ...base };
   return command.verb === 'kill' ? { op: 'stop', ...base, graceS: 0 } : { op: 'forget', ...base };
 }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { NoResponseError, NotAttemptedError } from '../../src/http/client.js';
-import type { ListedMachine, TaskCommand } from '../../src/model/model.js';
+import type { ListedMachine } from '../../src/model/machine.js';
+import type { TaskCommand } from '../../src/model/task-command.js';
 import { FakeClock } from './clock.js';
 import { NEXT, ScriptedController } from './controller.js';
 import { MACHINE_TYPE } from './scheduler.js';
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { unrunnableReason } from '../src/model/model.js';
+import { unrunnableReason } from '../src/model/job-feasibility.js';
 import {
   heartbeatResponseBody,
   MalformedMessageError,
@@ -117,9 +117,9 @@
   );
   assert.deepEqual(
     heartbeatResponseBody(41, [
-      { op: 'start', job: 'req-1', index: 4, attempt: 2 },
-      { op: 'stop', job: 'req-1', index: 1, attempt: 1, graceS: 10 },
-      { op: 'forget', job: 'req-1', index: 0, attempt: 1 },
+      { op: 'start', jobId: 'req-1', index: 4, attempt: 2 },
+      { op: 'stop', jobId: 'req-1', index: 1, attempt: 1, graceS: 10 },
+      { op: 'forget', jobId: 'req-1', index: 0, attempt: 1 },
     ]),
     {
       baton: 41,
