--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -2,7 +2,8 @@
 import { HttpClient, NotAttemptedError } from '../http/client.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import type { TaskCommand } from '../model/task-command.js';
-import { commandsBody, PATHS, parseHeartbeat } from '../protocol/wire.js';
+import { commandsBody, parseHeartbeat } from '../protocol/agent-protocol.js';
+import { PATHS } from '../protocol/paths.js';
 
 export interface CommandResult {
   /** False: nothing was executed, since a higher token or another session is there. */
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -1,14 +1,14 @@
 import { HttpClient, NoResponseError } from '../http/client.js';
 import {
   machineListTarget,
-  PATHS,
   type ProvisionRequest,
   parseMachineList,
   parseMachineTypes,
   parseProvisioned,
   provisionBody,
   terminationBody,
-} from '../protocol/wire.js';
+} from '../protocol/cloud-protocol.js';
+import { PATHS } from '../protocol/paths.js';
 import type { Clock } from '../runtime/clock.js';
 import { RequestBudget, RequestPriority } from '../runtime/request-budget.js';
 
--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -1,4 +1,4 @@
-import type { Entry } from '../protocol/store.js';
+import type { Entry } from '../protocol/key-value-protocol.js';
 import type { RequestPriority } from '../runtime/request-budget.js';
 import type { KeyValueStore } from './state-client.js';
 
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -21,8 +21,8 @@
   type StoreEvent,
   transactionBody,
   watchTarget,
-} from '../protocol/store.js';
-import { PATHS } from '../protocol/wire.js';
+} from '../protocol/key-value-protocol.js';
+import { PATHS } from '../protocol/paths.js';
 import type { Clock } from '../runtime/clock.js';
 import { RequestBudget, RequestPriority } from '../runtime/request-budget.js';
 
--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import { readPrefix } from '../../clients/key-ranges.js';
-import type { Change, Condition } from '../../protocol/store.js';
+import type { Change, Condition } from '../../protocol/key-value-protocol.js';
 import {
   type DependencyListHeader,
   decodeDependencyListHeader,
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -6,11 +6,11 @@
   type JobState,
   jobStateBody,
   jobStatusBody,
-  MalformedMessageError,
   parseDependencies,
   parseJobId,
   parseSubmission,
-} from '../../protocol/wire.js';
+} from '../../protocol/job-protocol.js';
+import { MalformedMessageError } from '../../protocol/json-fields.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 import { DependencyListContendedError } from './dependency-lists.js';
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -1,7 +1,7 @@
 import { readKeys } from '../../clients/key-ranges.js';
 import type { TransactionResult } from '../../clients/state-client.js';
 import type { JobSpec } from '../../model/job.js';
-import type { Change, Condition, Entry } from '../../protocol/store.js';
+import type { Change, Condition, Entry } from '../../protocol/key-value-protocol.js';
 import { decodeJobIds, encodeJobIds } from '../../records/dependency-list-record.js';
 import { decodeJobEnd, type EndedJobRecord, encodeJobEnd } from '../../records/job-end-record.js';
 import { decodeLiveJob, encodeLiveJob, type LiveJobRecord } from '../../records/job-record.js';
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -6,7 +6,7 @@
   heartbeatResponseBody,
   parseHeartbeat,
   redirectBody,
-} from '../../protocol/wire.js';
+} from '../../protocol/agent-protocol.js';
 import { liveJobKey } from '../../records/keys.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -1,4 +1,4 @@
-import type { StoreEvent } from '../../protocol/store.js';
+import type { StoreEvent } from '../../protocol/key-value-protocol.js';
 import {
   decodeMailboxMessage,
   encodeMailboxRequest,
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -2,7 +2,7 @@
 import { NotAttemptedError, NotSentError } from '../../http/client.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { TaskCommand } from '../../model/task-command.js';
-import { fencingToken } from '../../protocol/wire.js';
+import { fencingToken } from '../../protocol/agent-protocol.js';
 import { waitWhileLagging } from '../../runtime/clock.js';
 import { takePendingCommands } from '../../scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,5 +1,5 @@
 import type { DemandForecast } from '../../model/demand-forecast.js';
-import type { Change } from '../../protocol/store.js';
+import type { Change } from '../../protocol/key-value-protocol.js';
 import {
   decodeFirstPage,
   decodeForecasts,
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,7 +1,7 @@
 import { parseAddress } from '../../config/settings.js';
 import type { Reply } from '../../http/server.js';
 import { PeerNetwork, type PeerStatus } from '../../peer/peer-network.js';
-import { truncateCommands } from '../../protocol/wire.js';
+import { truncateCommands } from '../../protocol/agent-protocol.js';
 import {
   type CancellationNotice,
   decodeCancellation,
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -1,5 +1,5 @@
 import type { DemandForecast } from '../model/demand-forecast.js';
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from './job-record.js';
 import { mapObject, overForm, rememberForm } from './stored-form.js';
 
--- a/src/records/dependency-list-record.ts
+++ b/src/records/dependency-list-record.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 import { overForm, rememberForm } from './stored-form.js';
 
 /**
--- a/src/records/job-end-record.ts
+++ b/src/records/job-end-record.ts
@@ -1,5 +1,5 @@
 import type { JobEnd } from '../model/job.js';
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * The record of an ended job, `over/<job>`: created in the transaction that
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from '../model/job.js';
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 import { mapObject, overForm, rememberForm } from './stored-form.js';
 
 /**
--- a/src/records/leader-record.ts
+++ b/src/records/leader-record.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * Who leads, `leader`, attached to the leader's lease, and the last term that
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from '../model/machine.js';
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 import { mapObject } from './stored-form.js';
 
 /**
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * Questions and answers between controllers by way of the state service,
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * What controllers send each other, each in a frame of its own: their status
--- a/src/records/peer-requests.ts
+++ b/src/records/peer-requests.ts
@@ -1,5 +1,5 @@
 import type { Reply } from '../http/server.js';
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * Payloads of questions between controllers and of their answers: `user`, a
--- a/src/records/roster-record.ts
+++ b/src/records/roster-record.ts
@@ -1,5 +1,5 @@
 import type { RosterEntry } from '../model/machine.js';
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * A page of machines that may have been given tasks, `roster/<page>`. The
--- a/src/records/stored-form.ts
+++ b/src/records/stored-form.ts
@@ -1,4 +1,4 @@
-import { isObject } from '../protocol/wire.js';
+import { isObject } from '../protocol/json-fields.js';
 
 /**
  * What all codecs share. A codec has the stored form of a record on one side
--- a/src/scheduler/persistence/durable-writes.ts
+++ b/src/scheduler/persistence/durable-writes.ts
@@ -1,6 +1,6 @@
 import type { JobEnd } from '../../model/job.js';
 import type { RosterEntry } from '../../model/machine.js';
-import type { Change, Condition } from '../../protocol/store.js';
+import type { Change, Condition } from '../../protocol/key-value-protocol.js';
 import { encodeFinishedTasks } from '../../records/finished-tasks-record.js';
 import { encodeJobEnd } from '../../records/job-end-record.js';
 import { endedJobKey, liveJobKey, rosterKey } from '../../records/keys.js';
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { HeartbeatHandler } from '../src/controller/heartbeats/heartbeat-handler.js';
 import type { Reply } from '../src/http/server.js';
-import { fencingToken } from '../src/protocol/wire.js';
+import { fencingToken } from '../src/protocol/agent-protocol.js';
 import { FakeClock } from './support/clock.js';
 import { createContext } from './support/context.js';
 import { ScriptedAgent } from './support/scheduler.js';
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -1,6 +1,6 @@
 import type { StateLimits } from '../../src/config/state-limits.js';
 import type { ControllerContext } from '../../src/controller/context.js';
-import type { Change } from '../../src/protocol/store.js';
+import type { Change } from '../../src/protocol/key-value-protocol.js';
 import type { FakeClock } from './clock.js';
 import { createContext } from './context.js';
 import { FakeStateService, FakeStore } from './state.js';
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -1,6 +1,6 @@
 import type { Reply } from '../../src/http/server.js';
 import type { TaskCommand } from '../../src/model/task-command.js';
-import { fencingToken } from '../../src/protocol/wire.js';
+import { fencingToken } from '../../src/protocol/agent-protocol.js';
 import type { ScriptedController } from './controller.js';
 import { ScriptedAgent } from './scheduler.js';
 import { fromWire, onWire, type WireOrder } from './wire.js';
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -5,7 +5,12 @@
   type TransactionResult,
 } from '../../src/clients/state-client.js';
 import { NoResponseError } from '../../src/http/client.js';
-import type { Change, Condition, Entry, StoreEvent } from '../../src/protocol/store.js';
+import type {
+  Change,
+  Condition,
+  Entry,
+  StoreEvent,
+} from '../../src/protocol/key-value-protocol.js';
 import type { FakeClock } from './clock.js';
 
 type Fault = 'refuse' | 'lose request' | 'lose answer' | 'dead' | null;
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -1,7 +1,7 @@
 /** Workers' messages in the wire's words. */
 import type { Heartbeat } from '../../src/model/heartbeat.js';
 import type { TaskCommand } from '../../src/model/task-command.js';
-import { fencingToken } from '../../src/protocol/wire.js';
+import { fencingToken } from '../../src/protocol/agent-protocol.js';
 
 const STANDINGS = { fetching: 'pulling', running: 'running', saving: 'saving', exited: 'exited' };
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -11,7 +11,7 @@
 import { serve } from '../src/http/server.js';
 import type { RosterEntry } from '../src/model/machine.js';
 import { FrameReader, packFrame } from '../src/peer/frames.js';
-import { fencingToken, truncateCommands } from '../src/protocol/wire.js';
+import { fencingToken, truncateCommands } from '../src/protocol/agent-protocol.js';
 import { BitmapLayout } from '../src/records/bitmap-layout.js';
 import { decodeJobSpec } from '../src/records/job-record.js';
 import { pendingWrites } from '../src/scheduler/persistence/durable-writes.js';
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,13 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { unrunnableReason } from '../src/model/job-feasibility.js';
-import {
-  heartbeatResponseBody,
-  MalformedMessageError,
-  parseHeartbeat,
-  parseMachineList,
-  parseSubmission,
-} from '../src/protocol/wire.js';
+import { heartbeatResponseBody, parseHeartbeat } from '../src/protocol/agent-protocol.js';
+import { parseMachineList } from '../src/protocol/cloud-protocol.js';
+import { parseSubmission } from '../src/protocol/job-protocol.js';
+import { MalformedMessageError } from '../src/protocol/json-fields.js';
 import { MACHINE_TYPE, teamQuota } from './support/scheduler.js';
 
 const SUBMISSION = {
