--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -1,5 +1,6 @@
 import { parseAddress } from '../config/settings.js';
-import { HttpClient, NotAttemptedError } from '../http/client.js';
+import { HttpClient } from '../http/client.js';
+import { NotAttemptedError } from '../http/errors.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import type { TaskCommand } from '../model/task-command.js';
 import { commandsBody, parseHeartbeat } from '../protocol/agent-protocol.js';
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -1,4 +1,5 @@
-import { HttpClient, NoResponseError } from '../http/client.js';
+import { HttpClient } from '../http/client.js';
+import { NoResponseError } from '../http/errors.js';
 import {
   machineListTarget,
   type ProvisionRequest,
--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -1,6 +1,6 @@
 import type { Entry } from '../protocol/key-value-protocol.js';
 import type { RequestPriority } from '../runtime/request-budget.js';
-import type { KeyValueStore } from './state-client.js';
+import type { KeyValueStore } from './key-value-store.js';
 
 /** Up to this many keys are read one by one, at the same time; more of them in ranges. */
 export const SINGLE_READS = 8;
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -1,9 +1,5 @@
-import {
-  HttpClient,
-  type HttpResponse,
-  NoResponseError,
-  ResponseTooLargeError,
-} from '../http/client.js';
+import { HttpClient, type HttpResponse } from '../http/client.js';
+import { NoResponseError, ResponseTooLargeError } from '../http/errors.js';
 import {
   type Change,
   type Condition,
@@ -18,33 +14,18 @@
   parseLease,
   parsePage,
   parseRevision,
-  type StoreEvent,
   transactionBody,
   watchTarget,
 } from '../protocol/key-value-protocol.js';
 import { PATHS } from '../protocol/paths.js';
 import type { Clock } from '../runtime/clock.js';
 import { RequestBudget, RequestPriority } from '../runtime/request-budget.js';
-
-/** The state service did not serve the request, and it was not carried out. */
-export class RequestRefusedError extends Error {
-  constructor(readonly retryMs: number) {
-    super('state service refused');
-  }
-}
-
-/**
- * The request can't be carried out as it stands, and was not: it is malformed,
- * larger than the service takes, or names a lease that has ended. Sent again
- * unchanged, it would be refused again.
- */
-export class RequestRejectedError extends NoResponseError {}
-
-export interface TransactionResult {
-  ok: boolean;
-  revision: number;
-  failed: string[];
-}
+import {
+  type KeyValueStore,
+  RequestRefusedError,
+  RequestRejectedError,
+  type TransactionResult,
+} from './key-value-store.js';
 
 export interface StateClientOptions {
   address: { host: string; port: number };
@@ -56,33 +37,6 @@
   clock: Clock;
 }
 
-/** What the duties use of the state service; the tests put a scripted one in its place. */
-export interface KeyValueStore {
-  get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null>;
-  listPage(
-    prefix: string,
-    after: string | null,
-    signal?: AbortSignal,
-    priority?: RequestPriority,
-  ): Promise<{ entries: Entry[]; more: boolean; revision: number }>;
-  transact(
-    conditions: Condition[],
-    changes: Change[],
-    priority: RequestPriority,
-    signal?: AbortSignal,
-  ): Promise<TransactionResult>;
-  grant(ttlMs: number, signal?: AbortSignal): Promise<number>;
-  touch(lease: number, signal?: AbortSignal): Promise<boolean>;
-  revoke(lease: number, signal?: AbortSignal): Promise<void>;
-  /** Null: the revision is too old, or too much has changed since. Read the keys again. */
-  watch(
-    prefix: string,
-    after: number,
-    waitMs: number,
-    signal?: AbortSignal,
-  ): Promise<{ events: StoreEvent[]; revision: number } | null>;
-}
-
 /** The largest page that a list answers, with room for its frame. */
 const LIST_LIMIT = 500;
 const BODY_LIMIT = 4 * 1024 * 1024;
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -1,5 +1,5 @@
 import { readKeys } from '../../clients/key-ranges.js';
-import type { TransactionResult } from '../../clients/state-client.js';
+import type { TransactionResult } from '../../clients/key-value-store.js';
 import type { JobSpec } from '../../model/job.js';
 import type { Change, Condition, Entry } from '../../protocol/key-value-protocol.js';
 import { decodeJobIds, encodeJobIds } from '../../records/dependency-list-record.js';
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,5 +1,5 @@
 import type { Logger } from 'pino';
-import type { KeyValueStore } from '../clients/state-client.js';
+import type { KeyValueStore } from '../clients/key-value-store.js';
 import type { Platform } from '../config/settings.js';
 import type { StateLimits } from '../config/state-limits.js';
 import type { Timing } from '../config/timing.js';
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -1,5 +1,5 @@
 import type { AgentClient } from '../../clients/agent-client.js';
-import { NotAttemptedError, NotSentError } from '../../http/client.js';
+import { NotAttemptedError, NotSentError } from '../../http/errors.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { TaskCommand } from '../../model/task-command.js';
 import { fencingToken } from '../../protocol/agent-protocol.js';
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -1,4 +1,4 @@
-import { RequestRefusedError, RequestRejectedError } from '../../clients/state-client.js';
+import { RequestRefusedError, RequestRejectedError } from '../../clients/key-value-store.js';
 import { AbortedError } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import {
--- a/src/controller/retry.ts
+++ b/src/controller/retry.ts
@@ -1,4 +1,4 @@
-import { RequestRefusedError } from '../clients/state-client.js';
+import { RequestRefusedError } from '../clients/key-value-store.js';
 import { AbortedError } from '../runtime/clock.js';
 import type { ControllerContext } from './context.js';
 
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,4 +1,10 @@
 import net from 'node:net';
+import {
+  NoResponseError,
+  NotAttemptedError,
+  NotSentError,
+  ResponseTooLargeError,
+} from './errors.js';
 import { BodyTooLarge, type Message, Parser } from './parser.js';
 
 export interface Address {
@@ -11,18 +17,6 @@
   body: unknown;
 }
 
-/** The request was not answered: it may or may not have been carried out. */
-export class NoResponseError extends Error {}
-
-/** It was answered, at a greater length than is taken. */
-export class ResponseTooLargeError extends NoResponseError {}
-
-/** The request never left: no connection was had. */
-export class NotSentError extends NoResponseError {}
-
-/** It was not even tried, for a reason on this side: that says nothing of the other. */
-export class NotAttemptedError extends NotSentError {}
-
 interface Pooled {
   socket: net.Socket;
   parser: Parser;
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -5,7 +5,7 @@
 import { LeaderElection } from '../../src/controller/election/leader-election.js';
 import { HeartbeatHandler } from '../../src/controller/heartbeats/heartbeat-handler.js';
 import { Leader, schedulerPolicy } from '../../src/controller/leader/leader.js';
-import { NoResponseError } from '../../src/http/client.js';
+import { NoResponseError } from '../../src/http/errors.js';
 import { createContext, type NextLimits } from './context.js';
 import { FakeStateService } from './state.js';
 import type { World } from './world.js';
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -3,8 +3,8 @@
   RequestRefusedError,
   RequestRejectedError,
   type TransactionResult,
-} from '../../src/clients/state-client.js';
-import { NoResponseError } from '../../src/http/client.js';
+} from '../../src/clients/key-value-store.js';
+import { NoResponseError } from '../../src/http/errors.js';
 import type {
   Change,
   Condition,
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -1,5 +1,5 @@
 import assert from 'node:assert/strict';
-import { NoResponseError, NotAttemptedError } from '../../src/http/client.js';
+import { NoResponseError, NotAttemptedError } from '../../src/http/errors.js';
 import type { ListedMachine } from '../../src/model/machine.js';
 import type { TaskCommand } from '../../src/model/task-command.js';
 import { FakeClock } from './clock.js';
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -3,7 +3,7 @@
 import { ControllerHealth } from '../src/controller/health.js';
 import { AgentCommands } from '../src/controller/leader/agent-commands.js';
 import { Peers } from '../src/controller/membership/peers.js';
-import { NoResponseError, NotAttemptedError } from '../src/http/client.js';
+import { NoResponseError, NotAttemptedError } from '../src/http/errors.js';
 import type { PeerStatus } from '../src/peer/peer-network.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,10 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  RequestRefusedError,
-  RequestRejectedError,
-  StateClient,
-} from '../src/clients/state-client.js';
+import { RequestRefusedError, RequestRejectedError } from '../src/clients/key-value-store.js';
+import { StateClient } from '../src/clients/state-client.js';
 import { stateLimitsOf } from '../src/config/state-limits.js';
 import { DemandStore } from '../src/controller/leader/demand-store.js';
 import { ProgressWriter } from '../src/controller/leader/progress-writer.js';
