--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -36,14 +36,14 @@
     signal: AbortSignal,
     fit: () => boolean,
   ): Promise<CommandResult> {
-    const response = await this.client(address).request(
-      'POST',
-      PATHS.commands,
-      commandsBody(token, session, commands),
-      this.timeoutMs,
+    const response = await this.client(address).request({
+      method: 'POST',
+      target: PATHS.commands,
+      body: commandsBody(token, session, commands),
+      timeoutMs: this.timeoutMs,
       signal,
-      fit,
-    );
+      isStillValid: fit,
+    });
     return { executed: response.status === 200, heartbeat: parseHeartbeat(response.body) };
   }
 
@@ -60,7 +60,7 @@
 
   private evictIdleClient(): void {
     for (const [address, client] of this.clients) {
-      if (!client.resting) continue;
+      if (!client.isIdle) continue;
       client.close();
       this.clients.delete(address);
       return;
@@ -75,7 +75,9 @@
       bodyLimit: BODY_LIMIT,
     });
     try {
-      return parseHeartbeat((await client.request('GET', PATHS.show, undefined, timeoutMs)).body);
+      return parseHeartbeat(
+        (await client.request({ method: 'GET', target: PATHS.show, timeoutMs })).body,
+      );
     } finally {
       client.close();
     }
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -68,14 +68,14 @@
     fit: () => boolean,
   ): Promise<string[] | null> {
     await this.awaitBudget(RequestPriority.users, signal);
-    const response = await this.http.request(
-      'POST',
-      PATHS.machines,
-      provisionBody(request),
-      this.options.timeoutMs,
+    const response = await this.http.request({
+      method: 'POST',
+      target: PATHS.machines,
+      body: provisionBody(request),
+      timeoutMs: this.options.timeoutMs,
       signal,
-      fit,
-    );
+      isStillValid: fit,
+    });
     if (response.status === 200) return parseProvisioned(response.body);
     const text = JSON.stringify(response.body);
     if (response.status === 503 && text.includes('no capacity')) return null;
@@ -95,14 +95,21 @@
   }
 
   private async call(
-    method: string,
+    method: 'GET' | 'POST',
     target: string,
     body: unknown,
     { signal, stillValid: fit, priority = RequestPriority.users }: CallOptions,
   ) {
     await this.awaitBudget(priority, signal);
     const { timeoutMs } = this.options;
-    const response = await this.http.request(method, target, body, timeoutMs, signal, fit);
+    const response = await this.http.request({
+      method,
+      target,
+      body,
+      timeoutMs,
+      signal,
+      isStillValid: fit,
+    });
     if (response.status !== 200) throw new NoResponseError(`cloud answered ${response.status}`);
     return response.body;
   }
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -131,13 +131,12 @@
   async watch(prefix: string, after: number, waitMs: number, signal?: AbortSignal) {
     await this.spend(RequestPriority.lead, 0, signal);
     try {
-      const response = await this.watchHttp.request(
-        'GET',
-        watchTarget(prefix, after, Math.round(waitMs)),
-        undefined,
-        waitMs + this.options.timeoutMs * 2,
+      const response = await this.watchHttp.request({
+        method: 'GET',
+        target: watchTarget(prefix, after, Math.round(waitMs)),
+        timeoutMs: waitMs + this.options.timeoutMs * 2,
         signal,
-      );
+      });
       if (response.status === 410) return null;
       return parseEvents(this.check(response).body);
     } catch (error) {
@@ -154,7 +153,7 @@
   }
 
   private async call(
-    method: string,
+    method: 'GET' | 'POST' | 'DELETE',
     target: string,
     body: unknown,
     priority: RequestPriority,
@@ -166,7 +165,7 @@
     const client = priority === RequestPriority.lead ? this.leadershipHttp : this.http;
     try {
       const response = this.check(
-        await client.request(method, target, body, this.options.timeoutMs, signal),
+        await client.request({ method, target, body, timeoutMs: this.options.timeoutMs, signal }),
         changes,
       );
       this.failingSince = null;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -6,7 +6,7 @@
 import { type Platform, parseAddress, quotasOf } from '../config/settings.js';
 import { stateLimitsOf } from '../config/state-limits.js';
 import { timingOf } from '../config/timing.js';
-import type { Message } from '../http/parser.js';
+import type { Message } from '../http/message.js';
 import { type Reply, serve } from '../http/server.js';
 import { parseHeartbeat } from '../protocol/agent-protocol.js';
 import { CANCEL_PATH, PATHS } from '../protocol/paths.js';
--- a/src/http/errors.ts
+++ b/src/http/errors.ts
@@ -1,9 +1,10 @@
 /**
- * Errors of an HTTP request that brought no usable answer. Each class says
- * what it proves about whether the request was carried out: whoever repeats a
- * change or drops a record decides by the class and never by the text.
+ * Errors of HTTP messages, and of requests that brought no usable answer. The
+ * class of the latter says what is proven about whether the request was carried
+ * out: whoever repeats a change or drops a record decides by the class and
+ * never by the text.
  *
- *     NoResponseError          may have been carried out
+ *     NoResponseError          may have been carried out, or may yet be
  *       ResponseTooLargeError  was answered, hence received
  *       NotSentError           was not carried out: it never left
  *         NotAttemptedError    likewise, and says nothing of the other side
@@ -27,3 +28,21 @@
  * whether the other side is reachable.
  */
 export class NotAttemptedError extends NotSentError {}
+
+/** The bytes are no HTTP message that is accepted here. */
+export class HttpParseError extends Error {
+  constructor(
+    /** Status of the answer, when the bytes were to be a request. */
+    readonly status: number,
+    message: string,
+  ) {
+    super(message);
+  }
+}
+
+/** The body is larger than this side accepts. */
+export class BodyTooLargeError extends HttpParseError {
+  constructor() {
+    super(400, 'body too large');
+  }
+}
--- /dev/null
+++ b/src/http/socket-reader.ts
@@ -0,0 +1,50 @@
+/** Reading of a socket with backpressure. */
+import type net from 'node:net';
+
+/**
+ * What arrives on a socket, a piece at a time. The stream's own iterator does
+ * the same and cost more than all the rest of a heartbeat's handling.
+ */
+export class SocketReader {
+  private readonly pieces: Buffer[] = [];
+  private deliver: ((piece: Buffer | null) => void) | null = null;
+  private ended = false;
+
+  constructor(private readonly socket: net.Socket) {
+    socket.on('data', (piece) => this.receive(piece));
+    socket.once('end', () => this.end());
+    socket.once('close', () => this.end());
+  }
+
+  /** The next piece, once it is there; null once nothing more comes. One call at a time. */
+  next(): Promise<Buffer | null> {
+    const piece = this.pieces.shift();
+    if (piece) return Promise.resolve(piece);
+    if (this.ended) return Promise.resolve(null);
+    if (this.socket.isPaused()) this.socket.resume();
+    return new Promise((resolve) => {
+      this.deliver = resolve;
+    });
+  }
+
+  private receive(piece: Buffer): void {
+    if (this.deliver) {
+      this.handOver(piece);
+      return;
+    }
+    // Nobody reads before the reply has left, so no more is taken from the network either.
+    this.pieces.push(piece);
+    this.socket.pause();
+  }
+
+  private end(): void {
+    this.ended = true;
+    this.handOver(null);
+  }
+
+  private handOver(piece: Buffer | null): void {
+    const { deliver } = this;
+    this.deliver = null;
+    deliver?.(piece);
+  }
+}
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -62,14 +62,17 @@
   const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
   mock.timers.enable({ apis: ['setTimeout', 'Date'] });
   try {
-    const broken = client.request('POST', '/', {}, 5000);
-    const impatient = client.request('POST', '/', {}, 500);
+    const broken = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 });
+    const impatient = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 500 });
     server.once('connection', (socket) => socket.once('data', () => socket.destroy()));
     await assert.rejects(broken);
     // The next connection is on its way when the request that it was meant for gives up.
     mock.timers.tick(500);
     await assert.rejects(impatient, NotSentError);
-    assert.equal((await client.request('POST', '/', {}, 5000)).status, 200);
+    assert.equal(
+      (await client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 })).status,
+      200,
+    );
   } finally {
     mock.timers.reset();
     client.close();
@@ -168,7 +171,12 @@
         { connections: 1, bodyLimit: 1000 },
       );
       for (const n of [1, 2, 3]) {
-        const response = await client.request('POST', '/x', { n }, 5000);
+        const response = await client.request({
+          method: 'POST',
+          target: '/x',
+          body: { n },
+          timeoutMs: 5000,
+        });
         assert.deepEqual(response, { status: 200, body: { got: `{"n":${n}}` } });
       }
       client.close();
@@ -205,7 +213,10 @@
   const { port } = server.address() as AddressInfo;
   await new Promise((resolve) => server.close(resolve));
   const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
-  await assert.rejects(client.request('GET', '/', undefined, 5000), NotSentError);
+  await assert.rejects(
+    client.request({ method: 'GET', target: '/', timeoutMs: 5000 }),
+    NotSentError,
+  );
 });
 
 test('what waited until its sender was no longer entitled does not leave', async () => {
@@ -218,15 +229,38 @@
   };
   await serving(handler, async (port) => {
     const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
-    const fit = () => entitled;
-    const first = client.request('POST', '/', {}, 5000, undefined, fit);
+    const isStillValid = () => entitled;
+    const first = client.request({
+      method: 'POST',
+      target: '/',
+      body: {},
+      timeoutMs: 5000,
+      isStillValid,
+    });
     // Waits for the only connection while the process stands still and its proof runs out.
-    const second = client.request('POST', '/', {}, 5000, undefined, fit);
+    const second = client.request({
+      method: 'POST',
+      target: '/',
+      body: {},
+      timeoutMs: 5000,
+      isStillValid,
+    });
     assert.equal((await first).status, 200);
     await assert.rejects(second, NotSentError);
     assert.equal(served, 1);
     entitled = true;
-    assert.equal((await client.request('POST', '/', {}, 5000, undefined, fit)).status, 200);
+    assert.equal(
+      (
+        await client.request({
+          method: 'POST',
+          target: '/',
+          body: {},
+          timeoutMs: 5000,
+          isStillValid,
+        })
+      ).status,
+      200,
+    );
     client.close();
   });
 });
@@ -355,7 +389,10 @@
   const { port } = server.address() as AddressInfo;
   const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
   for (let i = 0; i < 3; i++)
-    await assert.rejects(client.request('POST', '/', {}, 5000), /closed|JSON|status line/);
+    await assert.rejects(
+      client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 }),
+      /closed|JSON|status line/,
+    );
   client.close();
   server.close();
 });
--- a/test/parser.test.ts
+++ b/test/parser.test.ts
@@ -1,6 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HttpError, type Message, Parser, REQUEST_LIMITS } from '../src/http/parser.js';
+import { HttpParseError } from '../src/http/errors.js';
+import type { Message } from '../src/http/message.js';
+import { Parser, REQUEST_LIMITS } from '../src/http/parser.js';
 
 function request(text: string): Message[] {
   return new Parser('request', REQUEST_LIMITS).push(Buffer.from(text, 'latin1'));
@@ -10,7 +12,7 @@
   try {
     request(text);
   } catch (error) {
-    if (error instanceof HttpError) return error.status;
+    if (error instanceof HttpParseError) return error.status;
     throw error;
   }
   return 0;
