--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,17 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  RequestRefusedError,
-  RequestRejectedError,
-  StateClient,
-} from '../src/clients/state-client.js';
+import { RequestRefusedError, RequestRejectedError } from '../src/clients/key-value-store.js';
+import { StateClient } from '../src/clients/state-client.js';
 import { stateLimitsOf } from '../src/config/state-limits.js';
 import { DemandStore } from '../src/controller/leader/demand-store.js';
 import { ProgressWriter } from '../src/controller/leader/progress-writer.js';
 import { serve } from '../src/http/server.js';
 import type { RosterEntry } from '../src/model/machine.js';
 import { FrameReader, packFrame } from '../src/peer/frames.js';
-import { fencingToken, truncateCommands } from '../src/protocol/wire.js';
+import { fencingToken, truncateCommands } from '../src/protocol/agent-protocol.js';
 import { BitmapLayout } from '../src/records/bitmap-layout.js';
 import { decodeJobSpec } from '../src/records/job-record.js';
 import { pendingWrites } from '../src/scheduler/persistence/durable-writes.js';
