--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -1,18 +1,6 @@
-import type { JobSpec } from '../../model/job.js';
+import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Machine } from '../state/machine.js';
-import type { Batch } from './ready-queue.js';
-
-/** What the rules of a job look at in a machine. */
-export type MachineTraits = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
-
-export function satisfiesConstraints(m: MachineTraits, spec: JobSpec): boolean {
-  return (
-    (spec.machineTypes === null || spec.machineTypes.includes(m.typeName)) &&
-    (spec.zone === null || spec.zone === m.zone) &&
-    (spec.allowsSpot || !m.spot)
-  );
-}
 
 /** Takes new tasks at all. */
 export function acceptsTasks(cluster: ClusterState, machine: Machine, now: number): boolean {
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -1,15 +1,12 @@
 import { EPSILON, type ResourceUsage } from '../../model/resources.js';
+import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
+import { satisfiesConstraints } from '../state/constraints.js';
 import type { Job } from '../state/job.js';
 import { type Machine, slotsOnType, type TaskAttempt } from '../state/machine.js';
-import {
-  acceptsTasks,
-  consumeReservation,
-  respectsReservation,
-  satisfiesConstraints,
-} from './feasibility.js';
+import { acceptsTasks, consumeReservation, respectsReservation } from './feasibility.js';
 import { type FreeCapacity, preempt } from './preemption.js';
-import { type Batch, isReady, readyBatches } from './ready-queue.js';
+import { isReady, readyBatches } from './ready-queue.js';
 
 /** About this part of the machines may be held free for such tasks at a time. */
 const RESERVED_MACHINES_SHARE = 0.1;
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -1,10 +1,11 @@
 import type { JobSpec } from '../../model/job.js';
 import type { MachineType } from '../../model/machine.js';
 import { EPSILON } from '../../model/resources.js';
+import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
+import { satisfiesConstraints } from '../state/constraints.js';
 import type { Machine, TaskAttempt } from '../state/machine.js';
-import { addReservation, satisfiesConstraints } from './feasibility.js';
-import type { Batch } from './ready-queue.js';
+import { addReservation } from './feasibility.js';
 
 /** A part of the aim on waiting, or on guarantees, that passes before others are stopped. */
 const PRIORITY_PATIENCE = 0.2;
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -1,5 +1,5 @@
-import type { JobSpec } from '../../model/job.js';
 import { EPSILON, type ResourceUsage } from '../../model/resources.js';
+import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/job.js';
 
@@ -10,20 +10,6 @@
 /** Below this step of waitingCost no aim is near enough to matter. */
 const MIN_COST_STEP = -50;
 
-/** Ready tasks of like image and request, in the order of the pool. */
-export interface Batch {
-  spec: JobSpec;
-  /** The rank of its jobs, which may be that of a job that needs them. */
-  priority: number;
-  withinGuarantee: boolean;
-  /** What waiting costs its jobs, in steps of a factor of two. */
-  costStep: number;
-  /** The first task of a job that has waited for too long. */
-  starving: boolean;
-  jobs: Job[];
-  count: number;
-}
-
 /**
  * Ready: accepted, not over, not held back, and every job upstream durably
  * done. A task of an inherited job that shows on no confirmed
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../../model/job.js';
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
 import type { ResourceUsage } from '../../model/resources.js';
-import { type MachineTraits, satisfiesConstraints } from '../placement/feasibility.js';
+import { type MachineTraits, satisfiesConstraints } from '../state/constraints.js';
 import type { Machine } from '../state/machine.js';
 
 interface InheritedPool {
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -1,7 +1,7 @@
 import { machinePoolKey } from '../../model/machine.js';
-import { satisfiesConstraints } from '../placement/feasibility.js';
 import { hasPlaceableTasks } from '../placement/ready-queue.js';
 import type { ClusterState } from '../state/cluster-state.js';
+import { satisfiesConstraints } from '../state/constraints.js';
 import type { DrainReason, Machine } from '../state/machine.js';
 
 /** A machine that should go back to the cloud. */
