--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -164,6 +164,6 @@
   private applyResponse(machine: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.machineId !== machine.id) return;
     if (heartbeat.term > this.term.number) this.term.resign('a worker knows a higher token');
-    else this.cluster.applyHeartbeat(heartbeat, false, this.ctx.clock.now());
+    else this.cluster.applyHeartbeat(heartbeat, 'commandReply', this.ctx.clock.now());
   }
 }
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -135,21 +135,21 @@
     workers: Pick<AgentClient, 'command' | 'retainOnly' | 'close'>,
   ) {
     const { workers: agents, objectives } = ctx.platform.settings;
-    this.cluster = new ClusterState(
-      term.number,
-      ctx.quotas,
-      {
+    this.cluster = new ClusterState({
+      term: term.number,
+      quotas: ctx.quotas,
+      timing: {
         heartbeatMs: agents.report_s * 1000,
         agentLeaseMs: ctx.timing.agentLeaseMs,
         listProofMs: ctx.timing.listProofMs,
         unreachableAfterMs: ctx.timing.unreachableAfterMs,
       },
       policy,
-      serviceObjectivesOf(objectives ?? []),
-      BitmapLayout.forValues(ctx.limits.presentValueBytes, ctx.limits.valueBytes),
-      (message, fields) => ctx.log.info({ term: term.number, ...fields }, message),
-      ctx.limits.valueBytes * ROSTER_PAGE_SHARE,
-    );
+      objectives: serviceObjectivesOf(objectives ?? []),
+      bitmaps: BitmapLayout.forValues(ctx.limits.presentValueBytes, ctx.limits.valueBytes),
+      logDecision: (message, fields) => ctx.log.info({ term: term.number, ...fields }, message),
+      rosterPageBytes: ctx.limits.valueBytes * ROSTER_PAGE_SHARE,
+    });
     this.scaleOut = new ScaleOutPlanner(this.cluster);
     this.demandStore = new DemandStore(ctx, term, this.scaleOut);
     this.cluster.onMachineTerminated = (machine) =>
@@ -369,7 +369,7 @@
   ): { orders: TaskCommand[]; fence: number } {
     const { cluster, term, ctx } = this;
     const now = ctx.clock.now();
-    const taken = cluster.applyHeartbeat(heartbeat, true, now);
+    const taken = cluster.applyHeartbeat(heartbeat, 'heartbeat', now);
     const machine = cluster.machines.get(heartbeat.machineId);
     // An answer under a lower fence than the machine knows would be dropped.
     if (!taken || !machine)
--- /dev/null
+++ b/src/scheduler/reconcile/failure-attribution.ts
@@ -0,0 +1,84 @@
+/** Tells a machine on which several jobs fail from a job that fails on several machines. */
+import type { SchedulerPolicy, SchedulerTiming } from '../../model/policy.js';
+import type { DecisionLogger } from '../state/decision-log.js';
+import type { Job } from '../state/job.js';
+import type { Machine, TaskAttempt } from '../state/machine.js';
+import type { MachineRegistry } from '../state/machine-registry.js';
+
+/** The back-off of a failing job doubles with each further machine, at most this often. */
+const MAX_BACKOFF_DOUBLINGS = 6;
+/** The most that a failing job backs off, in agent leases. */
+const MAX_BACKOFF_LEASES = 1.5;
+/** A failing job is logged at its third failure and then at every eighth. */
+const LOG_EVERY_FAILURES = 8;
+const FIRST_LOGGED_FAILURE = 3;
+/** A failed task waits for this part of a heartbeat interval for each machine on which its job failed. */
+const RETRY_DELAY_HEARTBEATS = 0.5;
+/** Further machines add nothing to that delay. */
+const MAX_RETRY_DELAY_STEPS = 4;
+
+/** What failures are attributed by. */
+export interface FailureAttributionOptions {
+  timing: SchedulerTiming;
+  policy: SchedulerPolicy;
+  machines: MachineRegistry;
+  logDecision: DecisionLogger;
+}
+
+/** Attributes each failed task: a failing job backs off, a failing machine is quarantined. */
+export class FailureAttribution {
+  private readonly timing: SchedulerTiming;
+  private readonly policy: SchedulerPolicy;
+  private readonly machines: MachineRegistry;
+  private readonly logDecision: DecisionLogger;
+
+  constructor(options: FailureAttributionOptions) {
+    this.timing = options.timing;
+    this.policy = options.policy;
+    this.machines = options.machines;
+    this.logDecision = options.logDecision;
+  }
+
+  /** A task exited with an error; it is retried after a delay. */
+  record(attempt: TaskAttempt, now: number): void {
+    const { job, machine } = attempt;
+    job.failures++;
+    job.failedMachines.add(machine.id);
+    if (this.isFailingJob(job)) this.backOff(job, now);
+    else this.recordOnMachine(machine, job);
+    const delaySteps = Math.min(MAX_RETRY_DELAY_STEPS, job.failedMachines.size);
+    job.removeAttempt(attempt, now + this.timing.heartbeatMs * RETRY_DELAY_HEARTBEATS * delaySteps);
+  }
+
+  /** A job that succeeded nowhere and failed on several machines is at fault itself. */
+  private isFailingJob(job: Job): boolean {
+    return !job.succeeded && job.failedMachines.size >= this.policy.failingJobMachines;
+  }
+
+  private backOff(job: Job, now: number): void {
+    const { heartbeatMs, agentLeaseMs } = this.timing;
+    // Its failures no longer speak against the machines.
+    for (const machine of this.machines.machines.values()) machine.failedJobs.delete(job.spec.id);
+    const doublings = Math.min(
+      MAX_BACKOFF_DOUBLINGS,
+      job.failedMachines.size - this.policy.failingJobMachines,
+    );
+    job.backoffUntil =
+      now + Math.min(agentLeaseMs * MAX_BACKOFF_LEASES, heartbeatMs * 2 ** doublings);
+    if (job.failures % LOG_EVERY_FAILURES === FIRST_LOGGED_FAILURE)
+      this.logDecision('job fails on several machines, backing off', {
+        job: job.spec.id,
+        machines: job.failedMachines.size,
+      });
+  }
+
+  private recordOnMachine(machine: Machine, job: Job): void {
+    machine.failedJobs.set(job.spec.id, (machine.failedJobs.get(job.spec.id) ?? 0) + 1);
+    let failures = 0;
+    for (const count of machine.failedJobs.values()) failures += count;
+    const severalJobs = machine.failedJobs.size >= this.policy.quarantineJobs;
+    // The job is known to succeed elsewhere.
+    const manyFailures = failures >= this.policy.quarantineFailures && job.succeeded;
+    if (severalJobs || manyFailures) this.machines.drain(machine, 'sick');
+  }
+}
--- /dev/null
+++ b/src/scheduler/reconcile/heartbeat-reconciliation.ts
@@ -0,0 +1,141 @@
+/** Application of heartbeats to the cluster state: which are newer than what is known, and what they prove. */
+import type { Heartbeat } from '../../model/heartbeat.js';
+import type { DecisionLogger } from '../state/decision-log.js';
+import type { Machine } from '../state/machine.js';
+import type { MachineRegistry } from '../state/machine-registry.js';
+import type { RoundTrigger } from '../state/round-trigger.js';
+import type { TaskAttempts } from '../state/task-attempts.js';
+import type { ZoneLivenessTracker } from '../state/zone-liveness.js';
+import type { AgentResponsiveness } from './agent-responsiveness.js';
+import type { HeartbeatSource } from './heartbeat-source.js';
+import type { PreemptionNotices } from './preemption-notices.js';
+import type { TaskListReconciliation } from './task-list-reconciliation.js';
+
+/** What heartbeats are applied to. */
+export interface HeartbeatReconciliationOptions {
+  term: number;
+  machines: MachineRegistry;
+  attempts: TaskAttempts;
+  taskLists: TaskListReconciliation;
+  preemptionNotices: PreemptionNotices;
+  responsiveness: AgentResponsiveness;
+  zoneLiveness: ZoneLivenessTracker;
+  roundTrigger: RoundTrigger;
+  logDecision: DecisionLogger;
+}
+
+/**
+ * Applies heartbeats in the order of the agent's epoch and sequence number.
+ * Invariant: what is older than the last one applied changes nothing, and only
+ * a heartbeat under the leader's own term proves anything about tasks.
+ */
+export class HeartbeatReconciliation {
+  private readonly term: number;
+  private readonly machines: MachineRegistry;
+  private readonly attempts: TaskAttempts;
+  private readonly taskLists: TaskListReconciliation;
+  private readonly preemptionNotices: PreemptionNotices;
+  private readonly responsiveness: AgentResponsiveness;
+  private readonly zoneLiveness: ZoneLivenessTracker;
+  private readonly roundTrigger: RoundTrigger;
+  private readonly logDecision: DecisionLogger;
+
+  constructor(options: HeartbeatReconciliationOptions) {
+    this.term = options.term;
+    this.machines = options.machines;
+    this.attempts = options.attempts;
+    this.taskLists = options.taskLists;
+    this.preemptionNotices = options.preemptionNotices;
+    this.responsiveness = options.responsiveness;
+    this.zoneLiveness = options.zoneLiveness;
+    this.roundTrigger = options.roundTrigger;
+    this.logDecision = options.logDecision;
+  }
+
+  /** Applies a heartbeat. Returns false when it is older than what is known, or a late copy. */
+  apply(heartbeat: Heartbeat, source: HeartbeatSource, now: number): boolean {
+    // A late copy of a heartbeat must not bring a terminated machine back.
+    if (this.machines.tombstones.has(heartbeat.machineId)) return false;
+    const known = this.machines.get(heartbeat.machineId);
+    if (!known && !this.provesExistence(heartbeat)) return false;
+    const machine = known ?? this.register(heartbeat, now);
+    if (!isNewer(heartbeat, machine)) return false;
+    if (heartbeat.agentEpoch > machine.agentEpoch)
+      this.beginAgentEpoch(machine, heartbeat.agentEpoch, now);
+    machine.lastSequence = heartbeat.sequence;
+    machine.address = heartbeat.address;
+    if (!machine.inRoster && !machine.rosterWritePending)
+      this.machines.pendingRosterAdds.add(machine);
+    if (heartbeat.term === this.term) this.applyCurrentTerm(machine, heartbeat, source, now);
+    return true;
+  }
+
+  /**
+   * Whether the heartbeat of a machine that is not known shows that it exists.
+   * Only under our own term it can't be a late copy from before: an older one
+   * proves neither that the machine is alive nor that it exists. The answer to
+   * that raises the agent's fencing token, and it sends the next one at once.
+   */
+  private provesExistence(heartbeat: Heartbeat): boolean {
+    return (
+      heartbeat.term === this.term && !this.machines.tombstones.mayBeTerminated(heartbeat.machineId)
+    );
+  }
+
+  private register(heartbeat: Heartbeat, now: number): Machine {
+    const { machineId: id, type, zone, spot } = heartbeat;
+    return this.machines.register({ id, type, zone, spot, ageS: 0 }, now);
+  }
+
+  /** The agent's lease ran out or its machine restarted: all that it ran has ended. */
+  private beginAgentEpoch(machine: Machine, agentEpoch: number, now: number): void {
+    if (machine.agentEpoch > 0) {
+      const lostTasks = this.attempts.releaseAll(machine);
+      this.logDecision('new agent epoch', { machine: machine.id, agentEpoch, lostTasks });
+      // Its heartbeats arrive, but no answer renewed its lease: it has to show that commands reach it.
+      this.responsiveness.markUnresponsive(machine, now);
+    }
+    machine.agentEpoch = agentEpoch;
+    machine.confirmed = false;
+  }
+
+  /** A heartbeat under our own term: proof that the machine is alive, with the whole list of its tasks. */
+  private applyCurrentTerm(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    source: HeartbeatSource,
+    now: number,
+  ): void {
+    this.recordLiveness(machine, now);
+    const newNotice = this.preemptionNotices.record(machine, heartbeat.preemptionNoticeS, now);
+    this.confirm(machine);
+    this.taskLists.reconcile(machine, heartbeat, source, now);
+    // Only now, since it looks at the tasks as the machine lists them.
+    if (newNotice) this.preemptionNotices.evacuate(machine, heartbeat.preemptionNoticeS ?? 0, now);
+  }
+
+  private recordLiveness(machine: Machine, now: number): void {
+    machine.lastHeartbeatAt = now;
+    machine.missingFromList = false;
+    this.zoneLiveness.recordHeartbeat(machine.zone, now);
+    if (machine.upAt === null) {
+      machine.upAt = now;
+      machine.idleSince = now;
+    }
+    if (machine.drainReason === 'silent' || machine.drainReason === 'no boot')
+      machine.drainReason = null;
+  }
+
+  /** Until then a command of an earlier leader might still have been executed; from here on the list is whole. */
+  private confirm(machine: Machine): void {
+    if (machine.confirmed) return;
+    machine.confirmed = true;
+    this.machines.inheritedMachines.resolve(machine);
+    this.roundTrigger.request();
+  }
+}
+
+function isNewer(heartbeat: Heartbeat, machine: Machine): boolean {
+  if (heartbeat.agentEpoch !== machine.agentEpoch) return heartbeat.agentEpoch > machine.agentEpoch;
+  return heartbeat.sequence > machine.lastSequence;
+}
--- /dev/null
+++ b/src/scheduler/reconcile/task-exits.ts
@@ -0,0 +1,90 @@
+/** What follows from the exit of a task, by its cause. */
+import type { TaskStatus } from '../../model/heartbeat.js';
+import type { SchedulerTiming } from '../../model/policy.js';
+import type { BitmapLayout } from '../../records/bitmap-layout.js';
+import { assertNever } from '../../runtime/assert-never.js';
+import type { TaskAttempt } from '../state/machine.js';
+import type { TaskAttempts } from '../state/task-attempts.js';
+import type { WorkEstimates } from '../state/work-estimates.js';
+import type { FailureAttribution } from './failure-attribution.js';
+
+/** What exits are applied to. */
+export interface TaskExitsOptions {
+  timing: SchedulerTiming;
+  bitmaps: BitmapLayout;
+  attempts: TaskAttempts;
+  estimates: WorkEstimates;
+  failures: FailureAttribution;
+}
+
+/**
+ * Applies exits. Invariant: the agent keeps a successful exit in its list
+ * until the task is durably done, so that a failover in between loses nothing.
+ */
+export class TaskExits {
+  private readonly timing: SchedulerTiming;
+  private readonly bitmaps: BitmapLayout;
+  private readonly attempts: TaskAttempts;
+  private readonly estimates: WorkEstimates;
+  private readonly failures: FailureAttribution;
+
+  constructor(options: TaskExitsOptions) {
+    this.timing = options.timing;
+    this.bitmaps = options.bitmaps;
+    this.attempts = options.attempts;
+    this.estimates = options.estimates;
+    this.failures = options.failures;
+  }
+
+  /** The machine lists the attempt as exited for the first time. */
+  apply(attempt: TaskAttempt, { cause }: TaskStatus, now: number): void {
+    const { job, machine } = attempt;
+    this.attempts.recordExit(attempt, now);
+    switch (cause) {
+      case 'done':
+        this.recordSuccess(attempt, now);
+        return;
+      case 'error':
+        this.failures.record(attempt, now);
+        return;
+      case 'no_room':
+        machine.admissionBackoffUntil = now + this.timing.heartbeatMs;
+        job.removeAttempt(attempt, 0);
+        return;
+      case 'unknown':
+        job.removeAttempt(attempt, now + this.timing.heartbeatMs);
+        return;
+      case 'stopped':
+      case 'busy':
+      case null:
+        job.removeAttempt(attempt, 0);
+        return;
+      default:
+        assertNever(cause);
+    }
+  }
+
+  private recordSuccess(attempt: TaskAttempt, now: number): void {
+    const { job, machine } = attempt;
+    this.estimates.recordDuration(attempt, now);
+    job.failedMachines.clear();
+    job.failures = 0;
+    job.succeeded = true;
+    machine.failedJobs.clear();
+    const other = job.activeAttempts.get(attempt.index);
+    const firstSuccess = job.markDone(attempt.index);
+    job.removeAttempt(attempt, 0);
+    if (other && other !== attempt) this.attempts.stop(other, 0);
+    if (firstSuccess && !job.ended) this.awaitDurability(attempt);
+  }
+
+  /** The attempt may be forgotten only once the bit of its task is written. */
+  private awaitDurability(attempt: TaskAttempt): void {
+    const { job } = attempt;
+    attempt.mayBeForgotten = false;
+    const chunk = this.bitmaps.chunkOf(attempt.index);
+    const waiting = job.unsavedChunks.get(chunk);
+    if (waiting) waiting.push(attempt);
+    else job.unsavedChunks.set(chunk, [attempt]);
+  }
+}
--- /dev/null
+++ b/src/scheduler/reconcile/task-list-reconciliation.ts
@@ -0,0 +1,136 @@
+/** Brings the task attempts that are known of a machine in line with the list in its heartbeat. */
+import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
+import type { Job } from '../state/job.js';
+import { attemptKey, type Machine, type TaskAttempt } from '../state/machine.js';
+import type { TaskAttempts } from '../state/task-attempts.js';
+import type { AgentResponsiveness } from './agent-responsiveness.js';
+import type { HeartbeatSource } from './heartbeat-source.js';
+import type { TaskExits } from './task-exits.js';
+import type { UnknownTasks } from './unknown-tasks.js';
+
+/** What task lists are applied to. */
+export interface TaskListReconciliationOptions {
+  /** The live jobs. */
+  jobs: ReadonlyMap<string, Job>;
+  attempts: TaskAttempts;
+  exits: TaskExits;
+  unknownTasks: UnknownTasks;
+  responsiveness: AgentResponsiveness;
+}
+
+/**
+ * Invariant: an attempt that a machine does not list is released only when its
+ * start can't take effect any more; otherwise the task could run twice.
+ */
+export class TaskListReconciliation {
+  private readonly jobs: ReadonlyMap<string, Job>;
+  private readonly attempts: TaskAttempts;
+  private readonly exits: TaskExits;
+  private readonly unknownTasks: UnknownTasks;
+  private readonly responsiveness: AgentResponsiveness;
+
+  constructor(options: TaskListReconciliationOptions) {
+    this.jobs = options.jobs;
+    this.attempts = options.attempts;
+    this.exits = options.exits;
+    this.unknownTasks = options.unknownTasks;
+    this.responsiveness = options.responsiveness;
+  }
+
+  /** Applies the whole task list of a heartbeat under our own term. */
+  reconcile(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, now: number): void {
+    machine.fence = Math.max(machine.fence, heartbeat.fence);
+    machine.acknowledgedFence = Math.max(machine.acknowledgedFence, heartbeat.fence);
+    const listedKeys = new Set<string>();
+    const unknownTasks: TaskStatus[] = [];
+    for (const task of heartbeat.tasks) {
+      const key = attemptKey(task.jobId, task.index, task.attempt);
+      listedKeys.add(key);
+      const attempt = machine.attempts.get(key) ?? this.adopt(task, machine, now);
+      if (attempt) this.applyStatus(attempt, task, now);
+      else unknownTasks.push(task);
+    }
+    this.unknownTasks.record(machine, unknownTasks);
+    const answeredSequence = source === 'heartbeat' ? heartbeat.sequence : null;
+    this.releaseUnlisted(machine, listedKeys, answeredSequence, now);
+  }
+
+  /** Adopts a listed task of a live job that is not known on this machine; null: there is no such job. */
+  private adopt(task: TaskStatus, machine: Machine, now: number): TaskAttempt | null {
+    const job = this.jobs.get(task.jobId);
+    if (!job || task.index >= job.spec.tasks) return null;
+    return this.attempts.adopt(job, task, machine, now);
+  }
+
+  private applyStatus(attempt: TaskAttempt, task: TaskStatus, now: number): void {
+    if (task.state === 'exited') {
+      if (attempt.state !== 'exited') this.exits.apply(attempt, task, now);
+      return;
+    }
+    // The start that was sent has taken effect.
+    if (attempt.state === 'assigned') this.responsiveness.markResponsive(attempt.machine);
+    if (task.state === 'running' && attempt.runningSince === null) {
+      attempt.runningSince = now;
+      attempt.machine.recordImageUse(attempt.job.spec);
+    }
+    attempt.state = task.state;
+  }
+
+  /**
+   * Attempts that the list leaves out have ended or never began.
+   * `answeredSequence` is null for the heartbeat in a command's reply.
+   */
+  private releaseUnlisted(
+    machine: Machine,
+    listedKeys: ReadonlySet<string>,
+    answeredSequence: number | null,
+    now: number,
+  ): void {
+    let startLost = false;
+    for (const [key, attempt] of machine.attempts) {
+      const fencedOff = clearFencedCommand(attempt, machine);
+      if (listedKeys.has(key)) continue;
+      if (attempt.state === 'exited') machine.removeAttempt(attempt);
+      else if (attempt.state !== 'assigned') this.attempts.release(attempt, 0);
+      else if (this.releaseUnstarted(attempt, fencedOff, answeredSequence)) startLost = true;
+    }
+    if (startLost) this.responsiveness.recordMissedAcknowledgement(machine, now);
+  }
+
+  /**
+   * Releases an unlisted attempt whose start can't reach the machine any more.
+   * Returns true when it was lost with the answer to a heartbeat.
+   */
+  private releaseUnstarted(
+    attempt: TaskAttempt,
+    fencedOff: boolean,
+    answeredSequence: number | null,
+  ): boolean {
+    // It left by a direct command alone, which is refused from here on.
+    const refused = fencedOff && attempt.startSentSequence === null;
+    const lost = !refused && answeredSequence !== null && isStartLost(attempt, answeredSequence);
+    if (refused || lost) this.attempts.release(attempt, 0);
+    return lost;
+  }
+}
+
+/** Whether the machine now refuses the direct command with the attempt's start, copies of it too. */
+function clearFencedCommand(attempt: TaskAttempt, machine: Machine): boolean {
+  const { directCommandFence } = attempt;
+  if (directCommandFence === null || directCommandFence >= machine.acknowledgedFence) return false;
+  attempt.directCommandFence = null;
+  return true;
+}
+
+/**
+ * Whether the answer that carried the start was dropped: an agent sends one
+ * heartbeat at a time and drops answers that come late, so a later heartbeat
+ * that does not list the attempt proves it.
+ */
+function isStartLost(attempt: TaskAttempt, sequence: number): boolean {
+  return (
+    attempt.startSentSequence !== null &&
+    sequence > attempt.startSentSequence &&
+    attempt.directCommandFence === null
+  );
+}
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -183,7 +183,7 @@
 
   private answer(heartbeat: Heartbeat, cluster: ClusterState): TaskCommand[] {
     if (heartbeat.term > cluster.term) return [];
-    if (!cluster.applyHeartbeat(heartbeat, true, this.now)) return [];
+    if (!cluster.applyHeartbeat(heartbeat, 'heartbeat', this.now)) return [];
     // A leader that another has followed has no proof any more and starts nothing.
     if (cluster !== this.c) return [];
     this.started += runPlacementRound(cluster, 32, this.now).started.length;
@@ -225,7 +225,8 @@
       cmd.worker.execute(cmd.term.term, cmd.orders, cmd.fence);
     if (copied || this.pick(3) === 0) return;
     const heartbeat = cmd.worker.heartbeat();
-    if (heartbeat.term <= cmd.term.term) cmd.term.applyHeartbeat(heartbeat, false, this.now);
+    if (heartbeat.term <= cmd.term.term)
+      cmd.term.applyHeartbeat(heartbeat, 'commandReply', this.now);
     cmd.term.applyCommandResult(cmd.starts, executed, heartbeat.sequence);
   }
 
--- a/test/job-graph.test.ts
+++ b/test/job-graph.test.ts
@@ -40,7 +40,7 @@
   assert.deepEqual(w.running().sort(), [`${id(1)}/0`, `${id(2)}/0`]);
   // Their exits alone are not enough: a cancellation may still win.
   for (const key of [...w.tasks.keys()]) w.exit(key, 'done');
-  cluster.applyHeartbeat(w.heartbeat(), true, 100);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
   assert.equal(runPlacementRound(cluster, 32, 200).started.length, 0);
   const ends = pendingWrites(cluster, { progressChanges: 9, wallNow: 7000 });
   ends[0]?.applied(11);
@@ -117,7 +117,7 @@
   runPlacementRound(cluster, 32, 0);
   w.execute(cluster.term, takePendingCommands(cluster.machines.get('n-1') as never).commands);
   w.exit([...w.tasks.keys()][0] as string, 'done');
-  cluster.applyHeartbeat(w.heartbeat(), true, 100);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
   const [end] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   end?.conflict([`live/${id(1)}`]);
   assert.deepEqual(
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -50,7 +50,7 @@
   cluster.addJob(jobSpec({ ...shape, id: 'req-000004' }), 4, now - 1000, false);
   cluster.applyHeartbeat(
     { ...new ScriptedAgent('n-1').heartbeat(), term: 1, sequence: 9 },
-    true,
+    'heartbeat',
     now,
   );
   assert.deepEqual(names(runPlacementRound(cluster, 32, now)), [
@@ -137,7 +137,7 @@
       [...machine.attempts.values()].filter((attempt) => attempt.stopRequest),
     );
   assert.equal(stopped().length, 0);
-  cluster.applyHeartbeat(w.heartbeat(), true, 11_900);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 11_900);
   runPlacementRound(cluster, 32, 12_000);
   runPlacementRound(cluster, 32, 12_100);
   assert.deepEqual(
@@ -180,13 +180,13 @@
       stopped++;
       w.exit(`${stopping.job.spec.id}/${stopping.index}/${stopping.attempt}`, 'stopped');
     }
-    cluster.applyHeartbeat(w.heartbeat(), true, now);
+    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
     placeOnMachine(cluster, machine, 32, now);
     w.execute(
       cluster.term,
       cluster.heartbeatCommands(machine).filter((command) => command.op !== 'stop'),
     );
-    cluster.applyHeartbeat(w.heartbeat(), true, now);
+    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
   }
   assert.equal(stopped, 4);
   assert.equal(w.running().filter((t) => t.startsWith('req-000002')).length, 1);
@@ -239,7 +239,7 @@
   sendHeartbeat(cluster, w, 0);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, team: 'ops' }), 2, 0, false);
   cluster.addJob(jobSpec({ id: 'req-000003', tasks: 2, team: 'vip' }), 3, 0, false);
-  cluster.applyHeartbeat(w.heartbeat(), true, 19_900);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 19_900);
   runPlacementRound(cluster, 32, 20_000);
   const stopped = [...(cluster.machines.get('n-1')?.attempts.values() ?? [])].filter(
     (attempt) => attempt.stopRequest,
@@ -299,7 +299,7 @@
   sendHeartbeat(cluster, w, 200);
   assert.equal(placeOnMachine(cluster, machine, 32, 200).length, 0);
   for (const key of [...w.tasks.keys()].slice(0, 2)) w.exit(key, 'done');
-  cluster.applyHeartbeat(w.heartbeat(), true, 300);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 300);
   // The other zone's task can't come here; the rest follows the pool's order.
   assert.deepEqual(
     placeOnMachine(cluster, machine, 32, 300).map((attempt) => attempt.job.spec.id),
@@ -314,7 +314,7 @@
   sendHeartbeat(clusterState, v, 200);
   v.exit([...v.tasks.keys()][0] as string, 'done');
   clusterState.endJob('req-000001', { state: 'cancelled', at: null });
-  clusterState.applyHeartbeat(v.heartbeat(), true, 300);
+  clusterState.applyHeartbeat(v.heartbeat(), 'heartbeat', 300);
   const candidate = clusterState.machines.get('n-1');
   assert.ok(candidate);
   assert.equal(placeOnMachine(clusterState, candidate, 32, 300).length, 0);
@@ -353,15 +353,15 @@
     cluster.addJob(jobSpec({ id: `req-1${++id}`, tasks: 2, priority: 0 }), id, now, false);
     const running = [...w.tasks].filter(([, t]) => t.state === 'running');
     for (const [key] of running.slice(0, 2)) w.exit(key, 'done');
-    cluster.applyHeartbeat(w.heartbeat(), true, now);
+    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
     const machine = cluster.machines.get('n-1');
     assert.ok(machine);
     placeOnMachine(cluster, machine, 32, now);
     w.execute(1, cluster.heartbeatCommands(machine));
-    cluster.applyHeartbeat(w.heartbeat(), true, now + 100);
+    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now + 100);
     runPlacementRound(cluster, 32, now + 200);
     w.execute(1, cluster.heartbeatCommands(machine));
-    cluster.applyHeartbeat(w.heartbeat(), true, now + 300);
+    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now + 300);
   };
   while (now < 120_000) turn();
   assert.equal(large.started, false);
@@ -394,7 +394,7 @@
   for (let now = 2000; !large.started && now < 20_000; now += 1000) {
     const first = [...w.tasks].find(([, t]) => t.state === 'running');
     if (first) w.exit(first[0], 'done');
-    cluster.applyHeartbeat(w.heartbeat(), true, now);
+    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
     const machine = cluster.machines.get('n-1');
     if (machine) placeOnMachine(cluster, machine, 32, now);
     runPlacementRound(cluster, 32, now + 100);
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -114,9 +114,9 @@
     job.unsavedChunks.set(cluster.bitmaps.chunkOf(index), []);
   }
   for (const worker of [new ScriptedAgent('n-1', 'a', true), new ScriptedAgent('n-2', 'b')]) {
-    cluster.applyHeartbeat(worker.heartbeat(), true, 0);
+    cluster.applyHeartbeat(worker.heartbeat(), 'heartbeat', 0);
     worker.execute(cluster.term, []);
-    cluster.applyHeartbeat(worker.heartbeat(), true, 0);
+    cluster.applyHeartbeat(worker.heartbeat(), 'heartbeat', 0);
   }
   const writes = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   for (const write of writes) await state.transact([], write.changes);
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -25,7 +25,7 @@
   // The answer that carries the start is lost.
   assert.equal(cluster.heartbeatCommands(machine).length, 1);
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
-  cluster.applyHeartbeat(w.heartbeat(), true, 100);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
   assert.equal(job.readyCount, 1);
   runPlacementRound(cluster, 32, 100);
   sendHeartbeat(cluster, w, 200);
@@ -41,10 +41,10 @@
   assert.ok(machine && job);
   const late = cluster.heartbeatCommands(machine);
   // A direct command is answered first, without the task.
-  cluster.applyHeartbeat(w.heartbeat(), false, 10);
+  cluster.applyHeartbeat(w.heartbeat(), 'commandReply', 10);
   assert.equal(job.readyCount, 0);
   w.execute(1, late);
-  cluster.applyHeartbeat(w.heartbeat(), true, 20);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 20);
   assert.equal(job.activeAttempts.get(0)?.state, 'running');
 });
 
@@ -58,8 +58,8 @@
   const { commands: orders } = takePendingCommands(machine);
   assert.equal(orders.length, 1);
   // No answer came, and several reports do not list it.
-  cluster.applyHeartbeat(w.heartbeat(), true, 100);
-  cluster.applyHeartbeat(w.heartbeat(), true, 200);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 200);
   assert.equal(job.readyCount, 0);
   const again = cluster.heartbeatCommands(machine);
   assert.deepEqual(again, orders);
@@ -98,7 +98,7 @@
   const answer = w.heartbeat();
   cluster.applyCommandResult(starts, true, answer.sequence);
   // A report from before the command must not undo it.
-  cluster.applyHeartbeat(older, true, 10);
+  cluster.applyHeartbeat(older, 'heartbeat', 10);
   assert.equal(job.readyCount, 0);
   cluster.drain(machine, 'notice');
   assert.equal(job.readyCount, 0);
@@ -120,7 +120,7 @@
   const job = cluster.addJob(jobSpec({ tasks: 6 }), 5, 0, true);
   assert.ok(job);
   // A report under the old token proves nothing, even when it lists nothing.
-  cluster.applyHeartbeat({ ...a.heartbeat(), tasks: [] }, true, 110);
+  cluster.applyHeartbeat({ ...a.heartbeat(), tasks: [] }, 'heartbeat', 110);
   assert.equal(runPlacementRound(cluster, 32, 110).started.length, 0);
   a.execute(2, []);
   sendHeartbeat(cluster, a, 120);
@@ -165,12 +165,12 @@
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, w, 10);
   sendHeartbeat(cluster, w, 20);
-  assert.equal(cluster.applyHeartbeat(early, true, 30), false);
+  assert.equal(cluster.applyHeartbeat(early, 'heartbeat', 30), false);
   assert.equal(job?.activeAttempts.size, 1);
   w.lapse();
   sendHeartbeat(cluster, w, 40);
   assert.equal(job?.readyCount, 1);
-  assert.equal(cluster.applyHeartbeat({ ...early, sequence: 999 }, true, 50), false);
+  assert.equal(cluster.applyHeartbeat({ ...early, sequence: 999 }, 'heartbeat', 50), false);
 });
 
 test('a finished task is durable before it is forgotten, and the job ends once', () => {
@@ -345,7 +345,7 @@
     state: 'running',
     cause: null,
   });
-  cluster.applyHeartbeat(w.heartbeat(), true, 30);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 30);
   assert.ok(cluster.unconfirmedUsage().cpus > 0);
   cluster.markTerminated('n-1', 'returned', 40);
   assert.equal(cluster.unconfirmedUsage().cpus, 0);
@@ -366,7 +366,7 @@
   assert.equal(cluster.machines.has('n-1'), false);
   assert.equal(job?.readyCount, 1);
   // Its late report does not bring it back.
-  assert.equal(cluster.applyHeartbeat(w.heartbeat(), true, 41_000), false);
+  assert.equal(cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 41_000), false);
   assert.equal(cluster.machines.has('n-1'), false);
 });
 
@@ -404,7 +404,7 @@
   sendHeartbeat(cluster, w, 0);
   sendHeartbeat(cluster, w, 0);
   w.preemptionNoticeS = 10;
-  cluster.applyHeartbeat(w.heartbeat(), true, 5000);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 5000);
   const stops = [...(cluster.machines.get('n-1')?.attempts.values() ?? [])]
     .filter((attempt) => attempt.stopRequest)
     .map((attempt) => [attempt.job.spec.id, attempt.stopRequest?.graceS]);
@@ -424,7 +424,7 @@
   assert.ok(machine);
   const { starts } = takePendingCommands(machine);
   w.lapse();
-  cluster.applyHeartbeat(w.heartbeat(), true, 10);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 10);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
   cluster.applyCommandResult(starts, false, w.sequence);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -49,7 +49,7 @@
 
 function counting(cluster: ClusterState): CountingMap {
   const machines = new CountingMap(cluster.machines);
-  (cluster as { machines: Map<string, Machine> }).machines = machines;
+  (cluster.machineRegistry as { machines: Map<string, Machine> }).machines = machines;
   return machines;
 }
 
@@ -74,7 +74,7 @@
     sendHeartbeat(c, worker, 20);
     for (const key of [...worker.tasks.keys()]) worker.exit(key, 'done');
     machines.steps = 0;
-    c.applyHeartbeat(worker.heartbeat(), true, 30);
+    c.applyHeartbeat(worker.heartbeat(), 'heartbeat', 30);
     const started = placeOnMachine(c, c.machines.get(worker.id) as Machine, 32, 30);
     assert.ok(started.length > 0);
     assert.equal(machines.steps, 0, `${size} machines`);
@@ -115,7 +115,7 @@
   for (const w of lost) c.markTerminated(w.id, 'returned', 1000);
   const left = c.machines.size;
   assert.equal(left, MACHINES - lost.length);
-  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, true, 2000), false);
+  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, 'heartbeat', 2000), false);
   // The list is late: it still shows them all.
   c.applyMachineList(list, 1500, 2500);
   assert.equal(c.machines.size, left);
@@ -123,7 +123,7 @@
   const later = c.timing.listProofMs * 20;
   c.markTerminated(name(MACHINES), 'returned', later);
   assert.equal(c.tombstones.size, 1);
-  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, true, later + 1), false);
+  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, 'heartbeat', later + 1), false);
   assert.equal(c.machines.size, left - 1);
   assert.equal(job.readyCount + job.activeAttempts.size, MACHINES);
 });
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -28,16 +28,16 @@
   options: { term?: number; teams?: TeamQuota[]; types?: MachineType[] } = {},
 ) {
   const teams = options.teams ?? [teamQuota({ name: 'ops' })];
-  const cluster = new ClusterState(
-    options.term ?? 1,
-    new Map(teams.map((quota) => [quota.name, quota])),
-    {
+  const cluster = new ClusterState({
+    term: options.term ?? 1,
+    quotas: new Map(teams.map((quota) => [quota.name, quota])),
+    timing: {
       heartbeatMs: 3000,
       agentLeaseMs: 20_000,
       listProofMs: 18_000,
       unreachableAfterMs: 9000,
     },
-    {
+    policy: {
       weights: { throughput: 1, cost: 1, locality: 1 },
       waitSafetyMargin: 1.5,
       safetyMargin: 0.4,
@@ -51,10 +51,10 @@
       failingJobMachines: 3,
       startsPerMachine: 32,
     },
-    { classes: new Map(), guaranteedStartS: null },
-    new BitmapLayout(64, 64),
-    () => {},
-  );
+    objectives: { classes: new Map(), guaranteedStartS: null },
+    bitmaps: new BitmapLayout(64, 64),
+    logDecision: () => {},
+  });
   cluster.updateMachineTypes(options.types ?? [MACHINE_TYPE]);
   return cluster;
 }
@@ -160,9 +160,9 @@
 
 /** Brings a machine up, confirmed and in the roster, as a leader's duties would. */
 export function joinCluster(cluster: ClusterState, w: ScriptedAgent, now: number): ScriptedAgent {
-  cluster.applyHeartbeat(w.heartbeat(), true, now);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
   w.execute(cluster.term, []);
-  cluster.applyHeartbeat(w.heartbeat(), true, now);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
   const machine = cluster.machines.get(w.id);
   if (!machine) throw new Error('machine is not known');
   machine.inRoster = true;
@@ -172,7 +172,7 @@
 
 /** One report with its answer executed. */
 export function sendHeartbeat(cluster: ClusterState, w: ScriptedAgent, now: number): TaskCommand[] {
-  cluster.applyHeartbeat(w.heartbeat(), true, now);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
   const machine = cluster.machines.get(w.id);
   if (machine) raiseFenceIfDue(machine, cluster.timing, now);
   const commands = machine ? cluster.heartbeatCommands(machine) : [];
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -27,7 +27,7 @@
   w.term = 1;
   w.preemptionNoticeS = 5;
   const copy = w.heartbeat();
-  assert.equal(cluster.applyHeartbeat(copy, true, 8000), true);
+  assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 8000), true);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
   // Not alive, no notice, nothing confirmed, its zone not heard.
@@ -42,12 +42,15 @@
   );
   assert.equal(cluster.zoneLiveness.size, 0);
   // The same copy again, and one of a machine that is not known: dropped.
-  assert.equal(cluster.applyHeartbeat(copy, true, 9000), false);
-  assert.equal(cluster.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), true, 9000), false);
+  assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 9000), false);
+  assert.equal(
+    cluster.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), 'heartbeat', 9000),
+    false,
+  );
   assert.equal(cluster.machines.has('n-7'), false);
   // The machine itself, once it knows the term, counts.
   w.execute(2, []);
-  cluster.applyHeartbeat(w.heartbeat(), true, 10_000);
+  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 10_000);
   assert.deepEqual(
     [machine.lastHeartbeatAt, machine.drainReason, machine.confirmed],
     [10_000, 'notice', true],
@@ -59,15 +62,15 @@
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
   const copy = w.heartbeat();
-  cluster.applyHeartbeat(copy, true, 100);
+  cluster.applyHeartbeat(copy, 'heartbeat', 100);
   runPlacementRound(cluster, 32, 100);
   sendHeartbeat(cluster, w, 200);
   sendHeartbeat(cluster, w, 300);
-  assert.equal(cluster.applyHeartbeat(copy, true, 60_000), false);
+  assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 60_000), false);
   assert.equal(cluster.machines.get('n-1')?.lastHeartbeatAt, 300);
   assert.equal(job?.activeAttempts.get(0)?.state, 'running');
   cluster.markTerminated('n-1', 'returned', 60_050);
-  assert.equal(cluster.applyHeartbeat(w.heartbeat(), true, 60_100), false);
+  assert.equal(cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 60_100), false);
   assert.equal(cluster.machines.size, 0);
 });
 
@@ -87,7 +90,7 @@
   const pass = () => {
     now += 3000;
     // Its reports arrive, the answers don't reach it.
-    cluster.applyHeartbeat(deaf.heartbeat(), true, now);
+    cluster.applyHeartbeat(deaf.heartbeat(), 'heartbeat', now);
     starts += runPlacementRound(cluster, 32, now).started.length;
     cluster.heartbeatCommands(machine);
     for (const w of others) sendHeartbeat(cluster, w, now);
@@ -195,7 +198,7 @@
   let gone = 0;
   while (now < 60_000 && gone === 0) {
     now += 1000;
-    cluster.applyHeartbeat(oneWay.heartbeat(), true, now);
+    cluster.applyHeartbeat(oneWay.heartbeat(), 'heartbeat', now);
     sendHeartbeat(cluster, well, now);
     for (const x of scaleOut.planScaleIn(now)) {
       assert.deepEqual([x.machine.id, x.reason], ['n-1', 'silent']);
