--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -1,55 +1,61 @@
+/** Machines that an earlier leader may have given tasks, until each is confirmed or terminated. */
 import type { JobSpec } from '../../model/job.js';
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
 import type { ResourceUsage } from '../../model/resources.js';
 import { type MachineTraits, satisfiesConstraints } from '../state/constraints.js';
 import type { Machine } from '../state/machine.js';
 
+/** Inherited machines of one type, zone and capacity kind. */
 interface InheritedPool {
   traits: MachineTraits;
   count: number;
 }
 
 /**
- * Machines of the durable roster that are neither confirmed nor gone, counted
- * by type, zone and kind: what an earlier leader started may still be there.
+ * Machines of the durable roster that are neither confirmed nor terminated,
+ * counted by type, zone and capacity kind: tasks that an earlier leader started
+ * may still run there, and must not be started a second time.
  */
 export class InheritedMachines {
   private readonly pools = new Map<string, InheritedPool>();
 
+  /** The machine stands in the roster of an earlier leader. */
   add(machine: Machine): void {
     if (machine.inherited) return;
     machine.inherited = true;
     const { typeName, zone, spot } = machine;
     const key = machinePoolKey(typeName, zone, spot);
-    const kind = this.pools.get(key) ?? { traits: { typeName, zone, spot }, count: 0 };
-    kind.count++;
-    this.pools.set(key, kind);
+    const pool = this.pools.get(key) ?? { traits: { typeName, zone, spot }, count: 0 };
+    pool.count++;
+    this.pools.set(key, pool);
   }
 
-  /** The machine is confirmed or gone. */
+  /** The machine is confirmed or terminated. */
   resolve(machine: Machine): void {
     if (!machine.inherited) return;
     machine.inherited = false;
     const key = machinePoolKey(machine.typeName, machine.zone, machine.spot);
-    const kind = this.pools.get(key);
-    if (kind && --kind.count === 0) this.pools.delete(key);
+    const pool = this.pools.get(key);
+    if (!pool) return;
+    pool.count--;
+    if (pool.count === 0) this.pools.delete(key);
   }
 
-  /** One of them may hold tasks of such a job. */
+  /** Whether a task of such a job may run on one of them. */
   mayHold(spec: JobSpec): boolean {
-    for (const { traits: like } of this.pools.values())
-      if (satisfiesConstraints(like, spec)) return true;
+    for (const { traits } of this.pools.values())
+      if (satisfiesConstraints(traits, spec)) return true;
     return false;
   }
 
-  /** All that they could hold: nothing is known to be bound on one before it is confirmed. */
+  /** All their resources: which tasks run on one is not known before it is confirmed. */
   capacity(types: ReadonlyMap<string, MachineType>): ResourceUsage {
-    const sum: ResourceUsage = { cpus: 0, gpus: 0 };
-    for (const { traits: like, count } of this.pools.values()) {
-      const type = types.get(like.typeName);
-      sum.cpus += (type?.cpus ?? 0) * count;
-      sum.gpus += (type?.gpus ?? 0) * count;
+    const total: ResourceUsage = { cpus: 0, gpus: 0 };
+    for (const { traits, count } of this.pools.values()) {
+      const type = types.get(traits.typeName);
+      total.cpus += (type?.cpus ?? 0) * count;
+      total.gpus += (type?.gpus ?? 0) * count;
     }
-    return sum;
+    return total;
   }
 }
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -1,36 +1,41 @@
+/**
+ * The commands that bring a machine in line with the cluster state: in the answer
+ * to a heartbeat, or in a direct command for what should not wait for one.
+ */
 import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { TaskCommand } from '../../model/task-command.js';
 import type { Job } from '../state/job.js';
 import type { Machine, TaskAttempt } from '../state/machine.js';
 
-/** Keeps an answer's one line well below the protocol's 64 KiB. */
+/** Keeps the single line of an answer well below the protocol's 64 KiB. */
 const MAX_COMMANDS_PER_MESSAGE = 250;
-/** A later fence is waited for by this many tasks, or for this part of a worker's lease, before it is raised: each raise costs the worker a report. */
+/** The fence is raised when this many tasks wait for it: each raise costs the agent a heartbeat. */
 const FENCE_RAISE_TASKS = 16;
+/** With fewer tasks it is raised when they have waited for this part of an agent lease. */
 const FENCE_RAISE_LEASES = 0.25;
 
-/** What a machine is to be told at once by a direct command. */
+/** What a direct command to a machine carries. */
 export interface PendingCommands {
   commands: TaskCommand[];
-  /** The starts among them. */
+  /** The attempts whose starts are among them. */
   starts: TaskAttempt[];
 }
 
 /**
- * Whatever else an answer may order: it renews the lease, so it stops what
- * the report shows of jobs that have ended. Every task was started by this
- * leader or an earlier one, so its job is known here or has ended.
+ * The least that any answer to the heartbeat has to carry: it renews the agent's
+ * lease, so it stops what the heartbeat lists of ended jobs. Every task was
+ * started by this leader or an earlier one, so its job is live here or has ended.
  */
 export function stopsOfEndedJobs(
   heartbeat: Heartbeat,
   liveJobs: ReadonlyMap<string, Job>,
 ): TaskCommand[] {
-  const out: TaskCommand[] = [];
+  const commands: TaskCommand[] = [];
   for (const task of heartbeat.tasks) {
-    if (out.length >= MAX_COMMANDS_PER_MESSAGE) break;
+    if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
     if (task.state === 'exited' || liveJobs.has(task.jobId)) continue;
-    out.push({
+    commands.push({
       op: 'stop',
       jobId: task.jobId,
       index: task.index,
@@ -38,17 +43,20 @@
       graceS: 0,
     });
   }
-  return out;
+  return commands;
 }
 
-/** The orders for a machine that has just reported, in the order of their execution. */
+/**
+ * The commands for a machine that has just sent a heartbeat, in the order of their
+ * execution; none until it is confirmed. The starts among them count as sent.
+ */
 export function heartbeatCommands(
   machine: Machine,
   unknownTasks: readonly TaskStatus[],
 ): TaskCommand[] {
   const commands: TaskCommand[] = [];
   if (!machine.confirmed) return commands;
-  // Ends of jobs come first: where an answer is full, what runs on does so under a renewed lease.
+  // Stops of ended jobs come first: what does not fit the answer runs on under a renewed lease.
   addStopsOfEndedJobs(commands, machine);
   addUnknownTaskCommands(commands, unknownTasks);
   addAttemptCommands(commands, machine);
@@ -56,8 +64,8 @@
 }
 
 function addStopsOfEndedJobs(commands: TaskCommand[], machine: Machine): void {
-  for (const { job, index, attempt, state, stopRequest: stop } of machine.attempts.values())
-    if (job.ended && stop && state !== 'exited' && state !== 'assigned')
+  for (const { job, index, attempt, state, stopRequest } of machine.attempts.values())
+    if (job.ended && stopRequest && state !== 'exited' && state !== 'assigned')
       commands.push({ op: 'stop', jobId: job.spec.id, index, attempt, graceS: 0 });
 }
 
@@ -80,9 +88,12 @@
   }
 }
 
-/** What the answer to the report of this number tells the machine of the task; a start counts as sent with it. */
-function takeCommand(attempt: TaskAttempt, seq: number): TaskCommand | null {
-  const { job, stopRequest: stop } = attempt;
+/**
+ * What the answer to the heartbeat of this sequence number has to say of the attempt,
+ * or null; a start counts as sent with it.
+ */
+function takeCommand(attempt: TaskAttempt, sequence: number): TaskCommand | null {
+  const { job, stopRequest } = attempt;
   const base = { jobId: job.spec.id, index: attempt.index, attempt: attempt.attempt };
   if (attempt.state === 'exited')
     return attempt.mayBeForgotten && attempt.directCommandFence === null
@@ -90,68 +101,82 @@
       : null;
   if (attempt.state === 'assigned') {
     if (job.ended) return null;
-    attempt.startSentSequence = seq;
+    attempt.startSentSequence = sequence;
     return { op: 'start', ...base };
   }
-  if (!stop || job.ended) return null;
-  // What saves already is told again only to end at once.
-  if (attempt.state === 'saving' && stop.graceS !== 0) return null;
-  return { op: 'stop', ...base, graceS: stop.graceS };
+  if (!stopRequest || job.ended) return null;
+  // A task that saves its checkpoint already is stopped again only when it has to end at once.
+  if (attempt.state === 'saving' && stopRequest.graceS !== 0) return null;
+  return { op: 'stop', ...base, graceS: stopRequest.graceS };
 }
 
 /**
- * Raises the machine's fence when what left by direct commands has to be
- * over for good: attempts to be forgotten, which a copy of the command would
- * start again, and starts whose command had no answer. The answer under the
- * higher token has every earlier command refused from then on, copies too.
+ * Raises the machine's fence when what left by direct commands has to be over
+ * for good: attempts to be forgotten, which a copy of the command would start
+ * again, and starts whose command had no reply. The answer under the higher
+ * fencing token has every earlier command refused from then on, copies too.
  */
 export function raiseFenceIfDue(machine: Machine, timing: SchedulerTiming, now: number): void {
   if (!machine.confirmed || machine.fence > machine.acknowledgedFence) return;
-  let waiting = 0;
-  for (const attempt of machine.attempts.values()) {
-    if (attempt.directCommandFence === null) continue;
-    const unanswered =
-      attempt.state === 'assigned' && now - attempt.assignedAt > timing.heartbeatMs;
-    if (unanswered || (attempt.state === 'exited' && attempt.mayBeForgotten)) waiting++;
-  }
+  const waiting = countWaitingForFence(machine, timing, now);
   if (waiting === 0) {
     machine.fenceRaiseDueSince = null;
     return;
   }
   machine.fenceRaiseDueSince ??= now;
-  const waited = now - machine.fenceRaiseDueSince >= timing.agentLeaseMs * FENCE_RAISE_LEASES;
-  if (waiting < FENCE_RAISE_TASKS && !waited) return;
+  const waitedLong = now - machine.fenceRaiseDueSince >= timing.agentLeaseMs * FENCE_RAISE_LEASES;
+  if (waiting < FENCE_RAISE_TASKS && !waitedLong) return;
   machine.fence++;
   machine.fenceRaiseDueSince = null;
 }
 
-/** What a machine is to be told at once; starts are in doubt from here on until they are answered. */
+function countWaitingForFence(machine: Machine, timing: SchedulerTiming, now: number): number {
+  let waiting = 0;
+  for (const attempt of machine.attempts.values()) {
+    if (attempt.directCommandFence === null) continue;
+    const unanswered =
+      attempt.state === 'assigned' && now - attempt.assignedAt > timing.heartbeatMs;
+    const toBeForgotten = attempt.state === 'exited' && attempt.mayBeForgotten;
+    if (unanswered || toBeForgotten) waiting++;
+  }
+  return waiting;
+}
+
+/**
+ * Takes what should not wait for the machine's next heartbeat: starts and stops
+ * that have not been sent. From here on it is not known whether the starts take
+ * effect, until the command is answered.
+ */
 export function takePendingCommands(machine: Machine): PendingCommands {
   const commands: TaskCommand[] = [];
-  const startedAttempts: TaskAttempt[] = [];
-  // Behind a cut the orders go with the answers to its reports.
-  if (!machine.confirmed || machine.relayed) return { commands: commands, starts: startedAttempts };
+  const starts: TaskAttempt[] = [];
+  // A machine that this controller can't reach gets its commands with the answers to its relayed heartbeats.
+  if (!machine.confirmed || machine.relayed) return { commands, starts };
   for (const attempt of machine.attempts.values()) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
-    const base = { jobId: attempt.job.spec.id, index: attempt.index, attempt: attempt.attempt };
-    if (attempt.state === 'assigned') {
-      if (attempt.job.ended || !isUnsent(attempt)) continue;
-      attempt.directCommandFence = machine.fence;
-      startedAttempts.push(attempt);
-      commands.push({ op: 'start', ...base });
-    } else if (
-      attempt.stopRequest &&
-      !attempt.stopRequest.commandSent &&
-      attempt.state !== 'exited'
-    ) {
-      attempt.stopRequest.commandSent = true;
-      commands.push({ op: 'stop', ...base, graceS: attempt.stopRequest.graceS });
-    }
+    const command = takePendingCommand(attempt, machine.fence);
+    if (!command) continue;
+    commands.push(command);
+    if (command.op === 'start') starts.push(attempt);
+  }
+  return { commands, starts };
+}
+
+/** What a direct command under this fence has to say of the attempt, or null; it counts as sent with it. */
+function takePendingCommand(attempt: TaskAttempt, fence: number): TaskCommand | null {
+  const { job, index, stopRequest } = attempt;
+  const base = { jobId: job.spec.id, index, attempt: attempt.attempt };
+  if (attempt.state === 'assigned') {
+    if (job.ended || !isUnsent(attempt)) return null;
+    attempt.directCommandFence = fence;
+    return { op: 'start', ...base };
   }
-  return { commands: commands, starts: startedAttempts };
+  if (!stopRequest || stopRequest.commandSent || attempt.state === 'exited') return null;
+  stopRequest.commandSent = true;
+  return { op: 'stop', ...base, graceS: stopRequest.graceS };
 }
 
-/** Bound, but its start has left by no way. */
+/** Whether the attempt's start has left neither with an answer nor with a direct command. */
 export function isUnsent(attempt: TaskAttempt): boolean {
   return (
     attempt.state === 'assigned' &&
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -1,7 +1,7 @@
 /**
  * The state of the cluster as one leader knows it during its term. Each
- * concern has its own part; this module wires the parts and is what the rest
- * of the scheduler and the leader's routines work with.
+ * concern has its own part (see cluster-parts.ts); this facade is what the rest of
+ * the scheduler and the leader's routines work with.
  */
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { DependencyList, JobEnd, JobSpec } from '../../model/job.js';
@@ -10,52 +10,34 @@
 import type { ResourceUsage, TeamQuota } from '../../model/resources.js';
 import type { TaskCommand } from '../../model/task-command.js';
 import type { BitmapLayout } from '../../records/bitmap-layout.js';
-import { Roster } from '../persistence/roster.js';
-import { AgentResponsiveness } from '../reconcile/agent-responsiveness.js';
-import { FailureAttribution } from '../reconcile/failure-attribution.js';
-import { HeartbeatReconciliation } from '../reconcile/heartbeat-reconciliation.js';
+import type { Roster } from '../persistence/roster.js';
+import type { AgentResponsiveness } from '../reconcile/agent-responsiveness.js';
+import type { HeartbeatReconciliation } from '../reconcile/heartbeat-reconciliation.js';
 import type { HeartbeatSource } from '../reconcile/heartbeat-source.js';
-import { InheritedMachines } from '../reconcile/inherited-machines.js';
-import { MachineListReconciliation } from '../reconcile/machine-list-reconciliation.js';
-import { MachineTombstones } from '../reconcile/machine-tombstones.js';
-import { PreemptionNotices } from '../reconcile/preemption-notices.js';
+import type { InheritedMachines } from '../reconcile/inherited-machines.js';
+import type { MachineListReconciliation } from '../reconcile/machine-list-reconciliation.js';
+import type { MachineTombstones } from '../reconcile/machine-tombstones.js';
 import { heartbeatCommands, stopsOfEndedJobs } from '../reconcile/task-commands.js';
-import { TaskExits } from '../reconcile/task-exits.js';
-import { TaskListReconciliation } from '../reconcile/task-list-reconciliation.js';
-import { UnknownTasks } from '../reconcile/unknown-tasks.js';
+import type { UnknownTasks } from '../reconcile/unknown-tasks.js';
 import type { Batch } from './batch.js';
+import {
+  type ClusterOptions,
+  createHeartbeatReconciliation,
+  createMachineListReconciliation,
+  createStateParts,
+} from './cluster-parts.js';
 import type { DecisionLogger } from './decision-log.js';
 import type { DependencyGraph } from './dependency-graph.js';
 import type { Job } from './job.js';
-import { JobRegistry } from './job-registry.js';
-import { LeaderLag } from './leader-lag.js';
+import type { JobRegistry } from './job-registry.js';
+import type { LeaderLag } from './leader-lag.js';
 import type { DrainReason, Machine, TaskAttempt } from './machine.js';
-import { MachineRegistry } from './machine-registry.js';
-import { QuotaUsage } from './quota-usage.js';
-import { RoundTrigger } from './round-trigger.js';
-import { TaskAttempts } from './task-attempts.js';
-import { WorkEstimates } from './work-estimates.js';
-import { type ZoneLiveness, ZoneLivenessTracker } from './zone-liveness.js';
-
-/** A terminated machine is remembered for this many times as long as the cloud's list may still show it. */
-const TOMBSTONE_LIST_PROOFS = 10;
-/** The size of a roster page in bytes, unless the settings say otherwise. */
-const DEFAULT_ROSTER_PAGE_BYTES = 4096;
-
-/** What the state of a leader term is made from. */
-export interface ClusterOptions {
-  /** The leader term: the high part of the fencing tokens and attempt numbers. */
-  term: number;
-  /** Quotas by team. */
-  quotas: Map<string, TeamQuota>;
-  timing: SchedulerTiming;
-  policy: SchedulerPolicy;
-  objectives: ServiceObjectives;
-  bitmaps: BitmapLayout;
-  logDecision: DecisionLogger;
-  /** The most that the members of a roster page may take, in bytes. */
-  rosterPageBytes?: number;
-}
+import type { MachineRegistry } from './machine-registry.js';
+import type { QuotaUsage } from './quota-usage.js';
+import type { RoundTrigger } from './round-trigger.js';
+import type { TaskAttempts } from './task-attempts.js';
+import type { WorkEstimates } from './work-estimates.js';
+import type { ZoneLiveness, ZoneLivenessTracker } from './zone-liveness.js';
 
 /**
  * The leader's picture of the cluster: made anew at each failover, dropped
@@ -71,87 +53,52 @@
   readonly bitmaps: BitmapLayout;
   readonly logDecision: DecisionLogger;
 
-  readonly estimates: WorkEstimates;
-  /** Machines of earlier leaders that are neither confirmed nor terminated. */
-  readonly inheritedMachines = new InheritedMachines();
-  readonly roster: Roster;
-  readonly tombstones: MachineTombstones;
+  /** The live jobs, and what keeps ended ones from coming back. */
   readonly jobRegistry: JobRegistry;
-  /** Its `machines` are always read through it, so that a test can count passes over them. */
+  /** The machines and their types. Their map is read through it and kept by nobody. */
   readonly machineRegistry: MachineRegistry;
+  /** How long work is expected to take. */
+  readonly estimates: WorkEstimates;
+  /** Machines of earlier leaders that are neither confirmed nor terminated. */
+  readonly inheritedMachines: InheritedMachines;
 
   /** What the last placement round found no machine for, in its order. */
   unplacedBatches: Batch[] = [];
   /** Wall clock less monotonic clock in milliseconds, for the ages of jobs. */
   wallClockOffset = 0;
 
-  private readonly roundTrigger = new RoundTrigger();
-  private readonly quota = new QuotaUsage();
+  private readonly roundTrigger: RoundTrigger;
+  private readonly quota: QuotaUsage;
   private readonly attempts: TaskAttempts;
-  private readonly unknownTasks = new UnknownTasks();
-  private readonly responsiveness = new AgentResponsiveness(this.roundTrigger);
+  private readonly unknownTasks: UnknownTasks;
+  private readonly responsiveness: AgentResponsiveness;
   private readonly zones: ZoneLivenessTracker;
-  private readonly lag: LeaderLag;
+  private readonly leaderLag: LeaderLag;
   private readonly heartbeats: HeartbeatReconciliation;
   private readonly machineLists: MachineListReconciliation;
 
   constructor(options: ClusterOptions) {
-    const { term, timing, policy, objectives, bitmaps, logDecision } = options;
-    this.term = term;
+    this.term = options.term;
     this.quotas = options.quotas;
-    this.timing = timing;
-    this.policy = policy;
-    this.objectives = objectives;
-    this.bitmaps = bitmaps;
-    this.logDecision = logDecision;
-
-    const { roundTrigger, quota, unknownTasks, responsiveness, inheritedMachines } = this;
-    const estimates = new WorkEstimates(objectives);
-    const roster = new Roster(term, options.rosterPageBytes ?? DEFAULT_ROSTER_PAGE_BYTES);
-    const tombstones = new MachineTombstones(timing.listProofMs * TOMBSTONE_LIST_PROOFS);
-    const attempts = new TaskAttempts(term, quota, roundTrigger);
-    const jobRegistry = new JobRegistry({ attempts, estimates, bitmaps, roundTrigger });
-    const machines = new MachineRegistry({
-      attempts,
-      inheritedMachines,
-      unknownTasks,
-      responsiveness,
-      roster,
-      tombstones,
-      roundTrigger,
-      logDecision,
-    });
-    const zoneLiveness = new ZoneLivenessTracker(timing.heartbeatMs);
-    const failures = new FailureAttribution({ timing, policy, machines, logDecision });
-    const exits = new TaskExits({ timing, bitmaps, attempts, estimates, failures });
-    const taskLists = new TaskListReconciliation({
-      jobs: jobRegistry.jobs,
-      attempts,
-      exits,
-      unknownTasks,
-      responsiveness,
-    });
-
-    this.estimates = estimates;
-    this.roster = roster;
-    this.tombstones = tombstones;
-    this.attempts = attempts;
-    this.jobRegistry = jobRegistry;
-    this.machineRegistry = machines;
-    this.zones = zoneLiveness;
-    this.lag = new LeaderLag(timing);
-    this.heartbeats = new HeartbeatReconciliation({
-      term,
-      machines,
-      attempts,
-      taskLists,
-      preemptionNotices: new PreemptionNotices(machines, attempts, estimates, logDecision),
-      responsiveness,
-      zoneLiveness,
-      roundTrigger,
-      logDecision,
-    });
-    this.machineLists = new MachineListReconciliation(machines, timing, logDecision);
+    this.timing = options.timing;
+    this.policy = options.policy;
+    this.objectives = options.objectives;
+    this.bitmaps = options.bitmaps;
+    this.logDecision = options.logDecision;
+    const parts = createStateParts(options);
+    this.jobRegistry = parts.jobs;
+    this.machineRegistry = parts.machines;
+    this.estimates = parts.estimates;
+    this.inheritedMachines = parts.inheritedMachines;
+    this.roundTrigger = parts.roundTrigger;
+    this.quota = parts.quota;
+    this.attempts = parts.attempts;
+    this.unknownTasks = parts.unknownTasks;
+    this.responsiveness = parts.responsiveness;
+    this.zones = parts.zoneLiveness;
+    this.leaderLag = parts.leaderLag;
+    this.heartbeats = createHeartbeatReconciliation(options, parts);
+    this.machineLists = createMachineListReconciliation(options, parts);
   }
 
   // Placement rounds
@@ -250,6 +197,16 @@
     return this.machineRegistry.types;
   }
 
+  /** The durable list of machines that may have been given tasks. */
+  get roster(): Roster {
+    return this.machineRegistry.roster;
+  }
+
+  /** Machines whose termination is proven. */
+  get tombstones(): MachineTombstones {
+    return this.machineRegistry.tombstones;
+  }
+
   /** Machines that are yet to be written to the durable roster. */
   get pendingRosterAdds(): Set<Machine> {
     return this.machineRegistry.pendingRosterAdds;
@@ -313,17 +270,17 @@
 
   /** See LeaderLag.markLagging. */
   markLagging(now: number): void {
-    this.lag.markLagging(now);
+    this.leaderLag.markLagging(now);
   }
 
   /** See LeaderLag.isLagging. */
   isLagging(now: number): boolean {
-    return this.lag.isLagging(now);
+    return this.leaderLag.isLagging(now);
   }
 
   /** See LeaderLag.silentSince. */
   silentSince(machine: Machine): number {
-    return this.lag.silentSince(machine);
+    return this.leaderLag.silentSince(machine);
   }
 
   /** Machines that may be unresponsive and are to be probed by an empty command. */
@@ -363,11 +320,6 @@
     this.attempts.stop(attempt, graceS);
   }
 
-  /** See TaskAttempts.release. */
-  release(attempt: TaskAttempt, until: number): void {
-    this.attempts.release(attempt, until);
-  }
-
   /**
    * The least that any answer to the heartbeat has to carry: it renews the
    * agent's lease, so it stops what the heartbeat lists of ended jobs.
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -370,6 +370,19 @@
   assert.equal(cluster.machines.has('n-1'), false);
 });
 
+test('a terminated machine that a late provisioning answer registers again counts for nothing in heartbeats', () => {
+  const cluster = createCluster();
+  const agent = new ScriptedAgent('n-1');
+  agent.term = cluster.term;
+  // The list shows that it failed before the cloud's answer names it.
+  const failed = { id: 'n-1', address: '', type: 'm16', zone: 'a', spot: false, ageS: 5 };
+  cluster.applyMachineList([{ ...failed, state: 'failed' }], 1000, 1100);
+  const machine = cluster.ensureMachine('n-1', 'm16', 'a', false, 0, 1200);
+  assert.equal(cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 1300), false);
+  assert.equal(machine.confirmed, false);
+  assert.equal(cluster.pendingRosterAdds.size, 0);
+});
+
 test("doubt counts against a team's limit", () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
   const cluster = createCluster({ term: 2, teams });
