--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -147,7 +147,8 @@
       policy,
       objectives: serviceObjectivesOf(objectives ?? []),
       bitmaps: BitmapLayout.forValues(ctx.limits.presentValueBytes, ctx.limits.valueBytes),
-      logDecision: (message, fields) => ctx.log.info({ term: term.number, ...fields }, message),
+      logDecision: (message: string, fields: object) =>
+        ctx.log.info({ term: term.number, ...fields }, message),
       rosterPageBytes: ctx.limits.valueBytes * ROSTER_PAGE_SHARE,
     });
     this.scaleOut = new ScaleOutPlanner(this.cluster);
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -190,7 +190,7 @@
     const graceS = checkpointS > 0 ? saveS : 0;
     longestSaveS = Math.max(longestSaveS, graceS);
     cluster.stop(binding, graceS);
-    cluster.logDecision('preempted', {
+    cluster.logDecision('task preempted', {
       job: id,
       task: binding.index,
       machine: machine.id,
