--- a/src/scheduler/reconcile/failure-attribution.ts
+++ b/src/scheduler/reconcile/failure-attribution.ts
@@ -79,6 +79,6 @@
     const severalJobs = machine.failedJobs.size >= this.policy.quarantineJobs;
     // The job is known to succeed elsewhere.
     const manyFailures = failures >= this.policy.quarantineFailures && job.succeeded;
-    if (severalJobs || manyFailures) this.machines.drain(machine, 'sick');
+    if (severalJobs || manyFailures) this.machines.drain(machine, 'quarantined');
   }
 }
--- a/src/scheduler/reconcile/heartbeat-reconciliation.ts
+++ b/src/scheduler/reconcile/heartbeat-reconciliation.ts
@@ -122,7 +122,7 @@
       machine.upAt = now;
       machine.idleSince = now;
     }
-    if (machine.drainReason === 'silent' || machine.drainReason === 'no boot')
+    if (machine.drainReason === 'unreachable' || machine.drainReason === 'boot timeout')
       machine.drainReason = null;
   }
 
--- a/src/scheduler/reconcile/preemption-notices.ts
+++ b/src/scheduler/reconcile/preemption-notices.ts
@@ -26,7 +26,7 @@
     const isNew = machine.preemptionNoticeUntil === null;
     if (isNew) this.logDecision('preemption notice', { machine: machine.id, seconds: noticeS });
     machine.preemptionNoticeUntil = now + noticeS * 1000;
-    this.machines.drain(machine, 'notice');
+    this.machines.drain(machine, 'preemption notice');
     return isNew;
   }
 
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -52,17 +52,19 @@
   private reason(machine: Machine, signs: FleetSigns, now: number): DrainReason | null {
     const { policy, timing } = this.cluster;
     if (machine.upAt === null)
-      return now - machine.provisionedAt > bootMs(machine) * policy.bootPatience ? 'no boot' : null;
-    if (machine.missingFromList || this.wasPreempted(machine, now)) return 'missing';
-    if (signs.holdsUp.has(machine)) return 'silent';
+      return now - machine.provisionedAt > bootMs(machine) * policy.bootPatience
+        ? 'boot timeout'
+        : null;
+    if (machine.missingFromList || this.wasPreempted(machine, now)) return 'missing from list';
+    if (signs.holdsUp.has(machine)) return 'unreachable';
     if (now - this.cluster.silentSince(machine) > timing.unreachableAfterMs)
-      return this.isDeadLongEnough(machine, signs.manySilent, now) ? 'silent' : null;
+      return this.isDeadLongEnough(machine, signs.manySilent, now) ? 'unreachable' : null;
     return this.reasonWhileHeard(machine, signs, now);
   }
 
   private reasonWhileHeard(machine: Machine, signs: FleetSigns, now: number): DrainReason | null {
-    if (machine.drainReason === 'sick') return 'sick';
-    if (signs.deafMayGo && this.isUnresponsiveTooLong(machine, now)) return 'deaf';
+    if (machine.drainReason === 'quarantined') return 'quarantined';
+    if (signs.deafMayGo && this.isUnresponsiveTooLong(machine, now)) return 'unresponsive';
     if (machine.attempts.size > 0 || machine.inherited || machine.hasUnknownTasks) return null;
     return machine.drainReason ?? (this.idleTooLong(machine, now) ? 'idle' : null);
   }
--- a/src/scheduler/state/machine.ts
+++ b/src/scheduler/state/machine.ts
@@ -39,7 +39,14 @@
   expiresAt: number;
 }
 
-export type DrainReason = 'notice' | 'sick' | 'deaf' | 'idle' | 'no boot' | 'silent' | 'missing';
+export type DrainReason =
+  | 'preemption notice'
+  | 'quarantined'
+  | 'unresponsive'
+  | 'boot timeout'
+  | 'unreachable'
+  | 'missing from list'
+  | 'idle';
 
 export function attemptKey(job: string, index: number, attempt: number): string {
   return `${job}/${index}/${attempt}`;
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -419,7 +419,7 @@
   run('req-000001', 1, 0);
   assert.equal(cluster.machines.get('n-1')?.drainReason, null);
   run('req-000002', 2, 10);
-  assert.equal(cluster.machines.get('n-1')?.drainReason, 'sick');
+  assert.equal(cluster.machines.get('n-1')?.drainReason, 'quarantined');
 
   // One job that fails on three machines: the job waits, no machine is blamed.
   const clusterState = createCluster();
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -129,13 +129,13 @@
   for (let now = 150_000; now <= 161_000; now += 1000) sendHeartbeat(cluster, alive, now);
   const back = () => scaleOut.planScaleIn(161_000).map((x) => [x.machine.id, x.reason]);
   assert.deepEqual(back(), [
-    ['n-1', 'no boot'],
-    ['n-2', 'silent'],
+    ['n-1', 'boot timeout'],
+    ['n-2', 'unreachable'],
   ]);
   const machine = cluster.machines.get('n-3');
   assert.ok(machine);
-  cluster.drain(machine, 'sick');
-  assert.deepEqual(back().at(-1), ['n-3', 'sick']);
+  cluster.drain(machine, 'quarantined');
+  assert.deepEqual(back().at(-1), ['n-3', 'quarantined']);
 });
 
 test('when many machines of a zone fall silent at once, a cut is likelier than their deaths', () => {
@@ -147,7 +147,7 @@
   const returned = (silent: number, until: number) => {
     for (let now = 1000; now <= until; now += 1000)
       for (const w of workers.slice(silent)) sendHeartbeat(cluster, w, now);
-    return scaleOut.planScaleIn(until).filter((x) => x.reason === 'silent').length;
+    return scaleOut.planScaleIn(until).filter((x) => x.reason === 'unreachable').length;
   };
   // Some found their way round the cut at once, so the zone was never silent as a whole.
   assert.equal(returned(8, 22_000), 0);
@@ -158,7 +158,7 @@
   for (const w of workers) sendHeartbeat(cluster, w, 30_000);
   for (let now = 30_000; now <= 40_000; now += 1000)
     for (const w of workers.slice(4)) sendHeartbeat(cluster, w, now);
-  assert.equal(again.planScaleIn(40_000).filter((x) => x.reason === 'silent').length, 4);
+  assert.equal(again.planScaleIn(40_000).filter((x) => x.reason === 'unreachable').length, 4);
 });
 
 test('a refusal is tried again soon once a machine of its kind has gone', () => {
@@ -188,7 +188,7 @@
   for (let now = 43_000; now <= 45_000; now += 1000) sendHeartbeat(cluster, first, now);
   assert.deepEqual(
     scaleOut.planScaleIn(45_000).map((x) => [x.machine.id, x.reason]),
-    [['n-2', 'silent']],
+    [['n-2', 'unreachable']],
   );
 });
 
@@ -204,7 +204,7 @@
   assert.deepEqual(scaleOut.planScaleIn(4900), []);
   assert.deepEqual(
     scaleOut.planScaleIn(5600).map((x) => [x.machine.id, x.reason]),
-    [['n-1', 'missing']],
+    [['n-1', 'missing from list']],
   );
 });
 
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -100,7 +100,7 @@
   // A report from before the command must not undo it.
   cluster.applyHeartbeat(older, 'heartbeat', 10);
   assert.equal(job.readyCount, 0);
-  cluster.drain(machine, 'notice');
+  cluster.drain(machine, 'preemption notice');
   assert.equal(job.readyCount, 0);
 });
 
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -276,7 +276,7 @@
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   ctx.platform.settings.cloud.rps = 40;
   const { c } = fleet(MACHINES);
-  for (const machine of c.machines.values()) machine.drainReason = 'sick';
+  for (const machine of c.machines.values()) machine.drainReason = 'quarantined';
   const calls: { count: number; at: number }[] = [];
   const stop = new AbortController();
   const cloud = {
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -53,7 +53,7 @@
   cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 10_000);
   assert.deepEqual(
     [machine.lastHeartbeatAt, machine.drainReason, machine.confirmed],
-    [10_000, 'notice', true],
+    [10_000, 'preemption notice', true],
   );
 });
 
@@ -110,7 +110,7 @@
   while (now < 60_000 && scaleOut.planScaleIn(now).length === 0) pass();
   assert.deepEqual(
     scaleOut.planScaleIn(now).map((x) => [x.machine.id, x.reason]),
-    [['n-1', 'deaf']],
+    [['n-1', 'unresponsive']],
   );
   assert.equal(starts, 3);
   // When many seem deaf it is the leader that is not heard, and nobody is returned for it.
@@ -201,7 +201,7 @@
     cluster.applyHeartbeat(oneWay.heartbeat(), 'heartbeat', now);
     sendHeartbeat(cluster, well, now);
     for (const x of scaleOut.planScaleIn(now)) {
-      assert.deepEqual([x.machine.id, x.reason], ['n-1', 'silent']);
+      assert.deepEqual([x.machine.id, x.reason], ['n-1', 'unreachable']);
       cluster.markTerminated(x.machine.id, 'returned', now);
       gone = now;
     }
