--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -10,10 +10,10 @@
   type DurableWrite,
   pendingWrites,
 } from '../src/scheduler/persistence/durable-writes.js';
-import { satisfiesConstraints } from '../src/scheduler/placement/feasibility.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
+import { satisfiesConstraints } from '../src/scheduler/state/constraints.js';
 import type { Machine, TaskAttempt } from '../src/scheduler/state/machine.js';
 import { createCluster, jobSpec, ScriptedAgent, teamQuota } from './support/scheduler.js';
 
@@ -183,7 +183,7 @@
 
   private answer(heartbeat: Heartbeat, cluster: ClusterState): TaskCommand[] {
     if (heartbeat.term > cluster.term) return [];
-    if (!cluster.applyHeartbeat(heartbeat, true, this.now)) return [];
+    if (!cluster.applyHeartbeat(heartbeat, 'heartbeat', this.now)) return [];
     // A leader that another has followed has no proof any more and starts nothing.
     if (cluster !== this.c) return [];
     this.started += runPlacementRound(cluster, 32, this.now).started.length;
@@ -225,7 +225,8 @@
       cmd.worker.execute(cmd.term.term, cmd.orders, cmd.fence);
     if (copied || this.pick(3) === 0) return;
     const heartbeat = cmd.worker.heartbeat();
-    if (heartbeat.term <= cmd.term.term) cmd.term.applyHeartbeat(heartbeat, false, this.now);
+    if (heartbeat.term <= cmd.term.term)
+      cmd.term.applyHeartbeat(heartbeat, 'commandReply', this.now);
     cmd.term.applyCommandResult(cmd.starts, executed, heartbeat.sequence);
   }
 
