--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -1,9 +1,12 @@
-import { HttpClient, type HttpResponse } from '../http/client.js';
+/** Client of the state service within its limits on requests and changes a second. */
+import { type Address, HttpClient, type HttpResponse } from '../http/client.js';
 import { NoResponseError, ResponseTooLargeError } from '../http/errors.js';
 import {
   type Change,
   type Condition,
   type Entry,
+  type EntryPage,
+  type EventBatch,
   grantBody,
   keyTarget,
   leaseTarget,
@@ -27,29 +30,53 @@
   type TransactionResult,
 } from './key-value-store.js';
 
+/** Where the state service is, and the part of its limits that this client may use. */
 export interface StateClientOptions {
-  address: { host: string; port: number };
+  address: Address;
   requestsPerS: number;
   changesPerS: number;
   /** The changes a second that are left once a limit that is announced is in force. */
   loweredChangesPerS: number;
+  /** For the wait for the budget, and again for the response; watches may take longer. */
   timeoutMs: number;
   clock: Clock;
 }
 
+/** One request but for a watch. */
+interface Call {
+  method: 'GET' | 'POST' | 'DELETE';
+  target: string;
+  body?: unknown;
+  priority: RequestPriority;
+  /** Changes that it makes, which have a budget of their own; none when absent. */
+  changes?: number;
+  signal: AbortSignal | undefined;
+}
+
 /** The largest page that a list answers, with room for its frame. */
-const LIST_LIMIT = 500;
-const BODY_LIMIT = 4 * 1024 * 1024;
+const MAX_PAGE_ENTRIES = 500;
+const MAX_BODY_BYTES = 4 * 1024 * 1024;
 /** Connections for each request a second: enough while answers take up to this many seconds. */
-const CONNECTIONS = 0.3;
+const CONNECTIONS_PER_REQUEST_PER_S = 0.3;
+const WATCH_CONNECTIONS = 4;
+/** When to come back after the service has refused: it does not say when. */
+const REFUSED_RETRY_MS = 1000;
+/** Statuses that are answers; what 404 and 409 mean depends on the request. */
+const ANSWERED = [200, 400, 404, 409];
 
+/**
+ * The state service over HTTP. A refusal (429, 503) and a request that the
+ * budget left no room for were not carried out; any other status that is no
+ * answer, and no response at all, leave that open.
+ */
 export class StateClient implements KeyValueStore {
   private readonly http: HttpClient;
-  /** For what leads: it must not stand in line behind users for a connection while the service is slow. */
+  /** For the leader's own requests: they must not queue behind users for a connection while the service is slow. */
   private readonly leadershipHttp: HttpClient;
   private readonly watchHttp: HttpClient;
   private readonly requestBudget: RequestBudget;
   private readonly changeBudget: RequestBudget;
+  /** Requests that wait for the budget. */
   private queued = 0;
   /** Since when no request has been served; null while the last one was. */
   failingSince: number | null = null;
@@ -59,45 +86,47 @@
   lastAttemptAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: StateClientOptions) {
-    const { requestsPerS, changesPerS, clock } = options;
-    const connections = Math.ceil(requestsPerS * CONNECTIONS);
-    this.http = new HttpClient(options.address, { connections, bodyLimit: BODY_LIMIT });
-    this.leadershipHttp = new HttpClient(options.address, { connections, bodyLimit: BODY_LIMIT });
-    this.watchHttp = new HttpClient(options.address, { connections: 4, bodyLimit: BODY_LIMIT });
+    const { address, requestsPerS, changesPerS, clock } = options;
+    const connections = Math.ceil(requestsPerS * CONNECTIONS_PER_REQUEST_PER_S);
+    this.http = createHttp(address, connections);
+    this.leadershipHttp = createHttp(address, connections);
+    this.watchHttp = createHttp(address, WATCH_CONNECTIONS);
     this.requestBudget = new RequestBudget(requestsPerS, requestsPerS, clock.now());
     this.changeBudget = new RequestBudget(changesPerS, changesPerS, clock.now());
   }
 
+  /** See `KeyValueStore`. */
   async get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null> {
-    const response = await this.call('GET', keyTarget(key), undefined, priority, 0, signal);
+    const response = await this.call({ method: 'GET', target: keyTarget(key), priority, signal });
     return response.status === 404 ? null : parseEntry(response.body);
   }
 
+  /** See `KeyValueStore`. */
   async listPage(
     prefix: string,
     after: string | null,
     signal?: AbortSignal,
     priority: RequestPriority = RequestPriority.lead,
-  ) {
-    const target = listTarget(prefix, after, LIST_LIMIT);
-    return parsePage((await this.call('GET', target, undefined, priority, 0, signal)).body);
+  ): Promise<EntryPage> {
+    const target = listTarget(prefix, after, MAX_PAGE_ENTRIES);
+    return parsePage((await this.call({ method: 'GET', target, priority, signal })).body);
   }
 
+  /** See `KeyValueStore`. */
   async transact(
     conditions: Condition[],
     changes: Change[],
     priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<TransactionResult> {
-    const body = transactionBody(conditions, changes);
-    const response = await this.call(
-      'POST',
-      PATHS.transaction,
-      body,
+    const response = await this.call({
+      method: 'POST',
+      target: PATHS.transaction,
+      body: transactionBody(conditions, changes),
       priority,
-      changes.length,
+      changes: changes.length,
       signal,
-    );
+    });
     return {
       ok: response.status === 200,
       revision: parseRevision(response.body),
@@ -105,31 +134,44 @@
     };
   }
 
+  /** See `KeyValueStore`. */
   async grant(ttlMs: number, signal?: AbortSignal): Promise<number> {
-    const body = grantBody(Math.round(ttlMs));
-    return parseLease(
-      (await this.call('POST', PATHS.leases, body, RequestPriority.lead, 0, signal)).body,
-    );
+    const response = await this.call({
+      method: 'POST',
+      target: PATHS.leases,
+      body: grantBody(Math.round(ttlMs)),
+      priority: RequestPriority.lead,
+      signal,
+    });
+    return parseLease(response.body);
   }
 
+  /** See `KeyValueStore`. */
   async touch(lease: number, signal?: AbortSignal): Promise<boolean> {
-    const target = leaseTarget(lease, true);
-    return (await this.call('POST', target, {}, RequestPriority.lead, 0, signal)).status === 200;
+    const response = await this.call({
+      method: 'POST',
+      target: leaseTarget(lease, true),
+      body: {},
+      priority: RequestPriority.lead,
+      signal,
+    });
+    return response.status === 200;
   }
 
+  /** See `KeyValueStore`. */
   async revoke(lease: number, signal?: AbortSignal): Promise<void> {
-    await this.call(
-      'DELETE',
-      leaseTarget(lease, false),
-      undefined,
-      RequestPriority.lead,
-      0,
-      signal,
-    );
+    const target = leaseTarget(lease, false);
+    await this.call({ method: 'DELETE', target, priority: RequestPriority.lead, signal });
   }
 
-  async watch(prefix: string, after: number, waitMs: number, signal?: AbortSignal) {
-    await this.spend(RequestPriority.lead, 0, signal);
+  /** See `KeyValueStore`. What becomes of it counts for neither `failingSince` nor `lastAttemptAt`. */
+  async watch(
+    prefix: string,
+    after: number,
+    waitMs: number,
+    signal?: AbortSignal,
+  ): Promise<EventBatch | null> {
+    await this.awaitBudget(RequestPriority.lead, 0, signal);
     try {
       const response = await this.watchHttp.request({
         method: 'GET',
@@ -138,52 +180,55 @@
         signal,
       });
       if (response.status === 410) return null;
-      return parseEvents(this.check(response).body);
+      return parseEvents(this.check(response, 0).body);
     } catch (error) {
-      // Its length has no bound, and the same question would have the same answer: lists come in pages.
+      // Its length has no bound, and the same request would have the same answer: lists come in pages.
       if (error instanceof ResponseTooLargeError) return null;
       throw error;
     }
   }
 
+  /** Closes the connections; requests that wait for one are rejected. */
   close(): void {
     this.http.close();
     this.leadershipHttp.close();
     this.watchHttp.close();
   }
 
-  private async call(
-    method: 'GET' | 'POST' | 'DELETE',
-    target: string,
-    body: unknown,
-    priority: RequestPriority,
-    changes: number,
-    signal?: AbortSignal,
-  ): Promise<HttpResponse> {
-    await this.spend(priority, changes, signal);
-    this.lastAttemptAt = this.options.clock.now();
+  private async call(call: Call): Promise<HttpResponse> {
+    const { method, target, body, priority, changes = 0, signal } = call;
+    const { clock, timeoutMs } = this.options;
+    await this.awaitBudget(priority, changes, signal);
+    this.lastAttemptAt = clock.now();
     const client = priority === RequestPriority.lead ? this.leadershipHttp : this.http;
     try {
       const response = this.check(
-        await client.request({ method, target, body, timeoutMs: this.options.timeoutMs, signal }),
+        await client.request({ method, target, body, timeoutMs, signal }),
         changes,
       );
       this.failingSince = null;
       this.unansweredSince = null;
       return response;
     } catch (error) {
-      if (!signal?.aborted) {
-        const now = this.options.clock.now();
-        this.failingSince ??= now;
-        if (error instanceof RequestRefusedError) this.unansweredSince = null;
-        else this.unansweredSince ??= now;
-      }
+      // What we ended ourselves says nothing of the service.
+      if (!signal?.aborted) this.noteFailure(error);
       throw error;
     }
   }
 
-  /** Waits for the budget, within the time that an answer could still be of use. */
-  private async spend(
+  private noteFailure(error: unknown): void {
+    const now = this.options.clock.now();
+    this.failingSince ??= now;
+    if (error instanceof RequestRefusedError) this.unansweredSince = null;
+    else this.unansweredSince ??= now;
+  }
+
+  /**
+   * Waits for the budget, within the time that an answer could still be of use.
+   * Rejects with `RequestRefusedError` when it would take longer, or when too
+   * many wait already.
+   */
+  private async awaitBudget(
     priority: RequestPriority,
     changes: number,
     signal?: AbortSignal,
@@ -191,38 +236,42 @@
     const { clock, timeoutMs, requestsPerS } = this.options;
     const deadline = clock.now() + timeoutMs;
     for (;;) {
-      let wait = this.requestBudget.take(1, priority, clock.now());
-      if (wait === 0 && changes > 0) wait = this.changeBudget.take(changes, priority, clock.now());
-      if (wait === 0) return;
-      if (clock.now() + wait > deadline || this.queued > requestsPerS)
-        throw new RequestRefusedError(wait);
+      let waitMs = this.requestBudget.take(1, priority, clock.now());
+      if (waitMs === 0 && changes > 0)
+        waitMs = this.changeBudget.take(changes, priority, clock.now());
+      if (waitMs === 0) return;
+      if (clock.now() + waitMs > deadline || this.queued > requestsPerS)
+        throw new RequestRefusedError(waitMs);
       this.queued++;
       try {
-        await clock.sleep(wait, signal);
+        await clock.sleep(waitMs, signal);
       } finally {
         this.queued--;
       }
     }
   }
 
-  private check(response: HttpResponse, changes = 0): HttpResponse {
-    if (response.status === 429) {
-      const now = this.options.clock.now();
-      this.requestBudget.recordRefusal(now);
-      if (changes > 0) {
-        // Which of the two limits it was is not said; the announced one may be in force from now on.
-        this.changeBudget.recordRefusal(now);
-        this.changeBudget.lowerRate(this.options.loweredChangesPerS, now);
-      }
-      throw new RequestRefusedError(1000);
-    }
-    if (response.status === 503) throw new RequestRefusedError(1000);
-    if (![200, 400, 404, 409].includes(response.status))
-      throw new NoResponseError(`state service answered ${response.status}`);
-    if (response.status === 400)
-      throw new RequestRejectedError(
-        `state service answered 400: ${JSON.stringify(response.body)}`,
-      );
+  /** The response when it is an answer; throws the error that its status stands for. */
+  private check(response: HttpResponse, changes: number): HttpResponse {
+    const { status, body } = response;
+    if (status === 429) this.noteRateLimit(changes);
+    if (status === 429 || status === 503) throw new RequestRefusedError(REFUSED_RETRY_MS);
+    if (!ANSWERED.includes(status)) throw new NoResponseError(`state service answered ${status}`);
+    if (status === 400)
+      throw new RequestRejectedError(`state service answered 400: ${JSON.stringify(body)}`);
     return response;
   }
+
+  private noteRateLimit(changes: number): void {
+    const now = this.options.clock.now();
+    this.requestBudget.recordRefusal(now);
+    if (changes === 0) return;
+    // Which of the two limits it was is not said; the announced one may be in force from now on.
+    this.changeBudget.recordRefusal(now);
+    this.changeBudget.lowerRate(this.options.loweredChangesPerS, now);
+  }
+}
+
+function createHttp(address: Address, connections: number): HttpClient {
+  return new HttpClient(address, { connections, bodyLimit: MAX_BODY_BYTES });
 }
--- a/src/http/socket-reader.ts
+++ b/src/http/socket-reader.ts
@@ -7,7 +7,8 @@
  */
 export class SocketReader {
   private readonly pieces: Buffer[] = [];
-  private deliver: ((piece: Buffer | null) => void) | null = null;
+  /** Waits in `next`. */
+  private pendingRead: ((piece: Buffer | null) => void) | null = null;
   private ended = false;
 
   constructor(private readonly socket: net.Socket) {
@@ -23,13 +24,13 @@
     if (this.ended) return Promise.resolve(null);
     if (this.socket.isPaused()) this.socket.resume();
     return new Promise((resolve) => {
-      this.deliver = resolve;
+      this.pendingRead = resolve;
     });
   }
 
   private receive(piece: Buffer): void {
-    if (this.deliver) {
-      this.handOver(piece);
+    if (this.pendingRead) {
+      this.completeRead(piece);
       return;
     }
     // Nobody reads before the reply has left, so no more is taken from the network either.
@@ -39,12 +40,12 @@
 
   private end(): void {
     this.ended = true;
-    this.handOver(null);
+    this.completeRead(null);
   }
 
-  private handOver(piece: Buffer | null): void {
-    const { deliver } = this;
-    this.deliver = null;
-    deliver?.(piece);
+  private completeRead(piece: Buffer | null): void {
+    const { pendingRead } = this;
+    this.pendingRead = null;
+    pendingRead?.(piece);
   }
 }
