--- a/src/http/server-connection.ts
+++ b/src/http/server-connection.ts
@@ -24,20 +24,18 @@
 /** Serves the requests of one connection one at a time, in their order. */
 export class ServerConnection {
   private readonly parser = new Parser('request', REQUEST_LIMITS);
-  private readonly reader: SocketReader;
   private hasReplied = false;
 
   constructor(
     private readonly socket: net.Socket,
     private readonly options: ServerConnectionOptions,
-  ) {
-    this.reader = new SocketReader(socket);
-  }
+  ) {}
 
   /** Resolves when no more requests are read. The socket closes with the last reply or by its time-out. */
   async run(): Promise<void> {
-    const { socket, parser, reader } = this;
+    const { socket, parser } = this;
     const { table, handler, onError } = this.options;
+    const reader = SocketReader.attach(socket);
     // The connection broke; nothing is owed to it.
     socket.on('error', () => socket.destroy());
     socket.once('close', () => table.remove(socket));
--- a/src/http/socket-reader.ts
+++ b/src/http/socket-reader.ts
@@ -11,10 +11,15 @@
   private pendingRead: ((piece: Buffer | null) => void) | null = null;
   private ended = false;
 
-  constructor(private readonly socket: net.Socket) {
-    socket.on('data', (piece) => this.receive(piece));
-    socket.once('end', () => this.end());
-    socket.once('close', () => this.end());
+  private constructor(private readonly socket: net.Socket) {}
+
+  /** Begins to read the socket. Its errors stay with the caller. */
+  static attach(socket: net.Socket): SocketReader {
+    const reader = new SocketReader(socket);
+    socket.on('data', (piece) => reader.receive(piece));
+    socket.once('end', () => reader.end());
+    socket.once('close', () => reader.end());
+    return reader;
   }
 
   /** The next piece, once it is there; null once nothing more comes. One call at a time. */
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,11 +1,12 @@
 import assert from 'node:assert/strict';
+import { getEventListeners, once } from 'node:events';
 import type { AddressInfo } from 'node:net';
 import net from 'node:net';
 import { mock, test } from 'node:test';
 import { AgentClient } from '../src/clients/agent-client.js';
 import { StateClient } from '../src/clients/state-client.js';
 import { HttpClient } from '../src/http/client.js';
-import { NotSentError } from '../src/http/errors.js';
+import { NoResponseError, NotSentError } from '../src/http/errors.js';
 import { type Handler, serve } from '../src/http/server.js';
 import { RequestBudget, RequestPriority } from '../src/runtime/request-budget.js';
 import { FakeClock, settle } from './support/clock.js';
@@ -396,3 +397,105 @@
   client.close();
   server.close();
 });
+
+test('the end of a server closes every connection by one listener on the signal, also one that is served', async () => {
+  const stop = new AbortController();
+  let served = 0;
+  const handler: Handler = (request) => {
+    served++;
+    return request.target === '/slow' ? new Promise(() => {}) : { status: 200, body: {} };
+  };
+  const server = await serve(
+    {
+      host: '127.0.0.1',
+      port: 0,
+      handler,
+      maxConnections: 50,
+      requestMs: 60_000,
+      idleMs: 60_000,
+      spareMs: 0,
+      onError: () => {},
+    },
+    stop.signal,
+  );
+  const { port } = server.address() as AddressInfo;
+  const targets = ['/slow', ...Array.from({ length: 20 }, () => '/')];
+  const sockets = targets.map((target) => {
+    const socket = net.connect(port, '127.0.0.1', () =>
+      socket.write(`GET ${target} HTTP/1.1\r\n\r\n`),
+    );
+    socket.on('data', () => {});
+    socket.on('error', () => {});
+    return socket;
+  });
+  while (served < targets.length) await settle();
+  assert.equal(getEventListeners(stop.signal, 'abort').length, 1);
+  stop.abort();
+  for (let i = 0; i < 2000 && sockets.some((socket) => !socket.closed); i++) await settle();
+  const left = sockets.filter((socket) => !socket.closed);
+  for (const socket of left) socket.destroy();
+  assert.equal(left.length, 0);
+  assert.equal(server.listening, false);
+});
+
+test('a server keeps no replies for a client that never reads them', async () => {
+  const large = 'x'.repeat(16 * 1024 * 1024);
+  let served = 0;
+  let serveAgain: () => void = () => {};
+  const servedAgain = new Promise<void>((resolve) => {
+    serveAgain = resolve;
+  });
+  const handler: Handler = () => {
+    if (++served > 1) serveAgain();
+    return { status: 200, body: { large } };
+  };
+  await serving(handler, async (port) => {
+    const socket = net.connect({ port, host: '127.0.0.1' });
+    socket.on('error', () => {});
+    const closed = once(socket, 'close');
+    // Two at once: the second one is never served.
+    socket.write('GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n');
+    while (served === 0) await settle();
+    let received = 0;
+    socket.on('data', (data) => {
+      received += data.length;
+    });
+    await Promise.race([closed, servedAgain]);
+    assert.equal(served, 1);
+    assert.ok(received < large.length, `${received} bytes`);
+  });
+});
+
+test('a request on a kept connection that the server has closed is sent again only when it changes nothing', async () => {
+  /** How many requests a connection answers before it is closed at the next. */
+  const answered = 1;
+  let connections = 0;
+  const server = net.createServer((socket) => {
+    connections++;
+    let requests = 0;
+    socket.on('error', () => {});
+    socket.on('data', () => {
+      if (requests++ >= answered) socket.destroy();
+      else socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}');
+    });
+  });
+  server.listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  const { port } = server.address() as AddressInfo;
+  const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
+  const get = () => client.request({ method: 'GET', target: '/', timeoutMs: 60_000 });
+  const post = () => client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 60_000 });
+  try {
+    assert.equal((await get()).status, 200);
+    assert.equal((await get()).status, 200);
+    assert.equal(connections, 2);
+    await assert.rejects(post(), (error: unknown) => {
+      assert.ok(error instanceof NoResponseError && !(error instanceof NotSentError));
+      return true;
+    });
+    assert.equal(connections, 2);
+  } finally {
+    client.close();
+    server.close();
+  }
+});
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -1,8 +1,7 @@
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import net from 'node:net';
-import { test } from 'node:test';
-import { setTimeout as sleep } from 'node:timers/promises';
+import { type TestContext, test } from 'node:test';
 import type { ControllerContext } from '../src/controller/context.js';
 import { Peers } from '../src/controller/membership/peers.js';
 import type { PeerStatus } from '../src/peer/peer-network.js';
@@ -24,16 +23,19 @@
 /** A frame's bytes without the length before it. */
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
+/** Bounded by steps and never by real time, of which a busy machine may need any amount. */
 async function until(holds: () => boolean, step: () => Promise<unknown>): Promise<void> {
-  for (let i = 0; i < 200 && !holds(); i++) {
+  for (let i = 0; i < 2000 && !holds(); i++) {
     await step();
-    await sleep(5);
+    await settle();
   }
   assert.ok(holds(), 'in time');
 }
 
 /** A node's real duties towards its peers, and a peer that is played by bare sockets. */
-async function meeting() {
+async function meeting(t: TestContext) {
+  // The sockets are real: time-outs of connections and questions never come.
+  t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
   const stop = new AbortController();
   const heard: Buffer[] = [];
@@ -106,8 +108,8 @@
   };
 }
 
-test('what a node tells its peers and asks them is these bytes, and answers are read', async () => {
-  const m = await meeting();
+test('what a node tells its peers and asks them is these bytes, and answers are read', async (t) => {
+  const m = await meeting(t);
   try {
     await until(
       () => m.heard().length > 0,
@@ -150,8 +152,8 @@
   }
 });
 
-test('what peers ask is read from these bytes, and answered with these', async () => {
-  const m = await meeting();
+test('what peers ask is read from these bytes, and answered with these', async (t) => {
+  const m = await meeting(t);
   try {
     const answer = async (question: string, expected: string) => {
       const before = m.answers().length;
@@ -172,8 +174,8 @@
   }
 });
 
-test('a peer of an earlier version says nothing of its memory, and its counts are taken', async () => {
-  const m = await meeting();
+test('a peer of an earlier version says nothing of its memory, and its counts are taken', async (t) => {
+  const m = await meeting(t);
   try {
     m.send(PEER_FRAMES.earlierStatus);
     await until(() => m.peers.isReachable('n-1'), settle);
