--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -65,7 +65,11 @@
   static async fetchHeartbeat(address: string, timeoutMs: number): Promise<Heartbeat> {
     const client = createClient(address);
     try {
-      const response = await client.request({ method: 'GET', target: PATHS.show, timeoutMs });
+      const response = await client.request({
+        method: 'GET',
+        target: PATHS.currentHeartbeat,
+        timeoutMs,
+      });
       return parseHeartbeat(response.body);
     } finally {
       client.close();
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -66,7 +66,9 @@
 
   /** The machine types on offer. */
   async types(signal?: AbortSignal): Promise<MachineType[]> {
-    return parseMachineTypes(await this.call({ method: 'GET', target: PATHS.types, signal }));
+    return parseMachineTypes(
+      await this.call({ method: 'GET', target: PATHS.machineTypes, signal }),
+    );
   }
 
   /** One page of the machine list: machines with ids after the given one. */
@@ -115,7 +117,7 @@
   ): Promise<void> {
     await this.call({
       method: 'POST',
-      target: PATHS.returnMachines,
+      target: PATHS.termination,
       body: terminationBody(machines),
       signal,
       isStillValid,
--- a/src/protocol/job-protocol.ts
+++ b/src/protocol/job-protocol.ts
@@ -95,14 +95,14 @@
 /** Answer to a query: the state with the counts of done and running tasks. */
 export function jobStatusBody(
   id: string,
-  standing: JobState,
+  state: JobState,
   done: number,
   running: number,
 ): JsonObject {
-  return { id, standing, done, running };
+  return { id, standing: state, done, running };
 }
 
 /** Answer to a submission or cancellation: the state alone. */
-export function jobStateBody(id: string, standing: JobState): JsonObject {
-  return { id, standing };
+export function jobStateBody(id: string, state: JobState): JsonObject {
+  return { id, standing: state };
 }
--- a/src/protocol/key-value-protocol.ts
+++ b/src/protocol/key-value-protocol.ts
@@ -55,13 +55,13 @@
 
 /** The target of one key. */
 export function keyTarget(key: string): string {
-  return `${PATHS.store}/${key.split('/').map(encodeURIComponent).join('/')}`;
+  return `${PATHS.keys}/${key.split('/').map(encodeURIComponent).join('/')}`;
 }
 
 /** The target of one page: up to `limit` keys under the prefix and after the given one. */
 export function listTarget(prefix: string, after: string | null, limit: number): string {
   const from = after === null ? '' : `&after=${encodeURIComponent(after)}`;
-  return `${PATHS.store}?starts=${encodeURIComponent(prefix)}${from}&limit=${limit}`;
+  return `${PATHS.keys}?starts=${encodeURIComponent(prefix)}${from}&limit=${limit}`;
 }
 
 /** The target of a watch for changes after a revision, answered after `waitMs` at the latest. */
--- a/src/protocol/paths.ts
+++ b/src/protocol/paths.ts
@@ -13,13 +13,13 @@
   heartbeat: '/agent/beat',
   /** Of an agent: commands, and its present heartbeat. */
   commands: '/do',
-  show: '/show',
+  currentHeartbeat: '/show',
   /** Of the cloud: machine types, machine list and provisioning, termination. */
-  types: '/flavors',
+  machineTypes: '/flavors',
   machines: '/machines',
-  returnMachines: '/machines/return',
+  termination: '/machines/return',
   /** Of the state service: keys, transactions, leases, watches. */
-  store: '/store',
+  keys: '/store',
   transaction: '/multi',
   leases: '/grants',
   watch: '/follow',
