--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,10 +1,11 @@
 /** An HTTP/1.1 client for JSON requests to one address. */
-import { type Address, ConnectionPool, type PoolOptions } from './connection-pool.js';
+import { ConnectionPool, type PoolOptions } from './connection-pool.js';
 import { NotAttemptedError } from './errors.js';
 import { Exchange, type HttpResponse } from './exchange.js';
+import type { Address } from './open-connection.js';
 
-export type { Address } from './connection-pool.js';
 export type { HttpResponse } from './exchange.js';
+export type { Address } from './open-connection.js';
 
 /** One request. */
 export interface RequestOptions {
--- a/src/http/connection-pool.ts
+++ b/src/http/connection-pool.ts
@@ -1,13 +1,7 @@
-/** Kept connections to one address: opening, waiting for one, giving back, closing. */
-import net from 'node:net';
-import { NotAttemptedError, NotSentError } from './errors.js';
-import { Parser } from './parser.js';
-
-/** Where a server listens. */
-export interface Address {
-  host: string;
-  port: number;
-}
+/** Kept connections to one address: acquiring, waiting for a free one, releasing, closing. */
+import type net from 'node:net';
+import { NotAttemptedError } from './errors.js';
+import { type Address, type ClientConnection, openConnection } from './open-connection.js';
 
 /** Bounds of a pool. */
 export interface PoolOptions {
@@ -17,20 +11,11 @@
   bodyLimit: number;
 }
 
-/** A connection with the parser of its responses. It serves one request at a time. */
-export interface PooledConnection {
-  socket: net.Socket;
-  parser: Parser;
-}
-
 interface Waiter {
-  resolve: (connection: PooledConnection) => void;
+  resolve: (connection: ClientConnection) => void;
   reject: (error: Error) => void;
 }
 
-const MAX_LINE_BYTES = 8 * 1024;
-const MAX_HEADERS = 64;
-
 /** Connect time-out of a connection that is opened for whoever waits. */
 const REPLACEMENT_TIMEOUT_MS = 1000;
 
@@ -45,7 +30,7 @@
  * acquires it releases it or destroys its socket.
  */
 export class ConnectionPool {
-  private idle: PooledConnection[] = [];
+  private idle: ClientConnection[] = [];
   private openCount = 0;
   private waiters: Waiter[] = [];
   private closed = false;
@@ -66,7 +51,7 @@
    * none becomes free in time or the pool is closed. The signal ends an attempt
    * to connect, not the wait for a free connection.
    */
-  acquire(deadline: number, signal?: AbortSignal): Promise<PooledConnection> {
+  acquire(deadline: number, signal?: AbortSignal): Promise<ClientConnection> {
     const kept = this.takeIdle();
     if (kept) return Promise.resolve(kept);
     if (this.closed) return Promise.reject(new NotAttemptedError('closed'));
@@ -75,7 +60,7 @@
   }
 
   /** Takes back a connection on which the next request may be sent. */
-  release(connection: PooledConnection): void {
+  release(connection: ClientConnection): void {
     const waiter = this.waiters.shift();
     if (waiter) waiter.resolve(connection);
     else if (this.closed) connection.socket.destroy();
@@ -92,13 +77,13 @@
   }
 
   /** The connection used last, since the server is the least likely to have closed it. */
-  private takeIdle(): PooledConnection | null {
+  private takeIdle(): ClientConnection | null {
     for (let kept = this.idle.pop(); kept; kept = this.idle.pop())
       if (!kept.socket.destroyed) return kept;
     return null;
   }
 
-  private waitForFree(deadline: number): Promise<PooledConnection> {
+  private waitForFree(deadline: number): Promise<ClientConnection> {
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
         this.waiters = this.waiters.filter((other) => other !== waiter);
@@ -118,38 +103,17 @@
     });
   }
 
-  private connect(deadline: number, signal?: AbortSignal): Promise<PooledConnection> {
+  private connect(deadline: number, signal?: AbortSignal): Promise<ClientConnection> {
     this.openCount++;
-    return new Promise((resolve, reject) => {
-      const socket = net.connect({ ...this.address, noDelay: true });
-      const settle = () => {
-        clearTimeout(timer);
-        signal?.removeEventListener('abort', onAbort);
-      };
-      const fail = (message: string) => {
-        settle();
-        socket.destroy();
-        reject(new NotSentError(message));
-      };
-      const onAbort = () => fail('aborted');
-      const timer = setTimeout(() => fail('connect timed out'), msUntil(deadline));
-      signal?.addEventListener('abort', onAbort, { once: true });
-      socket.once('error', (error) => fail(error.message));
-      socket.once('close', () => this.forget(socket));
-      socket.once('connect', () => {
-        settle();
-        socket.removeAllListeners('error');
-        socket.on('error', () => socket.destroy());
-        resolve({ socket, parser: this.createParser() });
-      });
+    return openConnection({
+      address: this.address,
+      bodyLimit: this.options.bodyLimit,
+      timeoutMs: msUntil(deadline),
+      signal,
+      onClose: (socket) => this.forget(socket),
     });
   }
 
-  private createParser(): Parser {
-    const { bodyLimit } = this.options;
-    return new Parser('response', { line: MAX_LINE_BYTES, headers: MAX_HEADERS, body: bodyLimit });
-  }
-
   /** A socket has closed, for whatever reason. */
   private forget(socket: net.Socket): void {
     this.openCount--;
--- a/src/http/exchange.ts
+++ b/src/http/exchange.ts
@@ -1,7 +1,8 @@
 /** One request and its response on a connection. */
-import type { ConnectionPool, PooledConnection } from './connection-pool.js';
+import type { ConnectionPool } from './connection-pool.js';
 import { BodyTooLargeError, NoResponseError, ResponseTooLargeError } from './errors.js';
 import type { Message } from './message.js';
+import type { ClientConnection } from './open-connection.js';
 
 /** The answer to a request. */
 export interface HttpResponse {
@@ -14,7 +15,7 @@
 export interface ExchangeOptions {
   /** Takes the connection back as soon as the response is complete. */
   pool: ConnectionPool;
-  connection: PooledConnection;
+  connection: ClientConnection;
   /** The request as it is sent. */
   text: string;
   timeoutMs: number;
