--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -119,13 +119,14 @@
       takeReport: async (body) =>
         this.heartbeats.handleAsLeader(parseHeartbeat(JSON.parse(body.toString())), true),
     });
-    this.heartbeats = new HeartbeatHandler(
-      this.ctx,
-      this.election,
-      () => this.leader,
-      this.peers,
-      (address) => AgentClient.fetchHeartbeat(address, timing.commandTimeoutMs * 0.4),
-    );
+    this.heartbeats = new HeartbeatHandler({
+      ctx: this.ctx,
+      election: this.election,
+      leader: () => this.leader,
+      peers: this.peers,
+      fetchHeartbeat: (address) =>
+        AgentClient.fetchHeartbeat(address, timing.commandTimeoutMs * 0.4),
+    });
     this.health = new ControllerHealth(this.ctx, this.state, this.peers);
   }
 
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -1,200 +1,125 @@
+/**
+ * Agents' heartbeats at one controller, leader or not.
+ *
+ * The leader handles them. A follower redirects the agent to the leader (421).
+ * An agent that comes back all the same is cut off from the leader by a network
+ * partition: the follower then relays its heartbeat through a peer connection
+ * or through the mailbox in the state service, and when that fails as well, it
+ * renews the agent's lease on behalf of the leader for a while.
+ */
 import type { Reply } from '../../http/server.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
-import type { TaskCommand } from '../../model/task-command.js';
 import {
   fencingToken,
   heartbeatResponseBody,
   parseHeartbeat,
-  redirectBody,
 } from '../../protocol/agent-protocol.js';
-import { liveJobKey } from '../../records/keys.js';
-import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 import type { LeaderElection } from '../election/leader-election.js';
 import type { Leader } from '../leader/leader.js';
-import type { Peers } from '../membership/peers.js';
+import { DelegatedRenewal, type FetchHeartbeat, type LeaderActivity } from './delegated-renewal.js';
+import { redirectTo } from './heartbeat-replies.js';
+import { type RedirectedAgent, RedirectedAgents } from './redirected-agents.js';
+
+/** An agent that returns within this many heartbeat intervals could not reach the leader. */
+const RETURN_WINDOW_HEARTBEATS = 4;
 
-interface RedirectedAgent {
-  /** The leader that it was told of. */
-  leader: string;
-  seenAt: number;
-  /** When it came back and was served here. */
-  servedSince: number | null;
-  /** A term that it was seen not to know of, and when: until then that term's leader had sent it nothing. */
-  unawareOf: { term: number; at: number } | null;
+/** The ways from a follower to the leader. */
+export interface HeartbeatRelay extends LeaderActivity {
+  /** The node's status messages come through. */
+  isReachable(node: string): boolean;
+  /** Relays a heartbeat through a peer connection; rejects when no reply comes. */
+  forwardHeartbeat(node: string, body: Buffer): Promise<Reply>;
+  /** Relays it through the mailbox in the state service; rejects when no reply comes. */
+  forwardThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply>;
 }
 
-/** Guests not heard of for this many worker leases are forgotten. */
-const FORGET_AFTER_LEASES = 5;
+/** What the handler needs of the rest of its controller. */
+export interface HeartbeatHandlerOptions {
+  ctx: ControllerContext;
+  election: Pick<LeaderElection, 'leader' | 'observedTerm' | 'current'>;
+  /** The running leader of this process; null while it does not lead. */
+  leader: () => Leader | null;
+  peers: HeartbeatRelay;
+  /** Asks an agent itself for its heartbeat. */
+  fetchHeartbeat: FetchHeartbeat;
+}
 
-/**
- * Workers' reports. The leader takes them. Another node names the leader;
- * when a worker comes back all the same, a cut keeps the two apart: the node
- * then passes the report on or, cut off itself, keeps the worker's lease alive
- * with the leader's own token for a while and orders nothing but the end of
- * cancelled work.
- */
+/** Handles, redirects or relays heartbeats, and renews leases for an unreachable leader. */
 export class HeartbeatHandler {
-  private readonly redirected = new Map<string, RedirectedAgent>();
-  private sweptAt = 0;
-  /** The last term for whose silent leader machines were kept: said once in the log. */
-  private loggedTerm = 0;
+  private readonly redirected: RedirectedAgents;
+  private readonly delegatedRenewal: DelegatedRenewal;
 
-  constructor(
-    private readonly ctx: ControllerContext,
-    private readonly election: Pick<LeaderElection, 'leader' | 'observedTerm' | 'current'>,
-    private readonly leader: () => Leader | null,
-    private readonly peers: Pick<
-      Peers,
-      'isReachable' | 'lastLedAt' | 'forwardHeartbeat' | 'forwardThroughMailbox'
-    >,
-    /** Asks a machine itself for its report. */
-    private readonly fetchHeartbeat: (address: string) => Promise<Heartbeat>,
-  ) {}
+  constructor(private readonly options: HeartbeatHandlerOptions) {
+    const { ctx, election, peers, fetchHeartbeat } = options;
+    this.redirected = new RedirectedAgents(ctx.timing);
+    this.delegatedRenewal = new DelegatedRenewal({
+      ctx,
+      election,
+      leaderActivity: peers,
+      fetchHeartbeat,
+    });
+  }
 
+  /** A heartbeat as an agent sent it; 400 when it is malformed. */
   async handle(body: Buffer): Promise<Reply> {
     let heartbeat: Heartbeat;
     try {
       heartbeat = parseHeartbeat(JSON.parse(body.toString()));
     } catch (error) {
-      return { status: 400, body: { error: String((error as Error).message) } };
-    }
-    if (this.leader()) return this.handleAsLeader(heartbeat, false);
-    const { ctx, election } = this;
-    const leader = election.leader;
-    if (leader === null || leader === ctx.node) return { status: 421, body: redirectBody(null) };
-    const now = ctx.clock.now();
-    this.forgetOldAgents(now);
-    const reachable = this.peers.isReachable(leader);
-    let agent = this.redirected.get(heartbeat.machineId);
-    if (!agent || agent.leader !== leader) {
-      agent = {
-        leader,
-        seenAt: Number.NEGATIVE_INFINITY,
-        servedSince: null,
-        unawareOf: null,
-      };
-      this.redirected.set(heartbeat.machineId, agent);
+      return { status: 400, body: { error: (error as Error).message } };
     }
-    const returned = now - agent.seenAt < ctx.timing.heartbeatMs * 4;
-    agent.seenAt = now;
-    // Now and then one that is served here is sent on all the same: the cut may be over.
-    const long = agent.servedSince !== null && now - agent.servedSince > ctx.timing.agentLeaseMs;
-    if (reachable && (!returned || long)) {
-      agent.servedSince = null;
-      return { status: 421, body: redirectBody(leader) };
+    const { ctx, election, peers } = this.options;
+    if (this.options.leader()) return this.handleAsLeader(heartbeat, false);
+    const { leader } = election;
+    if (leader === null || leader === ctx.node) return redirectTo(null);
+    const nowMs = ctx.clock.now();
+    this.redirected.forgetInactive(nowMs);
+    const reachable = peers.isReachable(leader);
+    const agent = this.redirected.get(heartbeat.machineId, leader);
+    if (this.shouldRedirect(agent, reachable, nowMs)) {
+      agent.stopServing();
+      return redirectTo(leader);
     }
-    agent.servedSince ??= now;
+    agent.startServing(nowMs);
     try {
       return reachable
-        ? await this.peers.forwardHeartbeat(leader, body)
-        : await this.peers.forwardThroughMailbox(leader, heartbeat.machineId, body);
+        ? await peers.forwardHeartbeat(leader, body)
+        : await peers.forwardThroughMailbox(leader, heartbeat.machineId, body);
     } catch (error) {
-      ctx.log.debug({ error: String((error as Error).message) }, 'report not passed on');
+      ctx.log.debug({ err: error }, 'heartbeat not relayed');
     }
-    // The worker would wait in vain at a leader that is silent here too: it is kept without a detour.
-    return this.renewOnBehalfOfLeader(heartbeat, agent);
+    // Redirecting the agent to a leader that is unreachable from here too would only cost it time.
+    return this.delegatedRenewal.renew(heartbeat, agent);
   }
 
-  /** A report that a peer passed on, or one of our own. */
+  /** Handles a heartbeat as the leader; `relayed`: it came through a peer or the mailbox. */
   async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
-    // Before the jobs are read no lease may be renewed; a moment later its orders go with the answer.
-    await this.leader()?.untilReady();
-    const leader = this.leader();
-    const term = this.election.current;
-    if (!leader || !term) return { status: 421, body: redirectBody(null) };
+    // No lease may be renewed before the jobs are read. Waiting lets the first reply carry commands too.
+    await this.options.leader()?.untilReady();
+    const leader = this.options.leader();
+    const term = this.options.election.current;
+    if (!leader || !term) return redirectTo(null);
     if (heartbeat.term > term.number) {
-      // The worker has answered to a later leader.
-      term.resign('a report carries a higher token');
-      return { status: 421, body: redirectBody(null) };
+      // The agent has accepted a token of a later leader.
+      term.resign('a heartbeat carries a higher fencing token');
+      return redirectTo(null);
     }
     if (!term.mayRenewAgentLeases())
       return { status: 503, body: { error: 'leadership is not proven' } };
-    const { orders, fence } = leader.handleHeartbeat(heartbeat, relayed);
-    return { status: 200, body: heartbeatResponseBody(fencingToken(term.number, fence), orders) };
-  }
-
-  private async renewOnBehalfOfLeader(
-    heartbeat: Heartbeat,
-    agent: RedirectedAgent,
-  ): Promise<Reply> {
-    const { ctx, election } = this;
-    const term = election.observedTerm;
-    const away = { status: 421, body: redirectBody(null) };
-    if (term === null || heartbeat.term > term) return away;
-    const now = ctx.clock.now();
-    if (
-      heartbeat.term < term &&
-      agent.unawareOf?.term !== term &&
-      (await this.isUnawareOfTerm(heartbeat, term))
-    )
-      agent.unawareOf = { term, at: now };
-    const from = this.mayHoldStartsFrom(agent, term);
-    if (from === null || now - from > ctx.timing.delegatedRenewalMs) return away;
-    this.noteKeeping(term, agent.leader, heartbeat.machineId);
-    const commands: TaskCommand[] = [];
-    try {
-      // Whoever answers a worker answers for the cancellations too.
-      const over = new Map<string, boolean>();
-      for (const task of heartbeat.tasks) {
-        if (task.state === 'exited') continue;
-        if (!over.has(task.jobId))
-          over.set(
-            task.jobId,
-            (await ctx.state.get(liveJobKey(task.jobId), RequestPriority.ends)) === null,
-          );
-        if (over.get(task.jobId))
-          commands.push({
-            op: 'stop',
-            jobId: task.jobId,
-            index: task.index,
-            attempt: task.attempt,
-            graceS: 0,
-          });
-      }
-    } catch {
-      return { status: 503, body: { error: 'the state service is out of reach' } };
-    }
-    const fence = heartbeat.term === term ? heartbeat.fence : 0;
-    return { status: 200, body: heartbeatResponseBody(fencingToken(term, fence), commands) };
+    const { orders: commands, fence } = leader.handleHeartbeat(heartbeat, relayed);
+    return { status: 200, body: heartbeatResponseBody(fencingToken(term.number, fence), commands) };
   }
 
   /**
-   * A start of that leader may be held back by the cut, and reach a session that is kept alive.
-   * Its time is counted from when the leader fell silent, so that several nodes can't add theirs
-   * up; a machine that learns of the term only here can have no such start on its way.
+   * An agent is redirected to a leader that is reachable from here, unless it
+   * just comes from there. One that is served here for longer than a lease is
+   * redirected once all the same, since the partition may have ended.
    */
-  private mayHoldStartsFrom(agent: RedirectedAgent, term: number): number | null {
-    if (agent.unawareOf?.term === term) return agent.unawareOf.at;
-    return this.peers.lastLedAt(agent.leader, term);
-  }
-
-  /** Logged once a term. */
-  private noteKeeping(term: number, leader: string, machine: string): void {
-    if (this.loggedTerm !== term)
-      this.ctx.log.info({ term, leader, machine }, 'keeping cut-off machines');
-    this.loggedTerm = term;
-  }
-
-  /**
-   * The machine does not know of the term. Its report alone does not show
-   * that: a late copy carries an old token for as long as copies may last,
-   * and would start the time for which the machine is kept anew.
-   */
-  private async isUnawareOfTerm(heartbeat: Heartbeat, term: number): Promise<boolean> {
-    try {
-      const shown = await this.fetchHeartbeat(heartbeat.address);
-      return shown.machineId === heartbeat.machineId && shown.term < term;
-    } catch (error) {
-      this.ctx.log.debug({ error: String((error as Error).message) }, 'machine not asked');
-      return false;
-    }
-  }
-
-  private forgetOldAgents(now: number): void {
-    const keep = this.ctx.timing.agentLeaseMs * FORGET_AFTER_LEASES;
-    if (now - this.sweptAt < keep) return;
-    this.sweptAt = now;
-    for (const [id, g] of this.redirected) if (now - g.seenAt > keep) this.redirected.delete(id);
+  private shouldRedirect(agent: RedirectedAgent, reachable: boolean, nowMs: number): boolean {
+    const { heartbeatMs, agentLeaseMs } = this.options.ctx.timing;
+    const returned = agent.recordHeartbeat(nowMs, heartbeatMs * RETURN_WINDOW_HEARTBEATS);
+    const servedForLong = agent.isServedForLongerThan(agentLeaseMs, nowMs);
+    return reachable && (!returned || servedForLong);
   }
 }
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -1,131 +1,184 @@
+/**
+ * Requests between controllers that a network partition keeps apart, through
+ * the state service, which both still reach.
+ *
+ * A request and its response have a key of their own each, named by recipient,
+ * sender and slot, which the next one overwrites. All keys are attached to a
+ * lease that runs out when nothing has been sent for a while, so nothing is
+ * left behind. A response counts only for the request with its number and for
+ * the process with its incarnation: a late one, or one to a former process of
+ * this node, is dropped.
+ */
 import type { StoreEvent } from '../../protocol/key-value-protocol.js';
 import {
   decodeMailboxMessage,
   encodeMailboxRequest,
   encodeMailboxResponse,
   type MailboxRequest,
+  type MailboxResponse,
   type StoredMailboxMessage,
 } from '../../records/mailbox-record.js';
+import { assertNever } from '../../runtime/assert-never.js';
 import { AbortedError, sleepUntilAborted } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 
 const MAILBOX_PREFIX = 'mail/';
 
-interface Waiting {
-  n: number;
+/** The part of the lease's life during which new messages are attached to it. */
+const LEASE_USE_SHARE = 0.5;
+
+/** No response came within the request's time-out. */
+export class MailboxTimeoutError extends Error {
+  constructor(node: string, timeoutMs: number) {
+    super(`mailbox request to ${node} not answered within ${timeoutMs} ms`);
+  }
+}
+
+/** A value of the state service can't hold the message. */
+export class MessageTooLargeError extends Error {
+  constructor(bytes: number, maxBytes: number) {
+    super(`mailbox message of ${bytes} bytes exceeds ${maxBytes} bytes`);
+  }
+}
+
+/** A request that waits for its response. */
+interface PendingRequest {
+  requestNumber: number;
   resolve: (value: unknown) => void;
 }
 
-/**
- * Questions between controllers that a cut keeps apart, by way of the state
- * service, which both still reach. Each slot holds one question or answer and
- * is overwritten by the next; all hang on a lease that ends when no mail has
- * been sent for a while, so nothing is left behind.
- */
+/** The lease that messages are attached to. */
+interface MailboxLease {
+  id: Promise<number>;
+  /** New messages take another lease from this moment on. */
+  usableUntil: number;
+}
+
+/** One node's mailbox: it sends requests to other nodes and responds to theirs. */
 export class Mailbox {
-  private readonly waiting = new Map<string, Waiting>();
-  private lease: { id: Promise<number>; until: number } | null = null;
+  /** By the key `<node>/<slot>`: one request at a time for each. */
+  private readonly pending = new Map<string, PendingRequest>();
+  private lease: MailboxLease | null = null;
   private requestCount = 0;
 
   constructor(
     private readonly ctx: ControllerContext,
+    /** Responds to another node's request; what it resolves to is stored as it stands. */
     private readonly onRequest: (text: string) => Promise<unknown>,
   ) {}
 
-  /** Takes mail until the signal ends it. */
+  /** Receives messages until the signal aborts it. */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
-    const box = `${MAILBOX_PREFIX}${ctx.node}/`;
+    const inbox = `${MAILBOX_PREFIX}${ctx.node}/`;
     while (!signal.aborted) {
       try {
-        // Mail from before is of no use to anybody: its senders have given up.
-        let after = (await ctx.state.listPage(box, null, signal)).revision;
+        // Messages from before are skipped: their senders have timed out.
+        let revision = (await ctx.state.listPage(inbox, null, signal)).revision;
         for (;;) {
-          const got = await ctx.state.watch(box, after, ctx.timing.watchTimeoutMs, signal);
-          if (!got) break;
-          after = got.revision;
-          this.takeAll(got.events, box);
+          const changes = await ctx.state.watch(inbox, revision, ctx.timing.watchTimeoutMs, signal);
+          if (!changes) break;
+          revision = changes.revision;
+          this.receiveAll(changes.events, inbox);
         }
       } catch (error) {
         if (signal.aborted || error instanceof AbortedError) return;
-        ctx.log.debug({ error: String((error as Error).message) }, 'mail not read');
+        ctx.log.debug({ err: error }, 'mailbox not read');
         await sleepUntilAborted(ctx.clock, ctx.timing.renewMs, signal);
       }
     }
   }
 
-  /** Asks a node; `slot` names what the question is about, one at a time each. */
+  /**
+   * Sends a request to a node and resolves to its response, in its stored form.
+   * A later request in the same slot replaces this one. Throws
+   * MailboxTimeoutError, or what the state service's client throws.
+   */
   async request(node: string, slot: string, text: string, timeoutMs: number): Promise<unknown> {
     const { ctx } = this;
-    const n = ++this.requestCount;
+    const requestNumber = ++this.requestCount;
     const deadline = ctx.clock.now() + timeoutMs;
-    const key = `${node}/${slot}`;
-    const answer = new Promise<unknown>((resolve) => {
-      this.waiting.set(key, { n, resolve });
+    const pendingKey = `${node}/${slot}`;
+    const response = new Promise<unknown>((resolve) => {
+      this.pending.set(pendingKey, { requestNumber, resolve });
     });
     try {
-      const question: MailboxRequest = {
+      const request: MailboxRequest = {
         kind: 'ask',
-        n,
+        n: requestNumber,
         from: ctx.node,
         incarnation: ctx.incarnation,
         text,
       };
       await this.write(
         `${MAILBOX_PREFIX}${node}/${ctx.node}/${slot}`,
-        encodeMailboxRequest(question),
+        encodeMailboxRequest(request),
       );
-      const late = ctx.clock.sleep(Math.max(1, deadline - ctx.clock.now())).then(() => {
-        throw new Error('mail not answered');
+      const timeout = ctx.clock.sleep(Math.max(1, deadline - ctx.clock.now())).then(() => {
+        throw new MailboxTimeoutError(node, timeoutMs);
       });
-      return await Promise.race([answer, late]);
+      return await Promise.race([response, timeout]);
     } finally {
-      if (this.waiting.get(key)?.n === n) this.waiting.delete(key);
+      if (this.pending.get(pendingKey)?.requestNumber === requestNumber)
+        this.pending.delete(pendingKey);
     }
   }
 
-  private takeAll(events: StoreEvent[], box: string): void {
+  private receiveAll(events: StoreEvent[], inbox: string): void {
     for (const event of events)
-      if (event.op === 'put') this.receive(event.key.slice(box.length), event.value);
+      if (event.op === 'put') this.receive(event.key.slice(inbox.length), event.value);
   }
 
-  private receive(slot: string, value: unknown): void {
-    const mail = decodeMailboxMessage(value);
-    if (mail?.kind === 'answer') {
-      const waiting = this.waiting.get(slot);
-      if (waiting && mail.n === waiting.n && mail.incarnation === this.ctx.incarnation)
-        waiting.resolve(mail.value);
-    } else if (mail?.kind === 'ask')
-      void this.reply(slot, mail).catch((error) =>
-        this.ctx.log.debug({ error: String((error as Error).message) }, 'mail not answered'),
-      );
+  /** `senderSlot`: the rest of the message's key, `<sender>/<slot>`. */
+  private receive(senderSlot: string, value: unknown): void {
+    const message = decodeMailboxMessage(value);
+    if (!message) return;
+    switch (message.kind) {
+      case 'answer':
+        this.receiveResponse(senderSlot, message);
+        return;
+      case 'ask':
+        void this.respond(senderSlot, message).catch((error) =>
+          this.ctx.log.debug({ err: error }, 'mailbox request not answered'),
+        );
+        return;
+      default:
+        assertNever(message);
+    }
+  }
+
+  /** Responses to an earlier request, or to a former process of this node, are dropped. */
+  private receiveResponse(senderSlot: string, response: MailboxResponse): void {
+    const pending = this.pending.get(senderSlot);
+    if (!pending || response.n !== pending.requestNumber) return;
+    if (response.incarnation === this.ctx.incarnation) pending.resolve(response.value);
   }
 
-  private async reply(slot: string, ask: MailboxRequest): Promise<void> {
+  private async respond(senderSlot: string, request: MailboxRequest): Promise<void> {
     const { ctx } = this;
-    const value = await this.onRequest(ask.text);
-    const { n, incarnation } = ask;
-    const answer = encodeMailboxResponse({ kind: 'answer', n, incarnation, value });
-    if (Buffer.byteLength(JSON.stringify(answer)) > ctx.limits.valueBytes)
-      throw new Error('too large for mail');
-    // The asker's box, at our own place in it.
-    const rest = slot.slice(slot.indexOf('/') + 1);
-    await this.write(`${MAILBOX_PREFIX}${ask.from}/${ctx.node}/${rest}`, answer);
+    const value = await this.onRequest(request.text);
+    const { n, incarnation } = request;
+    const response = encodeMailboxResponse({ kind: 'answer', n, incarnation, value });
+    const bytes = Buffer.byteLength(JSON.stringify(response));
+    if (bytes > ctx.limits.valueBytes) throw new MessageTooLargeError(bytes, ctx.limits.valueBytes);
+    // Into the sender's inbox, under this node's name and the same slot.
+    const slot = senderSlot.slice(senderSlot.indexOf('/') + 1);
+    await this.write(`${MAILBOX_PREFIX}${request.from}/${ctx.node}/${slot}`, response);
   }
 
   private async write(key: string, value: StoredMailboxMessage): Promise<void> {
-    const lease = await this.currentLease();
+    const lease = await this.usableLease();
     await this.ctx.state.transact([], [{ op: 'put', key, value, lease }], RequestPriority.ends);
   }
 
-  /** A lease with enough of its life left for a question and its answer. */
-  private currentLease(): Promise<number> {
+  /** A lease with enough of its life left for a request and its response. */
+  private usableLease(): Promise<number> {
     const { clock, state, timing } = this.ctx;
     const now = clock.now();
-    if (!this.lease || now > this.lease.until) {
+    if (!this.lease || now > this.lease.usableUntil) {
       const id = state.grant(timing.agentLeaseMs);
-      const lease = { id, until: now + timing.agentLeaseMs * 0.5 };
+      const lease = { id, usableUntil: now + timing.agentLeaseMs * LEASE_USE_SHARE };
       this.lease = lease;
       id.catch(() => {
         if (this.lease === lease) this.lease = null;
--- a/test/mail.test.ts
+++ b/test/mail.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Mailbox } from '../src/controller/heartbeats/mailbox.js';
+import { Mailbox, MailboxTimeoutError } from '../src/controller/heartbeats/mailbox.js';
 import { FakeClock, settle } from './support/clock.js';
 import { createContext } from './support/context.js';
 import { FakeStateService, FakeStore } from './support/state.js';
@@ -31,3 +31,21 @@
   assert.deepEqual([...store.entries.keys()], []);
   stop.abort();
 });
+
+test('a response that no value can hold is not sent, and its request times out', async () => {
+  const clock = new FakeClock();
+  const store = new FakeStore(clock);
+  const stop = new AbortController();
+  const requester = new Mailbox(createContext('n-0', new FakeStateService(store), clock), () =>
+    Promise.reject(new Error('not asked')),
+  );
+  const context = createContext('n-1', new FakeStateService(store), clock);
+  const responder = new Mailbox(context, async () => 'x'.repeat(context.limits.valueBytes));
+  for (const mailbox of [requester, responder]) void mailbox.run(stop.signal);
+  await settle();
+  const timedOut = assert.rejects(requester.request('n-1', 'm-1', 'x', 1000), MailboxTimeoutError);
+  await clock.advance(1000);
+  await timedOut;
+  assert.ok(![...store.entries.keys()].some((key) => key.startsWith('mail/n-0/')));
+  stop.abort();
+});
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -33,7 +33,13 @@
     machine.answers
       ? Promise.resolve({ ...new ScriptedAgent('n-000001').heartbeat(), term: machine.term })
       : Promise.reject(new Error('not answered'));
-  const reports = new HeartbeatHandler(ctx, leadership, () => null, peers, show);
+  const reports = new HeartbeatHandler({
+    ctx,
+    election: leadership,
+    leader: () => null,
+    peers,
+    fetchHeartbeat: show,
+  });
   const report = (term = 7, fence = 0) =>
     reports.handle(
       Buffer.from(
@@ -129,7 +135,13 @@
 
 test('a malformed report is refused', async () => {
   const w = world();
-  const reports = new HeartbeatHandler(w.ctx, w.leadership, () => null, w.peers, w.show);
+  const reports = new HeartbeatHandler({
+    ctx: w.ctx,
+    election: w.leadership,
+    leader: () => null,
+    peers: w.peers,
+    fetchHeartbeat: w.show,
+  });
   for (const body of ['', '{', 'null', '{"cart":3}'])
     assert.equal((await reports.handle(Buffer.from(body))).status, 400);
 });
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -63,11 +63,11 @@
       },
     );
     const peer = (node: string) => this.peersHeard().find((c) => c.name === node);
-    this.reports = new HeartbeatHandler(
-      this.ctx,
-      this.leadership,
-      () => this.leader,
-      {
+    this.reports = new HeartbeatHandler({
+      ctx: this.ctx,
+      election: this.leadership,
+      leader: () => this.leader,
+      peers: {
         isReachable: (node) => peer(node) !== undefined,
         lastLedAt: (node) => world.heardLeading(this, node),
         forwardHeartbeat: async (node, body) => {
@@ -77,12 +77,12 @@
         },
         forwardThroughMailbox: () => Promise.reject(new Error('no mail')),
       },
-      async (address) => {
+      fetchHeartbeat: async (address) => {
         const m = world.byAddress(address);
         if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('not asked');
         return m.worker.heartbeat();
       },
-    );
+    });
     void this.leadership.run(this.stop.signal);
   }
 
