--- a/test/mail.test.ts
+++ b/test/mail.test.ts
@@ -49,3 +49,23 @@
   assert.ok(![...store.entries.keys()].some((key) => key.startsWith('mail/n-0/')));
   stop.abort();
 });
+
+test('a message takes another lease once half of the present one is over', async () => {
+  const clock = new FakeClock();
+  const store = new FakeStore(clock);
+  const ctx = createContext('n-0', new FakeStateService(store), clock);
+  const mailbox = new Mailbox(ctx, () => Promise.reject(new Error('not asked')));
+  const leases = new Set<unknown>();
+  const send = async () => {
+    const timedOut = assert.rejects(mailbox.request('n-1', 'm-1', 'x', 1), MailboxTimeoutError);
+    await clock.advance(1);
+    await timedOut;
+    leases.add(store.entries.get('mail/n-1/n-0/m-1')?.lease);
+  };
+  await send();
+  await send();
+  assert.equal(leases.size, 1);
+  await clock.advance(ctx.timing.agentLeaseMs * 0.5);
+  await send();
+  assert.equal(leases.size, 2);
+});
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -3,7 +3,7 @@
 import { HeartbeatHandler } from '../src/controller/heartbeats/heartbeat-handler.js';
 import type { Reply } from '../src/http/server.js';
 import { fencingToken } from '../src/protocol/agent-protocol.js';
-import { FakeClock } from './support/clock.js';
+import { FakeClock, settle } from './support/clock.js';
 import { createContext } from './support/context.js';
 import { ScriptedAgent } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
@@ -28,10 +28,10 @@
     },
   };
   const leadership = { leader: 'n-0' as string | null, observedTerm: 7, current: null };
-  const machine = { term: 7, answers: true };
+  const machine = { id: 'n-000001', term: 7, answers: true };
   const show = () =>
     machine.answers
-      ? Promise.resolve({ ...new ScriptedAgent('n-000001').heartbeat(), term: machine.term })
+      ? Promise.resolve({ ...new ScriptedAgent(machine.id).heartbeat(), term: machine.term })
       : Promise.reject(new Error('not answered'));
   const reports = new HeartbeatHandler({
     ctx,
@@ -40,7 +40,7 @@
     peers,
     fetchHeartbeat: show,
   });
-  const report = (term = 7, fence = 0) =>
+  const report = (term = 7, fence = 0, exited = false) =>
     reports.handle(
       Buffer.from(
         JSON.stringify({
@@ -55,7 +55,7 @@
           recallS: null,
           hands: [
             { hand: 'req-1/0', try: 1, standing: 'running' },
-            { hand: 'req-2/0', try: 1, standing: 'running' },
+            { hand: 'req-2/0', try: 1, standing: exited ? 'exited' : 'running', cause: 'done' },
           ],
         }),
       ),
@@ -145,3 +145,120 @@
   for (const body of ['', '{', 'null', '{"cart":3}'])
     assert.equal((await reports.handle(Buffer.from(body))).status, 400);
 });
+
+test('time for a machine that does not know the term counts from the first proof of it', async () => {
+  const w = world();
+  w.peers.reachable = false;
+  w.peers.heardAt = null;
+  w.machine.term = 6;
+  assert.equal((await w.report(6)).status, 200);
+  await w.clock.advance(w.ctx.timing.delegatedRenewalMs + 1);
+  // It still does not know the term, but this node's own replies are not newer proof.
+  assert.equal((await w.report(6)).status, 421);
+});
+
+test('another machine at the agent’s address proves nothing about the agent', async () => {
+  const w = world();
+  w.peers.reachable = false;
+  w.peers.heardAt = null;
+  w.machine.term = 6;
+  w.machine.id = 'n-000002';
+  assert.equal((await w.report(6)).status, 421);
+  w.machine.id = 'n-000001';
+  assert.equal((await w.report(6)).status, 200);
+});
+
+test('a lease renewed for the leader keeps the machine’s fence of its term, not of an earlier one', async () => {
+  const w = world();
+  w.peers.reachable = false;
+  const tokenAfter = async (term: number) =>
+    ((await w.report(term, 3)).body as { baton: number }).baton;
+  assert.equal(await tokenAfter(7), fencingToken(7, 3));
+  assert.equal(await tokenAfter(6), fencingToken(7, 0));
+});
+
+test('a follower asks and orders nothing about tasks that have exited', async () => {
+  const w = world();
+  w.peers.reachable = false;
+  w.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
+  assert.deepEqual(await w.report(7, 0, true), {
+    status: 200,
+    body: { baton: fencingToken(7, 0), orders: [] },
+  });
+});
+
+/** A controller that leads term 7, as far as its heartbeats are concerned. */
+function leading() {
+  const { ctx, peers, show } = world();
+  const term = {
+    number: 7,
+    resigned: false,
+    resign: () => {
+      term.resigned = true;
+    },
+    mayRenewAgentLeases: () => true,
+  };
+  const leader = {
+    ready: Promise.resolve(),
+    handled: 0,
+    untilReady: () => leader.ready,
+    handleHeartbeat: () => {
+      leader.handled++;
+      return { orders: [], fence: 2 };
+    },
+  };
+  const handler = new HeartbeatHandler({
+    ctx,
+    election: { leader: 'n-1', observedTerm: 7, current: term } as never,
+    leader: () => leader as never,
+    peers,
+    fetchHeartbeat: show,
+  });
+  const agent = (token: number) => ({ ...new ScriptedAgent('n-000001').heartbeat(), term: token });
+  return { term, leader, handler, agent };
+}
+
+test('a heartbeat that carries a later term ends the leader and is not handled', async () => {
+  const { term, leader, handler, agent } = leading();
+  assert.deepEqual(await handler.handleAsLeader(agent(7), false), {
+    status: 200,
+    body: { baton: fencingToken(7, 2), orders: [] },
+  });
+  assert.deepEqual(await handler.handleAsLeader(agent(8), false), { status: 421, body: {} });
+  assert.deepEqual([term.resigned, leader.handled], [true, 1]);
+});
+
+test('a heartbeat waits until the leader has read the jobs', async () => {
+  const { leader, handler, agent } = leading();
+  let jobsRead = () => {};
+  leader.ready = new Promise((resolve) => {
+    jobsRead = resolve;
+  });
+  const reply = handler.handleAsLeader(agent(7), false);
+  await settle();
+  assert.equal(leader.handled, 0);
+  jobsRead();
+  assert.equal((await reply).status, 200);
+});
+
+test('a machine that was sent on after a lease is served again when it comes back', async () => {
+  const w = world();
+  await w.report();
+  let served = 0;
+  for (;;) {
+    await w.clock.advance(3000);
+    if ((await w.report()).status === 421) break;
+    served++;
+  }
+  assert.ok(served * 3000 > w.ctx.timing.agentLeaseMs);
+  for (let i = 0; i < served; i++) {
+    await w.clock.advance(3000);
+    assert.equal((await w.report()).status, 200);
+  }
+});
+
+test('a node that is named as the leader and does not lead yet, or any more, names nobody', async () => {
+  const w = world();
+  w.leadership.leader = 'n-1';
+  assert.deepEqual(await w.report(), { status: 421, body: {} });
+});
--- a/test/upstream-lists.test.ts
+++ b/test/upstream-lists.test.ts
@@ -1,10 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { DependencyLists } from '../src/controller/api/dependency-lists.js';
 import { JobApi } from '../src/controller/api/job-api.js';
 import { JobStore } from '../src/controller/api/job-store.js';
 import { DependencyListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
 import { DependencyResolver } from '../src/controller/leader/dependency-resolver.js';
 import { decodeLiveJob, encodeLiveJob, type LiveJobRecord } from '../src/records/job-record.js';
+import { RequestPriority } from '../src/runtime/request-budget.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { FakeClock, settle } from './support/clock.js';
 import { createContext, type NextLimits } from './support/context.js';
@@ -405,3 +407,36 @@
   await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
   for (const job of ['req-000412', id(1)]) assert.equal(await node.standing(job), 'cancelled');
 });
+
+test('a list whose removal has begun is written under a new version of its header', async () => {
+  const scene = new Scene();
+  const node = scene.node();
+  const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
+  const lists = new DependencyLists(node.ctx);
+  const { condition, ref } = await lists.write(id(1), named, RequestPriority.users);
+  const removing = { pages: ref.pages, removing: true };
+  scene.store.transact([condition], [{ op: 'put', key: condition.key, value: removing }]);
+  const marked = scene.store.entries.get(condition.key);
+  const again = await lists.write(id(1), named, RequestPriority.users);
+  // Else the removal, which requires its own version, would delete pages that a record is to name.
+  assert.ok(marked && again.condition.version > marked.version);
+  assert.deepEqual(scene.store.entries.get(condition.key)?.value, { pages: ref.pages });
+});
+
+test('a list that another node writes at the same moment puts the submission off', async () => {
+  const scene = new Scene();
+  const node = scene.node();
+  const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
+  const transact = node.state.transact.bind(node.state);
+  node.state.transact = (conditions, changes) => {
+    node.state.transact = transact;
+    scene.store.transact([], changes);
+    return transact(conditions, changes);
+  };
+  assert.deepEqual(await node.submit(id(1), named), {
+    status: 503,
+    body: { error: 'another node has the same job' },
+    retryAfterS: 1,
+  });
+  assert.equal((await node.submit(id(1), named)).status, 201);
+});
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -241,3 +241,16 @@
   await w.poll(next);
   assert.equal(w.told.get(next)?.standing, 'done');
 });
+
+test('a job whose tasks run is not cancelled by a query, whatever became of what it needs', async () => {
+  const w = nodes();
+  const node = w.node();
+  await node.submit(1);
+  await node.submit(2, [id(1)]);
+  w.end(1, 'cancelled');
+  node.counts.set(id(2), { done: 0, running: 1 });
+  // What the submission read of job 1 counts no longer.
+  await w.clock.advance(node.ctx.timing.dependencyFreshMs);
+  assert.equal(await node.standing(2), 'running');
+  assert.ok(w.store.entries.has(`live/${id(2)}`));
+});
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -198,3 +198,44 @@
     });
   assert.equal((await users.submit(bytes(job))).status, 201);
 });
+
+test('a job that ends between its reading and its cancellation is answered with its end', async () => {
+  const w = world();
+  const { users, state } = w.node();
+  await users.submit(bytes());
+  const transact = state.transact.bind(state);
+  state.transact = (...request) => {
+    state.transact = transact;
+    w.store.transact(
+      [],
+      [
+        { op: 'put', key: `over/${BODY.id}`, value: { state: 'done', tasks: 2 } },
+        { op: 'delete', key: `live/${BODY.id}` },
+      ],
+    );
+    return transact(...request);
+  };
+  assert.deepEqual(await users.cancel(BODY.id), {
+    status: 200,
+    body: { id: BODY.id, standing: 'done' },
+  });
+});
+
+test('a repeated cancellation is announced again, with the revision of the end', async () => {
+  const { ctx } = world().node();
+  const announced: [job: string, revision: number][] = [];
+  const users = new JobApi(ctx, {
+    ...WITHOUT_LEADER,
+    cancellations: {
+      announceCancellation: async (job, revision) => {
+        announced.push([job, revision]);
+      },
+    },
+  });
+  await users.submit(bytes());
+  await users.cancel(BODY.id);
+  await users.cancel(BODY.id);
+  assert.equal(announced.length, 2);
+  assert.deepEqual(announced[0], announced[1]);
+  assert.equal(announced[0]?.[0], BODY.id);
+});
