--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -5,7 +5,8 @@
 import { encodeMachineTypes } from '../src/records/machine-type-record.js';
 import { FakeClock } from './support/clock.js';
 import { createContext } from './support/context.js';
-import { MACHINE_TYPE } from './support/scheduler.js';
+import { WITHOUT_LEADER } from './support/job-api.js';
+import { MACHINE_TYPE, teamQuota } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
@@ -20,11 +21,7 @@
     return {
       state,
       ctx,
-      users: new JobApi(
-        ctx,
-        () => null,
-        async () => {},
-      ),
+      users: new JobApi(ctx, WITHOUT_LEADER),
     };
   };
   return { store, node };
@@ -175,3 +172,70 @@
   ])
     assert.deepEqual([reply.status, reply.retryAfterS], [503, 1]);
 });
+
+test('refusals of jobs that can never run keep their statuses and texts', async () => {
+  const { users, ctx } = world().node();
+  ctx.quotas = new Map([['ops', teamQuota({ name: 'ops', maxCpus: 10, maxGpus: 1 })]]);
+  ctx.machineTypes = [{ ...MACHINE_TYPE, gpus: 8 }];
+  const job = { id: 'req-000500', crew: 'ops', cores: 1, accelerators: 0, memoryGb: 8 };
+  const refusals: [fields: object, text: string][] = [
+    [{ crew: 'nobody' }, 'unknown team'],
+    [{ cores: 1e6 }, 'a task fits no allowed machine type'],
+    [{ rigs: ['m99'] }, 'a task fits no allowed machine type'],
+    [{ cores: 11 }, "over the team's limit"],
+    [{ accelerators: 2 }, "over the team's limit"],
+    [{ awaits: ['req-000500'] }, 'the job names itself'],
+    [{ awaits: ['req-000001', 'req-000002'] }, 'never accepted: req-000001, req-000002'],
+    [
+      { deck: 'x'.repeat(200), rigs: [...Array(400).fill('x'.repeat(200)), MACHINE_TYPE.name] },
+      'the description of the job is too large',
+    ],
+  ];
+  for (const [fields, text] of refusals)
+    assert.deepEqual(await users.submit(bytes({ ...job, ...fields })), {
+      status: 422,
+      body: { error: text },
+    });
+  assert.equal((await users.submit(bytes(job))).status, 201);
+});
+
+test('a job that ends between its reading and its cancellation is answered with its end', async () => {
+  const w = world();
+  const { users, state } = w.node();
+  await users.submit(bytes());
+  const transact = state.transact.bind(state);
+  state.transact = (...request) => {
+    state.transact = transact;
+    w.store.transact(
+      [],
+      [
+        { op: 'put', key: `over/${BODY.id}`, value: { state: 'done', tasks: 2 } },
+        { op: 'delete', key: `live/${BODY.id}` },
+      ],
+    );
+    return transact(...request);
+  };
+  assert.deepEqual(await users.cancel(BODY.id), {
+    status: 200,
+    body: { id: BODY.id, standing: 'done' },
+  });
+});
+
+test('a repeated cancellation is announced again, with the revision of the end', async () => {
+  const { ctx } = world().node();
+  const announced: [job: string, revision: number][] = [];
+  const users = new JobApi(ctx, {
+    ...WITHOUT_LEADER,
+    cancellations: {
+      announceCancellation: async (job, revision) => {
+        announced.push([job, revision]);
+      },
+    },
+  });
+  await users.submit(bytes());
+  await users.cancel(BODY.id);
+  await users.cancel(BODY.id);
+  assert.equal(announced.length, 2);
+  assert.deepEqual(announced[0], announced[1]);
+  assert.equal(announced[0]?.[0], BODY.id);
+});
