--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -1,55 +1,39 @@
-import {
-  decodeLeaderRecord,
-  decodeTerm,
-  encodeLeaderRecord,
-  encodeTerm,
-  type LeaderRecord,
-} from '../../records/leader-record.js';
+/** Leader election: observes who leads, campaigns when nobody does, and holds a term that was won. */
+import { decodeLeaderRecord, decodeTerm, type LeaderRecord } from '../../records/leader-record.js';
 import { AbortedError, sleepUntilAborted } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
+import { LEADER_KEY, readBackElection, requestLeadership, TERM_KEY } from './leader-key.js';
+import { LeaderTerm, type LeaderTermStart } from './leader-term.js';
 
-export const LEADER_KEY = 'leader';
-const TERM_KEY = 'term';
-
-/** One term that this node won. */
-export interface LeaderTerm {
-  number: number;
-  /** Version of the leader key: every write of this term is conditioned on it. */
-  version: number;
-  signal: AbortSignal;
-  /** Leadership is proven now: a renewal sent within the proven time was answered. */
-  isProven(): boolean;
-  /** Proven, and the news of jobs is as fresh: what other nodes have confirmed as cancelled is not started. */
-  mayStartTasks(): boolean;
-  /** Reports may still be answered: the workers' leases would run out in time for a cancellation. */
-  mayRenewAgentLeases(): boolean;
-  /** All that was durable of jobs at this time, cancellations above all, has been applied. */
-  setCancellationsKnownAt(at: number): void;
-  resign(why: string): void;
-}
+/** The pause after a failed attempt, in renewal intervals: at least this, and up to the spread on top, by chance. */
+const RETRY_DELAY = 0.3;
+const RETRY_SPREAD = 0.4;
 
 /**
- * The routine that stands for election, renews a won lease and follows who
- * leads. It rests on the state service's fencing; clocks only bound how long
- * a silent leader goes on.
+ * The routine that observes who leads, campaigns when nobody does and renews
+ * the lease of a term that it won. Safety rests on the state service's fencing
+ * (the version of the leader key); clocks only bound how long a leader without
+ * answers goes on. At most one term is current at any time.
  */
 export class LeaderElection {
-  /** The node that leads as far as is known. */
+  /** The node that leads, as far as is known. */
   leader: string | null = null;
   /** The term of that leader. */
   observedTerm: number | null = null;
-  /** The highest term heard of, from anybody. */
+  /** The highest term known from the state service, a peer or this controller. */
   highestTerm = 0;
+  /** The term that this controller holds. */
   current: LeaderTerm | null = null;
   private outageLogged = false;
 
   constructor(
     private readonly ctx: ControllerContext,
-    /** Runs the leader's duties until its signal ends them. */
+    /** Runs the leader's routines until the term's signal ends them. */
     private readonly runLeader: (term: LeaderTerm) => Promise<void>,
   ) {}
 
+  /** Takes part in elections until the signal is aborted; a term that is current ends with it. */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     while (!signal.aborted) {
@@ -57,167 +41,152 @@
         await this.observeOrCampaign(signal);
         this.outageLogged = false;
         continue;
-      } catch (error) {
-        if (signal.aborted || error instanceof AbortedError) return;
-        if (!this.outageLogged)
-          ctx.log.info({ error: String((error as Error).message) }, 'state service out of reach');
+      } catch (err) {
+        if (signal.aborted || err instanceof AbortedError) return;
+        if (!this.outageLogged) ctx.log.info({ err }, 'state service unreachable');
         this.outageLogged = true;
       }
-      await sleepUntilAborted(ctx.clock, ctx.timing.renewMs * (0.3 + Math.random() * 0.4), signal);
+      const delayMs = ctx.timing.renewMs * (RETRY_DELAY + Math.random() * RETRY_SPREAD);
+      await sleepUntilAborted(ctx.clock, delayMs, signal);
     }
   }
 
-  /** Somebody knows of this term: an older one of ours is over. */
+  /** Some controller knows of this term: an older one of ours has ended. */
   observeTerm(term: number): void {
     this.highestTerm = Math.max(this.highestTerm, term);
-    if (this.current && this.current.number < term) this.current.resign('a later term is known');
+    if (this.current && this.current.number < term) this.current.resign('later term observed');
   }
 
-  /** Looks who leads; waits for a change, or stands when nobody does. */
+  /** Reads who leads; waits for a change of that, or campaigns when nobody does. */
   private async observeOrCampaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const page = await ctx.state.listPage(LEADER_KEY, null, signal);
     const entry = page.entries.find((entry) => entry.key === LEADER_KEY);
     const record = entry ? decodeLeaderRecord(entry.value) : null;
-    if (entry && record) {
-      if (record.node === ctx.node && record.incarnation !== ctx.incarnation) {
-        // This node's former process is dead; its lease need not be waited for.
-        await ctx.state.revoke(record.lease, signal);
-        return;
-      }
-      if (record.incarnation !== ctx.incarnation) {
-        this.leader = record.node;
-        this.observedTerm = record.term;
-        this.highestTerm = Math.max(this.highestTerm, record.term);
-        await ctx.state.watch(LEADER_KEY, page.revision, ctx.timing.watchTimeoutMs, signal);
-        return;
-      }
-      // An own key with no term running: a request that was taken for lost went through.
-      await ctx.state.revoke(record.lease, signal);
-      return;
-    }
-    this.leader = null;
-    this.observedTerm = null;
-    await this.campaign(signal);
+    if (!record) {
+      this.leader = null;
+      this.observedTerm = null;
+      await this.campaign(signal);
+    } else if (this.isOwnRecord(record)) await ctx.state.revoke(record.lease, signal);
+    else await this.observe(record, page.revision, signal);
+  }
+
+  /**
+   * The leader key is of this node while no term of this process is current.
+   * Either it is of the former process, which is dead, so that its lease need
+   * not be waited for; or an election of this process that was taken for lost
+   * went through late.
+   */
+  private isOwnRecord(record: LeaderRecord): boolean {
+    return record.node === this.ctx.node || record.incarnation === this.ctx.incarnation;
   }
 
+  /** Follows another leader until its key changes or the watch times out. */
+  private observe(record: LeaderRecord, revision: number, signal: AbortSignal): Promise<unknown> {
+    this.leader = record.node;
+    this.observedTerm = record.term;
+    this.highestTerm = Math.max(this.highestTerm, record.term);
+    return this.ctx.state.watch(LEADER_KEY, revision, this.ctx.timing.watchTimeoutMs, signal);
+  }
+
+  /**
+   * Campaigns for the term after the last one, and holds it if it is won. Of
+   * several controllers one wins: the leader key must be absent and the term
+   * unchanged. A transaction without an answer is read back before either
+   * outcome is believed.
+   */
   private async campaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
-    const old = await ctx.state.get(TERM_KEY, RequestPriority.lead, signal);
-    const term = (decodeTerm(old?.value) ?? 0) + 1;
-    const grantedAt = ctx.clock.now();
+    const lastTerm = await ctx.state.get(TERM_KEY, RequestPriority.lead, signal);
+    const number = (decodeTerm(lastTerm?.value) ?? 0) + 1;
+    const leaseRequestedAt = ctx.clock.now();
     const lease = await ctx.state.grant(ctx.timing.leaseMs, signal);
-    const record: LeaderRecord = { node: ctx.node, incarnation: ctx.incarnation, term, lease };
+    const { node, incarnation } = ctx;
+    const record: LeaderRecord = { node, incarnation, term: number, lease };
     let version: number;
     try {
-      const result = await ctx.state.transact(
-        [
-          { key: LEADER_KEY, version: 0 },
-          { key: TERM_KEY, version: old?.version ?? 0 },
-        ],
-        [
-          { op: 'put', key: LEADER_KEY, value: encodeLeaderRecord(record), lease },
-          { op: 'put', key: TERM_KEY, value: encodeTerm(term) },
-        ],
-        RequestPriority.lead,
-        signal,
-      );
+      const result = await requestLeadership(ctx, record, lastTerm?.version ?? 0, signal);
       if (!result.ok) {
         await ctx.state.revoke(lease, signal);
         return;
       }
       version = result.revision;
     } catch {
-      // Neither outcome may be believed before it is read back; the next turn does so.
-      await ctx.clock.sleep(ctx.timing.renewMs * 0.2, signal);
-      const entry = await ctx.state.get(LEADER_KEY, RequestPriority.lead, signal);
-      const found = entry ? decodeLeaderRecord(entry.value) : null;
-      if (!entry || found?.incarnation !== ctx.incarnation || found.term !== term) {
-        await ctx.state.revoke(lease, signal);
-        return;
-      }
-      version = entry.version;
+      const ownVersion = await readBackElection(ctx, record, signal);
+      if (ownVersion === null) return;
+      version = ownVersion;
     }
-    await this.holdTerm(term, version, lease, grantedAt, signal);
+    await this.holdTerm({ number, version, leaseRequestedAt }, lease, signal);
   }
 
+  /** Leads for as long as the lease is renewed, then revokes it. */
   private async holdTerm(
-    number: number,
-    version: number,
+    start: LeaderTermStart,
     lease: number,
-    grantedAt: number,
     signal: AbortSignal,
   ): Promise<void> {
     const { ctx } = this;
-    const { clock, timing } = ctx;
-    const ended = new AbortController();
-    const stop = () => ended.abort();
-    signal.addEventListener('abort', stop, { once: true });
-    let provenAt = grantedAt;
-    // Before the jobs have been read nothing is known of cancellations, not even of old ones: several
-    // leaders in a row, none of which gets as far, must not renew the workers' leases for one another.
-    let informedAt = Number.NEGATIVE_INFINITY;
-    const term: LeaderTerm = {
-      number: number,
-      version,
-      signal: ended.signal,
-      isProven: () => !ended.signal.aborted && clock.now() - provenAt < timing.leadershipProofMs,
-      mayStartTasks: () => term.isProven() && clock.now() - informedAt < timing.leadershipProofMs,
-      mayRenewAgentLeases: () =>
-        !ended.signal.aborted &&
-        clock.now() - Math.min(provenAt, informedAt) < timing.agentRenewalMs,
-      setCancellationsKnownAt: (at) => {
-        informedAt = Math.max(informedAt, at);
-      },
-      resign: (why) => {
-        if (ended.signal.aborted) return;
-        ctx.log.info({ term: number, why }, 'leadership ends');
-        ended.abort();
-      },
-    };
+    const term = new LeaderTerm(start, ctx);
+    const endTerm = () => term.end();
+    signal.addEventListener('abort', endTerm, { once: true });
+    this.beginTerm(term);
+    const routines = this.runRoutines(term);
+    try {
+      await this.renewUntilEnded(term, lease);
+    } finally {
+      term.end();
+      signal.removeEventListener('abort', endTerm);
+      this.current = null;
+      this.leader = null;
+      this.observedTerm = null;
+      await routines;
+    }
+    // With its routines ended nothing of this term is under way: the next leader need not wait for the lease.
+    await ctx.state.revoke(lease).catch(() => {});
+  }
+
+  private beginTerm(term: LeaderTerm): void {
     this.current = term;
-    this.leader = ctx.node;
-    this.observedTerm = number;
-    this.highestTerm = Math.max(this.highestTerm, number);
-    ctx.log.info({ term: number }, 'leadership won');
-    const work = this.runLeader(term).catch((error) => {
-      if (!ended.signal.aborted) {
-        ctx.log.error({ error: String((error as Error).stack) }, 'leader duty failed');
-        term.resign('duty failed');
-      }
+    this.leader = this.ctx.node;
+    this.observedTerm = term.number;
+    this.highestTerm = Math.max(this.highestTerm, term.number);
+    this.ctx.log.info({ term: term.number }, 'leader term began');
+  }
+
+  /** Never rejects: a fault in the leader's routines ends the term, not the process. */
+  private runRoutines(term: LeaderTerm): Promise<void> {
+    return this.runLeader(term).catch((err) => {
+      if (term.signal.aborted) return;
+      this.ctx.log.error({ err }, 'leader routines failed');
+      term.resign('leader routines failed');
     });
-    const renew = async () => {
-      const sentAt = clock.now();
-      try {
-        if (await ctx.state.touch(lease, ended.signal)) provenAt = Math.max(provenAt, sentAt);
-        else term.resign('lease ended');
-        // Its renewals are answered and its readings are not: it serves nobody, and another may.
-        if (clock.now() - Math.max(grantedAt, informedAt) >= timing.agentRenewalMs)
-          term.resign('no news of jobs for too long');
-      } catch (error) {
-        if (ended.signal.aborted) return;
-        ctx.log.debug({ error: String((error as Error).message) }, 'renewal not answered');
-        // With the answers to reports over there is nothing left to hold on to.
-        if (clock.now() - provenAt >= timing.agentRenewalMs) term.resign('unproven for too long');
-      }
-    };
+  }
+
+  private async renewUntilEnded(term: LeaderTerm, lease: number): Promise<void> {
+    const { clock, timing } = this.ctx;
     try {
-      while (!ended.signal.aborted) {
-        await clock.sleep(timing.renewMs, ended.signal);
+      while (!term.signal.aborted) {
+        await clock.sleep(timing.renewMs, term.signal);
         // None waits for the one before: a single slow answer must not cost the proof, nor two the lease.
-        void renew();
+        void this.renew(term, lease);
       }
     } catch (error) {
       if (!(error instanceof AbortedError)) throw error;
-    } finally {
-      ended.abort();
-      signal.removeEventListener('abort', stop);
-      this.current = null;
-      this.leader = null;
-      this.observedTerm = null;
-      await work;
     }
-    // With the duties ended nothing of this term is under way: the next leader need not wait.
-    await ctx.state.revoke(lease).catch(() => {});
+  }
+
+  /** One renewal of the lease: proves leadership as of when it was sent, or ends a term that is of no use. */
+  private async renew(term: LeaderTerm, lease: number): Promise<void> {
+    const { clock, state, log } = this.ctx;
+    const sentAt = clock.now();
+    try {
+      if (await state.touch(lease, term.signal)) term.setProvenAt(sentAt);
+      else term.resign('lease ended');
+      if (term.lacksCancellationsForTooLong()) term.resign('cancellations unknown for too long');
+    } catch (err) {
+      if (term.signal.aborted) return;
+      log.debug({ err }, 'lease renewal not answered');
+      if (term.isUnprovenForTooLong()) term.resign('leadership unproven for too long');
+    }
   }
 }
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -102,7 +102,7 @@
     if (!leader || !term) return redirectTo(null);
     if (heartbeat.term > term.number) {
       // The agent has accepted a token of a later leader.
-      term.resign('a heartbeat carries a higher fencing token');
+      term.resign('heartbeat carries a higher fencing token');
       return redirectTo(null);
     }
     if (!term.mayRenewAgentLeases())
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -8,7 +8,7 @@
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { Machine, TaskAttempt } from '../../scheduler/state/machine.js';
 import type { ControllerContext } from '../context.js';
-import type { LeaderTerm } from '../election/leader-election.js';
+import type { LeaderTerm } from '../election/leader-term.js';
 
 /** Asking machines after a takeover is followed by this many times as much for their own reports. */
 const CONFIRM_REST_RATIO = 2;
@@ -163,7 +163,8 @@
 
   private applyResponse(machine: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.machineId !== machine.id) return;
-    if (heartbeat.term > this.term.number) this.term.resign('a worker knows a higher token');
+    if (heartbeat.term > this.term.number)
+      this.term.resign('command reply carries a higher fencing token');
     else this.cluster.applyHeartbeat(heartbeat, 'commandReply', this.ctx.clock.now());
   }
 }
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -11,7 +11,8 @@
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
 import type { ControllerContext } from '../context.js';
-import { LEADER_KEY, type LeaderTerm } from '../election/leader-election.js';
+import { LEADER_KEY } from '../election/leader-key.js';
+import type { LeaderTerm } from '../election/leader-term.js';
 import { retry } from '../retry.js';
 
 const DEMAND_KEY = 'loads';
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -5,7 +5,7 @@
 import type { ScaleOutPlan, ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { ControllerContext } from '../context.js';
-import type { LeaderTerm } from '../election/leader-election.js';
+import type { LeaderTerm } from '../election/leader-term.js';
 import { storeMachineTypes } from '../machine-types.js';
 
 type MachinePage = Awaited<ReturnType<CloudClient['list']>>;
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -26,7 +26,7 @@
 import { ClusterState } from '../../scheduler/state/cluster-state.js';
 import { hasInlineDependencies, JobStore } from '../api/job-store.js';
 import type { ControllerContext } from '../context.js';
-import type { LeaderTerm } from '../election/leader-election.js';
+import type { LeaderTerm } from '../election/leader-term.js';
 import { readMachineTypes } from '../machine-types.js';
 import { retry } from '../retry.js';
 import { AgentCommands } from './agent-commands.js';
@@ -209,7 +209,7 @@
     } catch (error) {
       if (this.term.signal.aborted || error instanceof AbortedError) return;
       this.ctx.log.error({ duty: name, error: String((error as Error).stack) }, 'duty failed');
-      this.term.resign(`duty ${name} failed`);
+      this.term.resign(`leader routine ${name} failed`);
     }
   }
 
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -8,7 +8,8 @@
 } from '../../scheduler/persistence/durable-writes.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { ControllerContext } from '../context.js';
-import { LEADER_KEY, type LeaderTerm } from '../election/leader-election.js';
+import { LEADER_KEY } from '../election/leader-key.js';
+import type { LeaderTerm } from '../election/leader-term.js';
 
 /** A transaction's own limit in the protocol, with room for its frame. */
 const TRANSACTION_BYTES = 56 * 1024;
@@ -109,7 +110,7 @@
   /** The conditions on these keys failed, so nothing of the batch stands. False: this leader has been followed. */
   private notApplied(batch: DurableWrite[], failed: string[]): boolean {
     if (failed.includes(LEADER_KEY)) {
-      this.term.resign('another leader holds the key');
+      this.term.resign('leader key held by another controller');
       for (const write of batch) write.retry(false);
       return false;
     }
--- a/test/leadership.test.ts
+++ b/test/leadership.test.ts
@@ -1,10 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  LEADER_KEY,
-  LeaderElection,
-  type LeaderTerm,
-} from '../src/controller/election/leader-election.js';
+import { LeaderElection } from '../src/controller/election/leader-election.js';
+import { LEADER_KEY } from '../src/controller/election/leader-key.js';
+import type { LeaderTerm } from '../src/controller/election/leader-term.js';
 import { waitWhileLagging } from '../src/runtime/clock.js';
 import { FakeClock } from './support/clock.js';
 import { createContext } from './support/context.js';
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -82,7 +82,7 @@
     const answer = c.reports.handle(onWire(new ScriptedAgent('n-1').heartbeat()));
     await w.run(2);
     assert.equal((await answer).status, 503);
-    c.leadership.current?.resign('by script');
+    c.leadership.current?.resign('lease ended');
   }
   assert.ok(w.terms.length >= terms + 6, `${w.terms.length - terms} terms`);
   assert.equal(runningOf(w, ids[0] as string), 0);
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -6,6 +6,7 @@
 import { JobStore } from '../src/controller/api/job-store.js';
 import type { ControllerContext } from '../src/controller/context.js';
 import { LeaderElection } from '../src/controller/election/leader-election.js';
+import type { LeaderTerm } from '../src/controller/election/leader-term.js';
 import { Mailbox } from '../src/controller/heartbeats/mailbox.js';
 import { DemandStore } from '../src/controller/leader/demand-store.js';
 import { DependencyListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
@@ -54,7 +55,7 @@
     mayRenewAgentLeases: () => true,
     setCancellationsKnownAt: () => {},
     resign: () => {},
-  };
+  } satisfies Partial<LeaderTerm> as unknown as LeaderTerm;
   const cloud = {
     types: async () => [MACHINE_TYPE],
     list: async () => ({ machines: [], more: false }),
