--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -5,7 +5,7 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY, parsePolicy } from '../config/policy.js';
 import { parsePlatform, SettingsError } from '../config/settings.js';
-import { Controller } from '../controller/controller.js';
+import { createController } from '../controller/wiring.js';
 import { systemClock } from '../runtime/clock.js';
 import { VERSION } from '../version.js';
 
@@ -40,7 +40,8 @@
       stop.abort();
     });
   const incarnation = randomBytes(6).toString('hex');
-  await new Controller(platform, policy, systemClock, log, incarnation).run(stop.signal);
+  const controller = createController({ platform, policy, clock: systemClock, log, incarnation });
+  await controller.run(stop.signal);
 }
 
 export async function main(argv: string[]): Promise<void> {
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,3 +1,4 @@
+/** What the parts of one controller share. */
 import type { Logger } from 'pino';
 import type { KeyValueStore } from '../clients/key-value-store.js';
 import type { Platform } from '../config/settings.js';
@@ -7,18 +8,23 @@
 import type { TeamQuota } from '../model/resources.js';
 import type { Clock } from '../runtime/clock.js';
 
-/** What every duty of one node shares. */
+/** Settings, clients and tools that every routine of one controller uses. */
 export interface ControllerContext {
+  /** This node's name in the settings. */
   node: string;
-  /** New with each start of the process: no successor takes its keys for its own. */
+  /** Differs with each start of the process, so that no successor takes its keys for its own. */
   incarnation: string;
+  /** The platform's settings as they were handed over. */
   platform: Platform;
+  /** Every timer, derived from the settings. */
   timing: Timing;
+  /** What the state service takes. */
   limits: StateLimits;
+  /** By team. */
   quotas: Map<string, TeamQuota>;
   state: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** Machine types as last read; null while they are not known. */
+  /** Machine types as last read; null until they are known. Replaced, never changed in place. */
   machineTypes: MachineType[] | null;
 }
--- /dev/null
+++ b/src/controller/local-leader.ts
@@ -0,0 +1,47 @@
+/** The leader that this process runs while it holds a term. */
+import { AgentClient } from '../clients/agent-client.js';
+import type { CloudClient } from '../clients/cloud-client.js';
+import type { SchedulerPolicy } from '../model/policy.js';
+import type { TaskCounts } from './api/job-status.js';
+import type { ControllerContext } from './context.js';
+import type { LeaderTerm } from './election/leader-term.js';
+import { commandSockets, Leader } from './leader/leader.js';
+
+/**
+ * Runs a `Leader` for each term that is won, and lets the other parts of the
+ * controller reach the one that runs now. Invariant: `current` is null unless
+ * its routines run.
+ */
+export class LocalLeader {
+  current: Leader | null = null;
+
+  constructor(
+    private readonly ctx: ControllerContext,
+    private readonly cloud: CloudClient,
+    private readonly policy: SchedulerPolicy,
+  ) {}
+
+  /** Runs the leader's routines until the term ends. */
+  async run(term: LeaderTerm): Promise<void> {
+    const { platform, timing } = this.ctx;
+    const agents = new AgentClient(timing.commandTimeoutMs, commandSockets(platform));
+    const leader = new Leader(this.ctx, this.cloud, term, this.policy, agents);
+    this.current = leader;
+    try {
+      await leader.run();
+    } finally {
+      this.current = null;
+    }
+  }
+
+  /** Counts of a live job's tasks, for display only; null unless this controller leads and knows the job. */
+  taskCountsOf(jobId: string): TaskCounts | null {
+    const job = this.current?.cluster.jobs.get(jobId);
+    return job ? { done: job.doneCount, running: job.activeAttempts.size } : null;
+  }
+
+  /** If this controller leads: nothing of the job starts from now on. */
+  announceCancellation(jobId: string, revision: number): void {
+    this.current?.announceCancellation(jobId, revision);
+  }
+}
--- /dev/null
+++ b/src/controller/membership/peer-handlers.ts
@@ -0,0 +1,58 @@
+/** What a controller does for its peers: the handlers of their requests. */
+import type { Reply } from '../../http/server.js';
+import type { PeerStatus } from '../../records/peer-frames.js';
+import {
+  type CancellationNotice,
+  decodeCancellation,
+  decodeRequest,
+  encodeReply,
+  type ForwardedRequest,
+} from '../../records/peer-requests.js';
+import { mapObject } from '../../records/stored-form.js';
+import { PeerProtocolError } from './peer-errors.js';
+
+/** What the rest of the controller does when a peer asks for it. */
+export interface PeerHandlers {
+  /** This controller's status, sent to every peer each renewal interval. */
+  currentStatus(): PeerStatus;
+  /** A peer knows of this term: an older term of this controller has ended. */
+  observeTerm(term: number): void;
+  /** Serves a user's request that a peer can't serve. It must not be forwarded once more. */
+  serveUser(method: string, target: string, body: Buffer): Promise<Reply>;
+  /** Handles an agent's heartbeat, as the agent sent it, that a peer forwards to the leader. */
+  handleHeartbeat(body: Buffer): Promise<Reply>;
+  /**
+   * A peer is about to confirm this job's cancellation, which is durable as of
+   * this revision, to its user: nothing of the job may start from now on.
+   */
+  announceCancellation(jobId: string, revision: number): void;
+}
+
+/**
+ * Serves one request of a peer and returns the payload of the response. The
+ * names of operations are those that are sent (records/peer-requests).
+ *
+ * @throws PeerProtocolError for an operation that this version does not know;
+ * whatever the handler throws.
+ */
+export async function servePeerRequest(
+  handlers: PeerHandlers,
+  operation: string,
+  payload: unknown,
+): Promise<unknown> {
+  switch (operation) {
+    case 'report':
+      return encodeReply(await handlers.handleHeartbeat(Buffer.from(payload as Uint8Array)));
+    case 'cancelled': {
+      const { job, revision }: CancellationNotice = mapObject(payload, decodeCancellation);
+      handlers.announceCancellation(job, revision);
+      return null;
+    }
+    case 'user': {
+      const { method, target, body }: ForwardedRequest = mapObject(payload, decodeRequest);
+      return encodeReply(await handlers.serveUser(method, target, Buffer.from(body)));
+    }
+    default:
+      throw new PeerProtocolError(`unknown operation ${operation}`);
+  }
+}
--- /dev/null
+++ b/src/controller/request-router.ts
@@ -0,0 +1,98 @@
+/** Routes the HTTP requests of agents, users and health checks, and forwards users' requests to a peer. */
+import type { Message } from '../http/message.js';
+import type { Reply } from '../http/server.js';
+import { CANCEL_PATH, PATHS } from '../protocol/paths.js';
+import type { JobApi } from './api/job-api.js';
+import { refuse } from './api/refusals.js';
+import type { ControllerContext } from './context.js';
+import type { ControllerHealth } from './health.js';
+import type { HeartbeatHandler } from './heartbeats/heartbeat-handler.js';
+import type { Peers } from './membership/peers.js';
+
+/** The parts of a controller that requests are routed to. */
+export interface RequestRouterParts {
+  jobApi: JobApi;
+  heartbeats: HeartbeatHandler;
+  health: ControllerHealth;
+  peers: Peers;
+}
+
+/** Finds the handler of each request. Holds no state of its own. */
+export class RequestRouter {
+  constructor(
+    private readonly ctx: Pick<ControllerContext, 'log' | 'machineTypes'>,
+    private readonly parts: RequestRouterParts,
+  ) {}
+
+  /** Serves a request from outside: an agent's heartbeat, a health check or a user's. */
+  async route(request: Message): Promise<Reply> {
+    const target = request.target.split('?', 1)[0] as string;
+    if (target === PATHS.heartbeat)
+      return only('POST', request.method, () => this.parts.heartbeats.handle(request.body));
+    if (target === PATHS.health) return only('GET', request.method, () => this.healthReply());
+    return this.serveUserOrForward(request.method, target, request.body);
+  }
+
+  /** Serves a user's request here, whoever it came from: requests of peers are not forwarded again. */
+  async serveUser(method: string, target: string, body: Buffer): Promise<Reply> {
+    const { jobApi } = this.parts;
+    if (target === PATHS.jobs) return only('POST', method, () => jobApi.submit(body));
+    if (target.startsWith(`${PATHS.jobs}/`)) {
+      const path = target.slice(PATHS.jobs.length + 1).split('/');
+      const id = path[0] as string;
+      if (path.length === 1) return only('GET', method, () => jobApi.query(id));
+      if (path.length === 2 && path[1] === CANCEL_PATH)
+        return only('POST', method, () => jobApi.cancel(id));
+    }
+    return { status: 404, body: { error: 'no such path' } };
+  }
+
+  /**
+   * Serves a user here or, while the state service fails this node alone,
+   * through a peer. When it does not answer at all and no peer can help, the
+   * user gets the refusal at once instead of waiting for a time-out.
+   */
+  private async serveUserOrForward(method: string, target: string, body: Buffer): Promise<Reply> {
+    const { health } = this.parts;
+    if (health.isStateServiceFailing() && target.startsWith(PATHS.jobs)) {
+      const forwarded = await this.forwardToPeer(method, target, body);
+      if (forwarded) return forwarded;
+      if (health.isStateServiceSilent()) return refuse('stateServiceUnreachable');
+    }
+    const reply = await this.serveUser(method, target, body);
+    if (reply.status !== 503) return reply;
+    return (await this.forwardToPeer(method, target, body)) ?? reply;
+  }
+
+  /** The reply of a peer that the state service serves; null when there is none, or it has no better one. */
+  private async forwardToPeer(method: string, target: string, body: Buffer): Promise<Reply | null> {
+    const { peers } = this.parts;
+    const peer = peers.statuses.servedPeer();
+    if (peer === null) return null;
+    try {
+      const reply = await peers.forwardRequest(peer, method, target, body);
+      return reply.status === 503 ? null : reply;
+    } catch (err) {
+      this.ctx.log.debug({ peer, err }, 'request not forwarded');
+      return null;
+    }
+  }
+
+  private healthReply(): Reply {
+    if (this.parts.health.isHealthy) return { status: 200, body: { status: 'ok' } };
+    const error = this.ctx.machineTypes
+      ? 'no peer and no state service'
+      : 'machine types are not known';
+    return { status: 503, body: { error } };
+  }
+}
+
+/** Calls the handler if the request has the path's only method; 405 otherwise. */
+function only(
+  allowed: string,
+  method: string,
+  handler: () => Reply | Promise<Reply>,
+): Reply | Promise<Reply> {
+  if (method !== allowed) return { status: 405, body: { error: `use ${allowed}` } };
+  return handler();
+}
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,33 +1,54 @@
+/** Frames between controllers: a four-byte length, big-endian, then one CBOR value. */
 import { decode, encode } from 'cbor-x/encode';
 
-/** Frames between controllers: a four-byte length, then one CBOR value. */
+/** A heartbeat with all of a machine's tasks fits well; anything larger is a fault. */
+const MAX_FRAME_BYTES = 1024 * 1024;
 
-/** A report with all of a machine's tasks fits well; anything larger is a fault. */
-const MAX_FRAME = 1024 * 1024;
+/** Bytes of the length before each value. */
+const LENGTH_BYTES = 4;
 
+/** A frame announces more bytes than any peer sends: the stream is not one of frames, or out of step. */
+export class FrameTooLargeError extends Error {
+  override readonly name = 'FrameTooLargeError';
+
+  constructor(readonly bytes: number) {
+    super(`frame too large: ${bytes} bytes`);
+  }
+}
+
+/** The bytes of one frame with this value. */
 export function packFrame(value: unknown): Buffer {
   const body = encode(value);
-  const out = Buffer.allocUnsafe(4 + body.length);
-  out.writeUInt32BE(body.length, 0);
-  body.copy(out, 4);
-  return out;
+  const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
+  frame.writeUInt32BE(body.length, 0);
+  body.copy(frame, LENGTH_BYTES);
+  return frame;
 }
 
-/** Collects bytes into values; throws on a frame that is too large or not CBOR. */
+/** Collects the bytes of one connection into values. */
 export class FrameReader {
+  /** The beginning of a frame whose rest has not arrived. */
   private pending: Buffer = Buffer.alloc(0);
 
+  /**
+   * Takes bytes as they arrive and returns the values of all frames that are
+   * complete with them.
+   *
+   * @throws FrameTooLargeError, or the decoder's error when a frame is not
+   * CBOR. The connection is of no use after that.
+   */
   push(data: Buffer): unknown[] {
-    const out: unknown[] = [];
-    let buf = this.pending.length > 0 ? Buffer.concat([this.pending, data]) : data;
-    while (buf.length >= 4) {
-      const size = buf.readUInt32BE(0);
-      if (size > MAX_FRAME) throw new Error('frame too large');
-      if (buf.length < 4 + size) break;
-      out.push(decode(buf.subarray(4, 4 + size)));
-      buf = buf.subarray(4 + size);
+    const values: unknown[] = [];
+    let bytes = this.pending.length > 0 ? Buffer.concat([this.pending, data]) : data;
+    while (bytes.length >= LENGTH_BYTES) {
+      const size = bytes.readUInt32BE(0);
+      if (size > MAX_FRAME_BYTES) throw new FrameTooLargeError(size);
+      const end = LENGTH_BYTES + size;
+      if (bytes.length < end) break;
+      values.push(decode(bytes.subarray(LENGTH_BYTES, end)));
+      bytes = bytes.subarray(end);
     }
-    this.pending = Buffer.from(buf);
-    return out;
+    this.pending = Buffer.from(bytes);
+    return values;
   }
 }
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -3,8 +3,8 @@
 import net from 'node:net';
 import { type TestContext, test } from 'node:test';
 import type { ControllerContext } from '../src/controller/context.js';
-import { Peers } from '../src/controller/membership/peers.js';
-import type { PeerStatus } from '../src/peer/peer-network.js';
+import { createPeers } from '../src/controller/membership/peers.js';
+import type { PeerStatus } from '../src/records/peer-frames.js';
 import { FakeClock, settle } from './support/clock.js';
 import { recordingNode } from './support/recording.js';
 import { PEER_FRAMES } from './support/records.js';
@@ -63,18 +63,18 @@
     },
   };
   const taken: unknown[] = [];
-  const peers = new Peers(ctx, {
-    status: () => SENT_STATUS,
-    onTerm: (term) => taken.push(['term', term]),
+  const peers = createPeers(ctx, {
+    currentStatus: () => SENT_STATUS,
+    observeTerm: (term) => taken.push(['term', term]),
     serveUser: async (method, target, body) => {
       taken.push(['user', method, target, body.toString()]);
       return { status: 503, body: { error: 'later' }, retryAfterS: 1 };
     },
-    takeReport: async (body) => {
+    handleHeartbeat: async (body) => {
       taken.push(['report', body.toString()]);
       return { status: 200, body: { baton: 3_145_728, orders: [] } };
     },
-    cancelled: (job, revision) => taken.push(['cancelled', job, revision]),
+    announceCancellation: (job, revision) => taken.push(['cancelled', job, revision]),
   });
   void peers.run(stop.signal);
   await until(
@@ -179,10 +179,10 @@
   try {
     m.send(PEER_FRAMES.earlierStatus);
     await until(() => m.peers.isReachable('n-1'), settle);
-    assert.equal(m.peers.leaderMemoryIsShort(), false);
-    assert.deepEqual(m.peers.taskCountsOf('req-000412'), { done: 9, running: 4 });
+    assert.equal(m.peers.statuses.isLeaderMemoryShort(), false);
+    assert.deepEqual(m.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
     assert.equal(m.peers.lastLedAt('n-1', 3), m.clock.now());
-    assert.equal(m.peers.servedPeer(), 'n-1');
+    assert.equal(m.peers.statuses.servedPeer(), 'n-1');
   } finally {
     m.end();
   }
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -2,7 +2,7 @@
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../../../src/config/policy.js';
 import { parsePlatform } from '../../../src/config/settings.js';
-import { Controller } from '../../../src/controller/controller.js';
+import { createController } from '../../../src/controller/wiring.js';
 import { type Cart, PlayedCloud } from './cloud.js';
 import { draw } from './draw.js';
 import { PlayedMachine } from './machine.js';
@@ -172,7 +172,14 @@
     const log = pino({ level: 'silent' });
     const life = `${name}-${this.started}`;
     this.time.laterOn(host, 0, () => {
-      void new Controller(platform, DEFAULT_POLICY, this.time, log, life).run(stop.signal);
+      const options = {
+        platform,
+        policy: DEFAULT_POLICY,
+        clock: this.time,
+        log,
+        incarnation: life,
+      };
+      void createController(options).run(stop.signal);
     });
   }
 
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { ControllerHealth } from '../src/controller/health.js';
 import { AgentCommands } from '../src/controller/leader/agent-commands.js';
-import { Peers } from '../src/controller/membership/peers.js';
+import { createPeers } from '../src/controller/membership/peers.js';
 import { NoResponseError, NotAttemptedError } from '../src/http/errors.js';
-import type { PeerStatus } from '../src/peer/peer-network.js';
+import type { PeerStatus } from '../src/records/peer-frames.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
@@ -312,12 +312,12 @@
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   const terms: number[] = [];
-  const peers = new Peers(ctx, {
-    status: () => status(0),
-    onTerm: (term) => terms.push(term),
+  const peers = createPeers(ctx, {
+    currentStatus: () => status(0),
+    observeTerm: (term) => terms.push(term),
     serveUser: () => Promise.reject(new Error('not asked')),
-    takeReport: () => Promise.reject(new Error('not asked')),
-    cancelled: () => {},
+    handleHeartbeat: () => Promise.reject(new Error('not asked')),
+    announceCancellation: () => {},
   });
   const status = (sentAt: number): PeerStatus => ({
     node: 'n-1',
