--- a/src/config/state-limits.ts
+++ b/src/config/state-limits.ts
@@ -1,25 +1,28 @@
+/** The state service's limits, as what is written has to keep them. */
 import type { Platform } from './settings.js';
 
 /**
- * What the state service takes, now and once the limits that are announced in
- * the settings (`state.next`) are in force. When that happens is not known, so
- * whatever is written fits both; what is stored may be larger.
+ * What the state service takes, now and once the limits that the settings
+ * announce (`state.next`) are in force. It is not known when that happens, so
+ * whatever is written fits both at all times; what is stored already may be
+ * larger.
  */
 export interface StateLimits {
-  /** Bytes of a value under the limit of the settings: earlier versions sized their bitmaps by it. */
+  /** Bytes of a value under the present limit: earlier versions sized their bitmaps by it. */
   presentValueBytes: number;
-  /** Bytes of a value at all times. */
+  /** Bytes of a value under either limit: what is written keeps to this. */
   valueBytes: number;
-  /** Changes in one transaction at all times. */
+  /** Changes in one transaction under either limit. */
   changes: number;
-  /** Changes a second now. */
+  /** Changes a second under the present limit. */
   changesPerS: number;
-  /** Changes a second once the announced limit is in force. */
+  /** Changes a second under either limit: what is left once the announced one is in force. */
   loweredChangesPerS: number;
 }
 
 const KIB = 1024;
 
+/** The limits by the settings. */
 export function stateLimitsOf(platform: Platform): StateLimits {
   const { state } = platform.settings;
   const next = state.next;
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -9,8 +9,6 @@
 
 /** A frame announces more bytes than any peer sends: the stream is not one of frames, or out of step. */
 export class FrameTooLargeError extends Error {
-  override readonly name = 'FrameTooLargeError';
-
   constructor(readonly bytes: number) {
     super(`frame too large: ${bytes} bytes`);
   }
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -8,8 +8,6 @@
 
 /** A request got no response: the peer is not connected, the connection broke or the time is over. */
 export class PeerUnavailableError extends Error {
-  override readonly name = 'PeerUnavailableError';
-
   constructor(
     readonly node: string,
     reason: 'is not connected' | 'closed the connection' | 'timed out',
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,15 +1,23 @@
-/** Time as the duties see it; the tests put a fake one in its place. */
+/** Time and waiting, with cancellation by AbortSignal. */
+
+/** Time as the controller's routines see it; tests and the decision trace put a simulated one in its place. */
 export interface Clock {
-  /** Steady milliseconds. */
+  /** Steady time in milliseconds, for intervals and deadlines. Its zero means nothing. */
   now(): number;
-  /** Time of day in milliseconds. */
+  /** Time of day in milliseconds since the epoch, for what is stored or sent. It may jump. */
   wall(): number;
-  /** Rejects when the signal ends the wait. */
+  /**
+   * Resolves after `ms`, later if the event loop lags.
+   *
+   * @throws AbortedError as soon as the signal is aborted, and at once if it already is.
+   */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
+/** A wait or call ended because its signal was aborted: the routine is to end, nothing failed. */
 export class AbortedError extends Error {}
 
+/** The clock of the process. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -29,7 +37,10 @@
   },
 };
 
-/** A wait that just ends when the signal does. */
+/**
+ * Waits like `clock.sleep`, but resolves when the signal is aborted: for loops
+ * that check the signal after each wait.
+ */
 export async function sleepUntilAborted(
   clock: Clock,
   ms: number,
@@ -42,25 +53,37 @@
   }
 }
 
+/** How late a timer may be that does not count as lagging, in steps. */
+const LAG_STEPS = 0.5;
+
+/** How long a timer that measures the lag is set to, in steps. */
+const PROBE_STEPS = 0.1;
+
+/** A wait for the lag to pass, in multiples of the lag that was measured. */
+const LAG_WAIT = 2;
+
 /**
- * Waits until timers are in time again, by half of `stepMs`. After a takeover
- * hundreds of workers come at once, and each has to be answered before its
- * lease is over: while a small processor is behind with them, work of our own
- * choosing would only make them try elsewhere and come back.
- * It is not put off for longer than `mostMs`.
+ * Waits until the event loop keeps up again, that is until a timer fires less
+ * than half of `stepMs` late. After a failover hundreds of agents send their
+ * heartbeats at once, and each has to be answered before its lease runs out:
+ * while a small processor lags behind with them, work that the controller
+ * could as well do later (commands, scaling) would only make agents time out
+ * and come back. That work is delayed by `maxMs` at most.
+ *
+ * @throws AbortedError once the signal is aborted.
  */
 export async function waitWhileLagging(
   clock: Clock,
   stepMs: number,
-  mostMs: number,
+  maxMs: number,
   signal: AbortSignal,
 ): Promise<void> {
-  const until = clock.now() + mostMs;
+  const until = clock.now() + maxMs;
   for (;;) {
-    const due = clock.now() + stepMs * 0.1;
-    await clock.sleep(stepMs * 0.1, signal);
-    const late = clock.now() - due;
-    if (late < stepMs * 0.5 || clock.now() >= until) return;
-    await clock.sleep(Math.min(late * 2, until - clock.now()), signal);
+    const dueAt = clock.now() + stepMs * PROBE_STEPS;
+    await clock.sleep(stepMs * PROBE_STEPS, signal);
+    const lagMs = clock.now() - dueAt;
+    if (lagMs < stepMs * LAG_STEPS || clock.now() >= until) return;
+    await clock.sleep(Math.min(lagMs * LAG_WAIT, until - clock.now()), signal);
   }
 }
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -1,20 +1,39 @@
+/** Client-side rate limits, shared by requests of different urgency. */
+
 /**
- * What a request is for; smaller goes first when the budget is short. What
- * leads goes before everything: users who ask without end because nobody
- * leads must not be what keeps anybody from leading. Questions come after the
- * ends of jobs, which are what stops them.
+ * What a request is for; a smaller number goes first when the budget is short.
+ *
+ * - `lead`: election, lease renewal, failover and the watch of jobs. Before
+ *   everything: users who repeat their requests because nobody leads must not
+ *   be what keeps anybody from leading.
+ * - `users`: submissions and cancellations; calls to the cloud.
+ * - `ends`: what makes the ends of jobs and tasks durable or known, and mailbox messages.
+ * - `questions`: users' queries. After the ends of jobs, which are what stops
+ *   users from asking about them.
+ * - `progress`: what may come late, such as the demand forecast and clean-up.
  */
 export const RequestPriority = { lead: 0, users: 1, ends: 2, questions: 3, progress: 4 } as const;
+/** One of the priorities. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
+/** The share of the burst that each step of priority leaves to the higher ones, and the largest such reserve. */
+const RESERVE_PER_PRIORITY = 0.15;
+const MAX_RESERVE = 0.5;
+
+/** Added to a wait, so that the tokens are there when it ends in spite of rounding. */
+const ROUNDING_MS = 1;
+
 /**
  * A token bucket that also remembers refusals: a 429 empties it. Lower
- * priorities leave a reserve for higher ones.
+ * priorities leave a reserve of tokens for higher ones, and `lead` never waits
+ * (it may take the bucket into debt). Times are of the steady clock, in
+ * milliseconds.
  */
 export class RequestBudget {
   private tokens: number;
   private refilledAt: number;
 
+  /** A full bucket of `burst` tokens that refills by `perSecond`. */
   constructor(
     private perSecond: number,
     private burst: number,
@@ -24,20 +43,26 @@
     this.refilledAt = now;
   }
 
-  /** Milliseconds to wait before `count` may be spent; 0 means they were spent. */
+  /**
+   * Spends `count` tokens and returns 0, or spends none and returns the
+   * milliseconds to wait before trying again.
+   */
   take(count: number, priority: RequestPriority, now: number): number {
     this.refill(now);
-    const reserve = Math.min(this.burst * 0.5, this.burst * 0.15 * priority);
+    const reserve = Math.min(
+      this.burst * MAX_RESERVE,
+      this.burst * RESERVE_PER_PRIORITY * priority,
+    );
     // A transaction larger than the burst could never pass; it runs the bucket into debt instead.
-    const need = Math.min(count, this.burst - reserve) + reserve;
-    if (this.tokens >= need || priority === RequestPriority.lead) {
+    const needed = Math.min(count, this.burst - reserve) + reserve;
+    if (this.tokens >= needed || priority === RequestPriority.lead) {
       this.tokens -= count;
       return 0;
     }
-    return ((need - this.tokens) / this.perSecond) * 1000 + 1;
+    return ((needed - this.tokens) / this.perSecond) * 1000 + ROUNDING_MS;
   }
 
-  /** From now on no more than this, the reserves with it. */
+  /** From now on no more than this rate, nor a larger burst; the reserves shrink with it. Never raises either. */
   lowerRate(perSecond: number, now: number): void {
     this.refill(now);
     this.burst = Math.min(this.burst, perSecond);
@@ -45,6 +70,7 @@
     this.tokens = Math.min(this.tokens, this.burst);
   }
 
+  /** The service refused a request for its rate: what it counts is used up, whatever was counted here. */
   recordRefusal(now: number): void {
     this.refill(now);
     this.tokens = Math.min(this.tokens, 0);
