--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -1,5 +1,5 @@
 /** What a controller does for its peers: the handlers of their requests. */
-import type { Reply } from '../../http/server.js';
+import type { Reply } from '../../http/reply.js';
 import type { PeerStatus } from '../../records/peer-frames.js';
 import {
   type CancellationNotice,
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,6 +1,6 @@
 /** What passes between controllers: statuses all the time, and requests that a partition makes necessary. */
 import { parseAddress } from '../../config/settings.js';
-import type { Reply } from '../../http/server.js';
+import type { Reply } from '../../http/reply.js';
 import { PeerNetwork } from '../../peer/peer-network.js';
 import { truncateCommands } from '../../protocol/agent-protocol.js';
 import type { PeerStatus } from '../../records/peer-frames.js';
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -1,20 +1,21 @@
 /** Routes the HTTP requests of agents, users and health checks, and forwards users' requests to a peer. */
 import type { Message } from '../http/message.js';
-import type { Reply } from '../http/server.js';
+import type { Reply } from '../http/reply.js';
 import { CANCEL_PATH, PATHS } from '../protocol/paths.js';
 import type { JobApi } from './api/job-api.js';
 import { refuse } from './api/refusals.js';
 import type { ControllerContext } from './context.js';
 import type { ControllerHealth } from './health.js';
 import type { HeartbeatHandler } from './heartbeats/heartbeat-handler.js';
+import type { PeerStatuses } from './membership/peer-statuses.js';
 import type { Peers } from './membership/peers.js';
 
 /** The parts of a controller that requests are routed to. */
 export interface RequestRouterParts {
-  jobApi: JobApi;
-  heartbeats: HeartbeatHandler;
-  health: ControllerHealth;
-  peers: Peers;
+  jobApi: Pick<JobApi, 'submit' | 'query' | 'cancel'>;
+  heartbeats: Pick<HeartbeatHandler, 'handle'>;
+  health: Pick<ControllerHealth, 'isStateServiceFailing' | 'isStateServiceSilent' | 'isHealthy'>;
+  peers: Pick<Peers, 'forwardRequest'> & { statuses: Pick<PeerStatuses, 'servedPeer'> };
 }
 
 /** Finds the handler of each request. Holds no state of its own. */
--- /dev/null
+++ b/test/peers.test.ts
@@ -0,0 +1,73 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  MailboxBackoffError,
+  MailboxMessageTooLargeError,
+  PeerProtocolError,
+} from '../src/controller/membership/peer-errors.js';
+import { type PeerHandlers, servePeerRequest } from '../src/controller/membership/peer-handlers.js';
+import { createPeers } from '../src/controller/membership/peers.js';
+import { PeerUnavailableError } from '../src/peer/peer-link.js';
+import { FakeClock } from './support/clock.js';
+import { createContext } from './support/context.js';
+import { FakeStateService, FakeStore } from './support/state.js';
+
+const HANDLERS: PeerHandlers = {
+  currentStatus: () => assert.fail('not asked'),
+  observeTerm: () => {},
+  serveUser: () => Promise.reject(new Error('not asked')),
+  handleHeartbeat: () => Promise.reject(new Error('not asked')),
+  announceCancellation: () => {},
+};
+
+function world() {
+  const clock = new FakeClock();
+  const store = new FakeStore(clock);
+  const ctx = createContext('n-0', new FakeStateService(store), clock);
+  return { clock, ctx, store, peers: createPeers(ctx, HANDLERS) };
+}
+
+test('a leader that does not answer in the mailbox is not tried again for a while', async () => {
+  const { clock, ctx, store, peers } = world();
+  const forward = () => peers.forwardThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
+  const first = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
+  await clock.advance(ctx.timing.stateTimeoutMs);
+  await first;
+  const { revision } = store;
+  await assert.rejects(forward(), MailboxBackoffError);
+  // Another node's mailbox is tried all the same, and this one's after the back-off.
+  const other = assert.rejects(
+    peers.forwardThroughMailbox('n-2', 'm-1', Buffer.from('{}')),
+    (error) => !(error instanceof MailboxBackoffError),
+  );
+  await clock.advance(ctx.timing.leaseMs * 0.5);
+  await other;
+  assert.ok(store.revision > revision);
+  const again = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
+  await clock.advance(ctx.timing.stateTimeoutMs);
+  await again;
+});
+
+test('a heartbeat that no value holds is refused before anything is written, and backs nothing off', async () => {
+  const { ctx, store, peers } = world();
+  const { revision } = store;
+  const large = Buffer.alloc(ctx.limits.valueBytes);
+  for (let i = 0; i < 2; i++)
+    await assert.rejects(
+      peers.forwardThroughMailbox('n-1', 'm-1', large),
+      MailboxMessageTooLargeError,
+    );
+  assert.equal(store.revision, revision);
+});
+
+test('a request to a peer that is not connected fails at once', async () => {
+  const { peers } = world();
+  await assert.rejects(
+    peers.forwardRequest('n-1', 'GET', '/v1/jobs/req-000001', Buffer.alloc(0)),
+    PeerUnavailableError,
+  );
+});
+
+test('an operation of a later version is refused', async () => {
+  await assert.rejects(servePeerRequest(HANDLERS, 'later', null), PeerProtocolError);
+});
