--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -103,7 +103,7 @@
     lagThresholdMs: heartbeatMs / 20,
     // A fifth of the changes a second may go to progress, and a user should see an end well within a heartbeat interval.
     progressWriteMs: Math.max(heartbeatMs / 30, 5000 / state.write_rps),
-    // A user may be told that a job waits for this long after a dependency was cancelled: well within cancel_s.
+    // A user may get the answer that a job waits for this long after a dependency was cancelled: well within cancel_s.
     dependencyFreshMs: cancelMs * 0.2,
     // Removal is safe at any moment; the time keeps it from making submissions under way start again.
     orphanListMs: cancelMs * 2,
@@ -111,7 +111,7 @@
     // Two heartbeats in a row may be lost.
     unreachableAfterMs: heartbeatMs * 3,
     agentLeaseMs,
-    // A command held back by the partition may still reach an agent whose lease is renewed, so this must end in
+    // A command delayed by the partition may still reach an agent whose lease is renewed, so this must end in
     // time for a cancellation; three heartbeat intervals cover how late the first of the commands came.
     delegatedRenewalMs: Math.max(0, (cancelMs - agentLeaseMs) * 0.9 - heartbeatMs * 3),
     fleetLogMs: agentLeaseMs / 2,
--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -11,6 +11,13 @@
 import { mapObject } from '../../records/stored-form.js';
 import { PeerProtocolError } from './peer-errors.js';
 
+/** Names of operations as they are sent; the payload of each is in records/peer-requests. */
+export const PEER_OPERATIONS = {
+  serveUser: 'user',
+  handleHeartbeat: 'report',
+  announceCancellation: 'cancelled',
+} as const;
+
 /** What the rest of the controller does when a peer asks for it. */
 export interface PeerHandlers {
   /** This controller's status, sent to every peer each renewal interval. */
@@ -29,8 +36,7 @@
 }
 
 /**
- * Serves one request of a peer and returns the payload of the response. The
- * names of operations are those that are sent (records/peer-requests).
+ * Serves one request of a peer and returns the payload of the response.
  *
  * @throws PeerProtocolError for an operation that this version does not know;
  * whatever the handler throws.
@@ -41,14 +47,14 @@
   payload: unknown,
 ): Promise<unknown> {
   switch (operation) {
-    case 'report':
+    case PEER_OPERATIONS.handleHeartbeat:
       return encodeReply(await handlers.handleHeartbeat(Buffer.from(payload as Uint8Array)));
-    case 'cancelled': {
+    case PEER_OPERATIONS.announceCancellation: {
       const { job, revision }: CancellationNotice = mapObject(payload, decodeCancellation);
       handlers.announceCancellation(job, revision);
       return null;
     }
-    case 'user': {
+    case PEER_OPERATIONS.serveUser: {
       const { method, target, body }: ForwardedRequest = mapObject(payload, decodeRequest);
       return encodeReply(await handlers.serveUser(method, target, Buffer.from(body)));
     }
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -28,7 +28,7 @@
 
   /** Takes a well-formed status, unless a later one is known. */
   record(status: PeerStatus): void {
-    // A partition may hold a status back: it tells of the time when it was sent, and may come after a newer one.
+    // A partition may delay a status: it is true of the time when it was sent, and may arrive after a newer one.
     const { clock } = this.ctx;
     const sentAt = clock.now() - Math.max(0, clock.wall() - status.sentAt);
     if (sentAt < (this.received.get(status.node)?.sentAt ?? Number.NEGATIVE_INFINITY)) return;
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -19,7 +19,7 @@
   MailboxMessageTooLargeError,
   PeerProtocolError,
 } from './peer-errors.js';
-import { type PeerHandlers, servePeerRequest } from './peer-handlers.js';
+import { PEER_OPERATIONS, type PeerHandlers, servePeerRequest } from './peer-handlers.js';
 import { PeerStatuses } from './peer-statuses.js';
 
 /** The share of a value that a heartbeat or its response may take in a mailbox; the frame and its quotes need the rest. */
@@ -58,7 +58,7 @@
     onError: (err) => log.debug({ err }, 'peer connection or request failed'),
   });
   const statuses = new PeerStatuses(ctx, (node) => network.isConnected(node));
-  // A response leaves out commands that a value has no room for: to the agent they are lost like a late response's.
+  // A response leaves out commands that don't fit a value: to the agent they are lost like those of a late response.
   const mailbox = new Mailbox(ctx, async (text) => {
     const reply = await handlers.handleHeartbeat(Buffer.from(text));
     const body = truncateCommands(reply.body, limits.valueBytes * MAILBOX_VALUE_SHARE);
@@ -121,7 +121,7 @@
   async forwardRequest(node: string, method: string, target: string, body: Buffer): Promise<Reply> {
     const payload = encodeRequest({ method, target, body });
     const timeoutMs = this.ctx.timing.stateTimeoutMs * FORWARD_TIMEOUTS;
-    return replyOf(await this.network.request(node, 'user', payload, timeoutMs));
+    return replyOf(await this.network.request(node, PEER_OPERATIONS.serveUser, payload, timeoutMs));
   }
 
   /**
@@ -131,7 +131,9 @@
    */
   async forwardHeartbeat(node: string, body: Buffer): Promise<Reply> {
     const timeoutMs = this.ctx.timing.stateTimeoutMs;
-    return replyOf(await this.network.request(node, 'report', body, timeoutMs));
+    return replyOf(
+      await this.network.request(node, PEER_OPERATIONS.handleHeartbeat, body, timeoutMs),
+    );
   }
 
   /**
@@ -146,7 +148,7 @@
     const { clock, limits, timing } = this.ctx;
     if (clock.now() < (this.mailboxBackoffUntil.get(node) ?? 0))
       throw new MailboxBackoffError(node);
-    // The frame of a request and the quotes in its text take room too.
+    // The frame of a request and the quotes in its text take some of the value too.
     if (body.length > limits.valueBytes * MAILBOX_VALUE_SHARE)
       throw new MailboxMessageTooLargeError(body.length);
     try {
@@ -163,7 +165,7 @@
   /**
    * Announces a durable cancellation to every reachable peer, so that the
    * leader, whichever of them it is, starts nothing of the job once the user
-   * has the confirmation. A peer that can't be told in a moment delays nobody:
+   * has the confirmation. A peer that does not answer at once delays nobody:
    * its own knowledge of cancellations becomes too old, and what it may do
    * then is bounded (docs/design.md, "One bound for cancellations"). Never
    * rejects.
@@ -174,7 +176,9 @@
     const reachable = platform.peers.filter((peer) => this.statuses.isReachable(peer.node));
     const timeoutMs = timing.stateTimeoutMs * ANNOUNCE_TIMEOUTS;
     await Promise.allSettled(
-      reachable.map((peer) => this.network.request(peer.node, 'cancelled', notice, timeoutMs)),
+      reachable.map((peer) =>
+        this.network.request(peer.node, PEER_OPERATIONS.announceCancellation, notice, timeoutMs),
+      ),
     );
   }
 
