--- a/test/peer.test.ts
+++ b/test/peer.test.ts
@@ -1,6 +1,11 @@
 import assert from 'node:assert/strict';
+import { once } from 'node:events';
+import net from 'node:net';
 import { test } from 'node:test';
 import { FrameReader, packFrame } from '../src/peer/frames.js';
+import { PeerUnavailableError } from '../src/peer/peer-link.js';
+import { PeerNetwork } from '../src/peer/peer-network.js';
+import { systemClock } from '../src/runtime/clock.js';
 
 test('frames survive any split of their bytes, and nonsense is refused', () => {
   const values = [
@@ -15,3 +20,46 @@
   }
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), /too large/);
 });
+
+test('a request ends when its time is over or the connection breaks, whichever is first', async () => {
+  const stop = new AbortController();
+  const accepted: net.Socket[] = [];
+  // It accepts and never answers.
+  const listener = net.createServer((socket) => {
+    socket.on('error', () => {});
+    accepted.push(socket.resume());
+  });
+  listener.listen(0, '127.0.0.1');
+  await once(listener, 'listening');
+  const address = { host: '127.0.0.1', port: (listener.address() as net.AddressInfo).port };
+  const network = new PeerNetwork({
+    host: '127.0.0.1',
+    port: 0,
+    peers: [{ node: 'n-1', address }],
+    clock: systemClock,
+    // Long enough for connecting on a busy machine.
+    retryMs: 5000,
+    onStatus: () => {},
+    onRequest: () => Promise.reject(new Error('not asked')),
+    onError: () => {},
+  });
+  void network.run(stop.signal);
+  try {
+    while (!network.isConnected('n-1') || accepted.length === 0)
+      await new Promise((resolve) => setTimeout(resolve, 5));
+    const unavailable = (message: RegExp) => (error: unknown) =>
+      error instanceof PeerUnavailableError && message.test(error.message);
+    await assert.rejects(network.request('n-1', 'user', {}, 20), unavailable(/^n-1 timed out$/));
+    const pending = network.request('n-1', 'user', {}, 60_000);
+    accepted[0]?.destroy();
+    await assert.rejects(pending, unavailable(/^n-1 closed the connection$/));
+    assert.equal(network.isConnected('n-1'), false);
+    await assert.rejects(
+      network.request('n-1', 'user', {}, 60_000),
+      unavailable(/^n-1 is not connected$/),
+    );
+  } finally {
+    stop.abort();
+    listener.close();
+  }
+});
