--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -1,8 +1,14 @@
+/** The filter step: which machines may take tasks at all, and which of them tasks of a batch. */
+
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
+import { satisfiesConstraints } from '../state/constraints.js';
 import type { Machine } from '../state/machine.js';
 
-/** Takes new tasks at all. */
+/**
+ * Whether the machine takes new tasks at all: this leader has confirmed it, the
+ * durable roster names it, it is up to date, reachable and not being drained.
+ */
 export function acceptsTasks(cluster: ClusterState, machine: Machine, now: number): boolean {
   return (
     machine.confirmed &&
@@ -17,10 +23,10 @@
 }
 
 /**
- * Whether the machine's room is free for the batch. Tasks are stopped one
- * after the other, and what they free piece by piece is enough for the small
- * ones that were stopped long before it is enough for a large one: they would
- * take it again and be stopped again, for as long as the large one waits.
+ * Whether no reservation on the machine bars the batch. Preempted tasks end one
+ * after the other, and what they free piece by piece is enough for small tasks
+ * long before it is enough for a large one: the preempted work would take it
+ * again and be preempted again, for as long as the large task waits.
  */
 export function respectsReservation(machine: Machine, batch: Batch): boolean {
   const { reservation } = machine;
@@ -31,30 +37,11 @@
   );
 }
 
-/** Keeps room that is being made on the machine for one more task of the batch. */
-export function addReservation(machine: Machine, batch: Batch, until: number): void {
-  const { priority: rank, withinGuarantee: guaranteed } = batch;
-  const old = machine.reservation;
-  if (old && old.priority === rank && old.withinGuarantee === guaranteed) {
-    old.remainingTasks++;
-    old.expiresAt = until;
-  } else
-    machine.reservation = {
-      priority: rank,
-      withinGuarantee: guaranteed,
-      remainingTasks: 1,
-      expiresAt: until,
-    };
-}
-
-/** A task was placed on the machine: of the same rank, it is what room was reserved for. */
-export function consumeReservation(machine: Machine, batch: Batch): void {
-  const { reservation } = machine;
-  if (
-    !reservation ||
-    batch.priority !== reservation.priority ||
-    !respectsReservation(machine, batch)
-  )
-    return;
-  if (--reservation.remainingTasks <= 0) machine.reservation = null;
+/**
+ * Whether the batch may be placed on the machine as far as its constraints and
+ * reservations go. Free slots, quota and zone rules change with each start and
+ * are looked at later.
+ */
+export function isFeasible(machine: Machine, batch: Batch): boolean {
+  return satisfiesConstraints(machine, batch.spec) && respectsReservation(machine, batch);
 }
