--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -5,9 +5,13 @@
 import { satisfiesConstraints } from '../state/constraints.js';
 import type { Machine } from '../state/machine.js';
 
+/** A machine whose latest heartbeat is older than this many intervals gets no new tasks. */
+const RECENT_HEARTBEATS = 2;
+
 /**
  * Whether the machine takes new tasks at all: this leader has confirmed it, the
- * durable roster names it, it is up to date, reachable and not being drained.
+ * durable roster names it, its heartbeats are recent, it obeys commands, runs
+ * nothing unknown, and is neither draining nor backed off.
  */
 export function acceptsTasks(cluster: ClusterState, machine: Machine, now: number): boolean {
   return (
@@ -18,7 +22,7 @@
     machine.unresponsiveSince === null &&
     !machine.hasUnknownTasks &&
     machine.admissionBackoffUntil <= now &&
-    now - machine.lastHeartbeatAt < cluster.timing.heartbeatMs * 2
+    now - machine.lastHeartbeatAt < cluster.timing.heartbeatMs * RECENT_HEARTBEATS
   );
 }
 
--- a/src/scheduler/placement/remaining-slots.ts
+++ b/src/scheduler/placement/remaining-slots.ts
@@ -9,7 +9,11 @@
 /** More tasks than any batch has: a quota without a maximum bounds nothing. */
 const UNBOUNDED_SLOTS = 1e9;
 
-/** How many more of the job's tasks may be placed in the zone beside those on machines now. */
+/**
+ * How many more of the job's tasks may be placed in the zone beside those on
+ * machines now: with zone affinity all tasks run in one zone, with zone
+ * anti-affinity no zone has more than half of them.
+ */
 export function remainingZoneSlots(job: Job, zone: string): number {
   const { singleZone, zoneAntiAffinity, tasks } = job.spec;
   if (singleZone)
--- a/src/scheduler/scaling/demand-forecasts.ts
+++ b/src/scheduler/scaling/demand-forecasts.ts
@@ -19,6 +19,8 @@
 /** The weights of the mean interval so far and of the latest one. */
 const PAST_INTERVAL_WEIGHT = 0.9;
 const LATEST_INTERVAL_WEIGHT = 0.1;
+/** Keeps a share defined when nothing has arrived. */
+const MIN_WEIGHT = 1e-9;
 /** A forecast of fewer tasks at once than this is dropped. */
 const NEGLIGIBLE_MEAN = 1e-3;
 
@@ -42,7 +44,7 @@
     const arrived = spec.tasks * smoothings;
     forecast.spec = spec;
     forecast.meanRequest = weightedMean(forecast.meanRequest, forecast.mean, spec, arrived);
-    const share = arrived / Math.max(1e-9, forecast.mean + arrived);
+    const share = arrived / Math.max(MIN_WEIGHT, forecast.mean + arrived);
     forecast.occupancyS += (occupancy - forecast.occupancyS) * share;
     forecast.mean += arrived;
     forecast.variance += spec.tasks * spec.tasks * smoothings;
