--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -22,7 +22,7 @@
 /**
  * Heartbeat intervals, beside the time to checkpoint, within which preempted
  * tasks have ended and the tasks that they were stopped for are placed
- * (docs/design.md, "Chains of jobs"; docs/limits.md, "Chains and the upgrade").
+ * (docs/design.md, "Job dependencies"; docs/limits-history.md, "Chains and the upgrade").
  */
 const RESERVATION_HEARTBEATS = 3;
 
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -35,7 +35,7 @@
 /**
  * Marks new jobs that fit their team's guaranteed quota together with the
  * team's earlier unfinished ones. A job is judged once, on its arrival
- * (docs/limits.md, "What helped, in the order of its size"). How an earlier
+ * (docs/limits-history.md, "What helped, in the order of its size"). How an earlier
  * leader judged an inherited job is not known: past the objective on guaranteed
  * work it counts as not having fitted. A job that waits for dependencies uses
  * no guaranteed quota until it may run.
--- a/src/scheduler/scaling/demand-forecasts.ts
+++ b/src/scheduler/scaling/demand-forecasts.ts
@@ -12,7 +12,7 @@
 const STALE_ARRIVAL_INTERVALS = 2.5;
 /**
  * However short the interval, a stream is not taken for stopped within this
- * share of a boot (docs/limits.md, "Tried without help", has a trial with less
+ * share of a boot (docs/limits-history.md, "Tried without help", has a trial with less
  * patience).
  */
 const STALE_ARRIVAL_BOOTS = 0.5;
--- a/src/scheduler/scaling/demand.ts
+++ b/src/scheduler/scaling/demand.ts
@@ -41,7 +41,7 @@
   forecasts: DemandForecasts,
   now: number,
 ): Demand[] {
-  // docs/limits.md, "Tried without help", has a trial with one boot in all.
+  // docs/limits-history.md, "Tried without help", has a trial with one boot in all.
   const drainS = longestBootS(cluster.machineTypes) * (1 + cluster.policy.backlogBoots);
   const work = liveWorkByKind(cluster, now);
   const demands: Demand[] = [];
@@ -122,7 +122,7 @@
 
 /**
  * What is usually left of the work under way, in seconds: half of each task on
- * average (docs/limits.md, "What helped, in the order of its size"). One job's
+ * average (docs/limits-history.md, "What helped, in the order of its size"). One job's
  * length must not stand for all: the oldest live job is often the longest, and
  * would hide a backlog for as long as it lives.
  */
--- a/src/scheduler/scaling/fleet-conditions.ts
+++ b/src/scheduler/scaling/fleet-conditions.ts
@@ -8,17 +8,17 @@
 /**
  * When more than this share of the machines, or of a zone, seems unresponsive or
  * unreachable at once, it is the network that is at fault (docs/design.md,
- * "Cuts" and "Late, one-way, isolated, quick").
+ * "Network partitions" and "Late, one-way, isolated, quick").
  */
 const MASS_OUTAGE_SHARE = 0.2;
 /**
  * Heartbeat intervals after a failover within which a reachable agent has sent a
- * heartbeat under the new fencing token (docs/limits.md, "Where the time goes").
+ * heartbeat under the new fencing token (docs/limits-history.md, "Where the time goes").
  */
 const CONFIRM_HEARTBEATS = 2;
 /**
  * The same for one that gave no answer to a direct command either: an interval
- * with its jitter, and a redirection (docs/limits.md, "Two troubles at once").
+ * with its jitter, and a redirection (docs/limits-history.md, "Two troubles at once").
  */
 const UNANSWERED_HEARTBEATS = 1.4;
 
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -12,14 +12,14 @@
 
 /**
  * Missed heartbeats, with their jitter, that show that a spot machine was taken
- * after its preemption notice ran out (docs/limits.md, "Where the time goes").
+ * after its preemption notice ran out (docs/limits-history.md, "Where the time goes").
  */
 const PREEMPTED_AFTER_HEARTBEATS = 1.5;
 /** A zone is live while the latest heartbeat of any of its machines is no older than this many intervals. */
 const LIVE_ZONE_HEARTBEATS = 1.5;
 /**
  * A zone that is live again is given this many times the unreachable time for
- * its agents to come back one after the other (docs/design.md, "Standing still").
+ * its agents to come back one after the other (docs/design.md, "Paused processes").
  */
 const ZONE_RECOVERY_RATIO = 1.5;
 /** Agent leases that a machine is given while its whole zone is unreachable. */
@@ -93,7 +93,7 @@
    * round, after which its tasks have ended in any case. While the whole zone is
    * unreachable, nobody can have found a way yet: its machines are given as long
    * as new ones would take. When it is live again, its agents come back one
-   * after the other. docs/limits.md, "Tried without help", has a trial with more
+   * after the other. docs/limits-history.md, "Tried without help", has a trial with more
    * patience for a zone of which many are unreachable.
    */
   private isUnreachableForGood(
@@ -130,7 +130,7 @@
     );
   }
 
-  /** docs/limits.md, "Tried without help", has trials with less patience than the default. */
+  /** docs/limits-history.md, "Tried without help", has trials with less patience than the default. */
   private isIdleTooLong(machine: Machine, now: number): boolean {
     const idleMs = now - machine.idleSince;
     const patienceMs = usualBootMs(machine) * this.cluster.policy.idleBoots;
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -19,7 +19,7 @@
 import { type MachineTermination, ScaleInPlanner } from './scale-in.js';
 
 /**
- * The most machines of one request (protocol; docs/limits.md, "What helped, in
+ * The most machines of one request (protocol; docs/limits-history.md, "What helped, in
  * the order of its size").
  */
 const MAX_MACHINES_PER_REQUEST = 50;
