--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -6,7 +6,7 @@
 import { waitWhileLagging } from '../../runtime/clock.js';
 import { takePendingCommands } from '../../scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
-import type { Machine, TaskAttempt } from '../../scheduler/state/machine.js';
+import type { Machine, TaskAttempt } from '../../scheduler/state/task-attempt.js';
 import type { ControllerContext } from '../context.js';
 import type { LeaderTerm } from '../election/leader-term.js';
 
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -1,6 +1,6 @@
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
-import type { Job } from '../../scheduler/state/job.js';
+import type { Job } from '../../scheduler/state/task-attempt.js';
 import type { JobStore } from '../api/job-store.js';
 import type { ControllerContext } from '../context.js';
 
--- a/src/scheduler/persistence/durable-writes.ts
+++ b/src/scheduler/persistence/durable-writes.ts
@@ -6,8 +6,7 @@
 import { endedJobKey, liveJobKey, rosterKey } from '../../records/keys.js';
 import { encodeRosterPage } from '../../records/roster-record.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Job } from '../state/job.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
+import type { Job, Machine, TaskAttempt } from '../state/task-attempt.js';
 import type { PageWrite } from './roster.js';
 
 /** A piece of durable work; several share a transaction. */
--- a/src/scheduler/placement/assignment.ts
+++ b/src/scheduler/placement/assignment.ts
@@ -2,8 +2,7 @@
 import type { ResourceUsage } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Job } from '../state/job.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
+import type { Job, Machine, TaskAttempt } from '../state/task-attempt.js';
 import { remainingQuotaSlots, remainingZoneSlots } from './remaining-slots.js';
 import { consumeReservation } from './reservations.js';
 
--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -3,7 +3,7 @@
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { satisfiesConstraints } from '../state/constraints.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** A machine whose latest heartbeat is older than this many intervals gets no new tasks. */
 const RECENT_HEARTBEATS = 2;
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -6,7 +6,7 @@
 
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
+import type { Machine, TaskAttempt } from '../state/task-attempt.js';
 import { allowedStarts, assignTasks, type Placement } from './assignment.js';
 import { acceptsTasks, isFeasible } from './feasibility.js';
 import { applyPreemption, PreemptionPlanner } from './preemption.js';
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -8,7 +8,7 @@
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { satisfiesConstraints } from '../state/constraints.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
+import type { Machine, TaskAttempt } from '../state/task-attempt.js';
 import { addReservation } from './reservations.js';
 
 /**
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -3,7 +3,7 @@
 import { EPSILON, type ResourceUsage } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Job } from '../state/job.js';
+import type { Job } from '../state/task-attempt.js';
 
 /** Every accepted job, however large, starts within this, whatever fresher work could still meet (protocol). */
 const MAX_START_DELAY_MS = 240_000;
--- a/src/scheduler/placement/remaining-slots.ts
+++ b/src/scheduler/placement/remaining-slots.ts
@@ -2,7 +2,7 @@
 import { EPSILON, type ResourceUsage } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Job } from '../state/job.js';
+import type { Job } from '../state/task-attempt.js';
 
 const NO_USAGE: ResourceUsage = { cpus: 0, gpus: 0 };
 
--- a/src/scheduler/placement/reservations.ts
+++ b/src/scheduler/placement/reservations.ts
@@ -6,7 +6,8 @@
 
 import type { Batch } from '../state/batch.js';
 import { satisfiesConstraints } from '../state/constraints.js';
-import { type Machine, slotsOnType } from '../state/machine.js';
+import { slotsOnType } from '../state/machine-state.js';
+import type { Machine } from '../state/task-attempt.js';
 import { respectsReservation } from './feasibility.js';
 
 /** Reserves resources that are being freed on the machine for one more task of the batch. */
--- a/src/scheduler/placement/scoring.ts
+++ b/src/scheduler/placement/scoring.ts
@@ -3,7 +3,7 @@
 import type { SchedulerPolicy } from '../../model/policy.js';
 import { EPSILON } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** Scores machines by the operators' weights; what it is built from stays the same throughout a round. */
 export class MachineScorer {
--- a/src/scheduler/reconcile/agent-responsiveness.ts
+++ b/src/scheduler/reconcile/agent-responsiveness.ts
@@ -1,6 +1,7 @@
 /** Agents whose heartbeats arrive but which nothing that is sent to them reaches. */
-import type { Machine } from '../state/machine.js';
+
 import type { RoundTrigger } from '../state/round-trigger.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** Answers in a row whose starts show no effect before a machine counts as unresponsive. */
 const MAX_MISSED_ACKNOWLEDGEMENTS = 2;
--- a/src/scheduler/reconcile/failure-attribution.ts
+++ b/src/scheduler/reconcile/failure-attribution.ts
@@ -1,9 +1,8 @@
 /** Tells a machine on which several jobs fail from a job that fails on several machines. */
 import type { SchedulerPolicy, SchedulerTiming } from '../../model/policy.js';
 import type { DecisionLogger } from '../state/decision-log.js';
-import type { Job } from '../state/job.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
+import type { Job, Machine, TaskAttempt } from '../state/task-attempt.js';
 
 /** The back-off of a failing job doubles with each further machine, at most this often. */
 const MAX_BACKOFF_DOUBLINGS = 6;
--- a/src/scheduler/reconcile/heartbeat-reconciliation.ts
+++ b/src/scheduler/reconcile/heartbeat-reconciliation.ts
@@ -1,9 +1,9 @@
 /** Application of heartbeats to the cluster state: which are newer than what is known, and what they prove. */
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { DecisionLogger } from '../state/decision-log.js';
-import type { Machine } from '../state/machine.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
 import type { RoundTrigger } from '../state/round-trigger.js';
+import type { Machine } from '../state/task-attempt.js';
 import type { TaskAttempts } from '../state/task-attempts.js';
 import type { ZoneLivenessTracker } from '../state/zone-liveness.js';
 import type { AgentResponsiveness } from './agent-responsiveness.js';
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -3,7 +3,7 @@
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
 import type { ResourceUsage } from '../../model/resources.js';
 import { type MachineTraits, satisfiesConstraints } from '../state/constraints.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** Inherited machines of one type, zone and capacity kind. */
 interface InheritedPool {
--- a/src/scheduler/reconcile/machine-list-reconciliation.ts
+++ b/src/scheduler/reconcile/machine-list-reconciliation.ts
@@ -2,8 +2,8 @@
 import type { ListedMachine } from '../../model/machine.js';
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { DecisionLogger } from '../state/decision-log.js';
-import type { Machine } from '../state/machine.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** A heartbeat interval with its jitter: silence for longer shows that a heartbeat was missed. */
 const MISSED_HEARTBEATS = 1.5;
--- a/src/scheduler/reconcile/preemption-notices.ts
+++ b/src/scheduler/reconcile/preemption-notices.ts
@@ -1,7 +1,7 @@
 /** Preemption notices of spot machines: the machine is drained, and its tasks are saved or moved in time. */
 import type { DecisionLogger } from '../state/decision-log.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
+import type { Machine, TaskAttempt } from '../state/task-attempt.js';
 import type { TaskAttempts } from '../state/task-attempts.js';
 import type { WorkEstimates } from '../state/work-estimates.js';
 
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -5,8 +5,7 @@
 import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { TaskCommand } from '../../model/task-command.js';
-import type { Job } from '../state/job.js';
-import type { Machine, TaskAttempt } from '../state/machine.js';
+import type { Job, Machine, TaskAttempt } from '../state/task-attempt.js';
 
 /** Keeps the single line of an answer well below the protocol's 64 KiB. */
 const MAX_COMMANDS_PER_MESSAGE = 250;
--- a/src/scheduler/reconcile/task-exits.ts
+++ b/src/scheduler/reconcile/task-exits.ts
@@ -3,7 +3,7 @@
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { BitmapLayout } from '../../records/bitmap-layout.js';
 import { assertNever } from '../../runtime/assert-never.js';
-import type { TaskAttempt } from '../state/machine.js';
+import type { TaskAttempt } from '../state/task-attempt.js';
 import type { TaskAttempts } from '../state/task-attempts.js';
 import type { WorkEstimates } from '../state/work-estimates.js';
 import type { FailureAttribution } from './failure-attribution.js';
--- a/src/scheduler/reconcile/task-list-reconciliation.ts
+++ b/src/scheduler/reconcile/task-list-reconciliation.ts
@@ -1,7 +1,6 @@
 /** Brings the task attempts that are known of a machine in line with the list in its heartbeat. */
 import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
-import type { Job } from '../state/job.js';
-import { attemptKey, type Machine, type TaskAttempt } from '../state/machine.js';
+import { attemptKey, type Job, type Machine, type TaskAttempt } from '../state/task-attempt.js';
 import type { TaskAttempts } from '../state/task-attempts.js';
 import type { AgentResponsiveness } from './agent-responsiveness.js';
 import type { HeartbeatSource } from './heartbeat-source.js';
--- a/src/scheduler/reconcile/unknown-tasks.ts
+++ b/src/scheduler/reconcile/unknown-tasks.ts
@@ -1,7 +1,7 @@
 /** Tasks that machines list and that belong to no live job. */
 import type { TaskStatus } from '../../model/heartbeat.js';
 import type { ResourceUsage } from '../../model/resources.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 const NO_TASKS: readonly TaskStatus[] = [];
 
--- a/src/scheduler/scaling/boot-time.ts
+++ b/src/scheduler/scaling/boot-time.ts
@@ -1,6 +1,6 @@
 /** How long machines usually take to boot. */
 import type { MachineType } from '../../model/machine.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** A guess for a machine whose type is not known, in seconds. */
 const UNKNOWN_TYPE_BOOT_S = 60;
--- a/src/scheduler/scaling/capacity-backoff.ts
+++ b/src/scheduler/scaling/capacity-backoff.ts
@@ -1,7 +1,7 @@
 /** Pools of which the cloud had no capacity, and for how long they are not asked for. */
 import { machinePoolKey } from '../../model/machine.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /** The pause after a refusal doubles this often at most. */
 const MAX_BACKOFF_DOUBLINGS = 2;
--- a/src/scheduler/scaling/capacity.ts
+++ b/src/scheduler/scaling/capacity.ts
@@ -4,7 +4,8 @@
 import type { ResourceRequest } from '../../model/resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { satisfiesConstraints } from '../state/constraints.js';
-import { type Machine, slotsOnType } from '../state/machine.js';
+import { slotsOnType } from '../state/machine-state.js';
+import type { Machine } from '../state/task-attempt.js';
 import type { Demand } from './demand.js';
 
 /** Beyond this many times its usual boot time a machine may never come up: boots take up to one and a half times. */
--- a/src/scheduler/scaling/fleet-conditions.ts
+++ b/src/scheduler/scaling/fleet-conditions.ts
@@ -3,7 +3,7 @@
 import { hasPlaceableTasks } from '../placement/ready-queue.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { satisfiesConstraints } from '../state/constraints.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 
 /**
  * When more than this share of the machines, or of a zone, seems unresponsive or
--- a/src/scheduler/scaling/pool-options.ts
+++ b/src/scheduler/scaling/pool-options.ts
@@ -3,7 +3,7 @@
 import { canRunOnType } from '../../model/job-feasibility.js';
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
 import { satisfiesConstraints } from '../state/constraints.js';
-import { slotsOnType } from '../state/machine.js';
+import { slotsOnType } from '../state/machine-state.js';
 import type { CapacityBackoff } from './capacity-backoff.js';
 
 /** A pool that machines may be provisioned from. */
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -1,6 +1,7 @@
 /** Scale-in: which machines are to be terminated, and why. */
 import type { ClusterState } from '../state/cluster-state.js';
-import type { DrainReason, Machine } from '../state/machine.js';
+import type { DrainReason } from '../state/machine-state.js';
+import type { Machine } from '../state/task-attempt.js';
 import { usualBootMs } from './boot-time.js';
 import { type FleetConditions, fleetConditions } from './fleet-conditions.js';
 
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -2,7 +2,7 @@
 import type { DemandForecast } from '../../model/demand-forecast.js';
 import type { JobSpec } from '../../model/job.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Machine } from '../state/machine.js';
+import type { Machine } from '../state/task-attempt.js';
 import {
   type AvailableCapacity,
   allocate,
--- a/src/scheduler/state/batch.ts
+++ b/src/scheduler/state/batch.ts
@@ -1,6 +1,6 @@
 /** The unit of a placement round: ready tasks that are interchangeable. */
 import type { JobSpec } from '../../model/job.js';
-import type { Job } from './job.js';
+import type { Job } from './task-attempt.js';
 
 /** Ready tasks of the same image and resource request, in the order of the ready queue. */
 export interface Batch {
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -28,13 +28,13 @@
 } from './cluster-parts.js';
 import type { DecisionLogger } from './decision-log.js';
 import type { DependencyGraph } from './dependency-graph.js';
-import type { Job } from './job.js';
 import type { JobRegistry } from './job-registry.js';
 import type { LeaderLag } from './leader-lag.js';
-import type { DrainReason, Machine, TaskAttempt } from './machine.js';
 import type { MachineRegistry } from './machine-registry.js';
+import type { DrainReason } from './machine-state.js';
 import type { QuotaUsage } from './quota-usage.js';
 import type { RoundTrigger } from './round-trigger.js';
+import type { Job, Machine, TaskAttempt } from './task-attempt.js';
 import type { TaskAttempts } from './task-attempts.js';
 import type { WorkEstimates } from './work-estimates.js';
 import type { ZoneLiveness, ZoneLivenessTracker } from './zone-liveness.js';
--- a/src/scheduler/state/constraints.ts
+++ b/src/scheduler/state/constraints.ts
@@ -1,6 +1,6 @@
 /** Placement constraints of a job that depend on a machine's fixed traits alone. */
 import type { JobSpec } from '../../model/job.js';
-import type { Machine } from './machine.js';
+import type { Machine } from './task-attempt.js';
 
 /** What the constraints of a job look at in a machine. */
 export type MachineTraits = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
--- a/src/scheduler/state/decision-log.ts
+++ b/src/scheduler/state/decision-log.ts
@@ -1,5 +1,5 @@
 /** The log of the scheduler's larger decisions: why work or capacity was moved. */
-import type { DrainReason } from './machine.js';
+import type { DrainReason } from './machine-state.js';
 
 /** Each decision that is logged, by its log message, with the fields of its line. */
 export interface DecisionFields {
--- a/src/scheduler/state/job-registry.ts
+++ b/src/scheduler/state/job-registry.ts
@@ -7,8 +7,8 @@
 } from '../../model/job.js';
 import type { BitmapLayout } from '../../records/bitmap-layout.js';
 import { DependencyGraph } from './dependency-graph.js';
-import { Job } from './job.js';
 import type { RoundTrigger } from './round-trigger.js';
+import { Job } from './task-attempt.js';
 import type { TaskAttempts } from './task-attempts.js';
 import type { WorkEstimates } from './work-estimates.js';
 
--- a/src/scheduler/state/leader-lag.ts
+++ b/src/scheduler/state/leader-lag.ts
@@ -1,6 +1,6 @@
 /** The leader's own event-loop lag, which must not be taken for the machines' silence. */
 import type { SchedulerTiming } from '../../model/policy.js';
-import type { Machine } from './machine.js';
+import type { Machine } from './task-attempt.js';
 
 /** The leader counts as lagging for this part of a heartbeat interval after it was last late. */
 const LAGGING_HEARTBEATS = 0.25;
--- a/src/scheduler/state/machine-registry.ts
+++ b/src/scheduler/state/machine-registry.ts
@@ -6,8 +6,9 @@
 import type { MachineTombstones } from '../reconcile/machine-tombstones.js';
 import type { UnknownTasks } from '../reconcile/unknown-tasks.js';
 import type { DecisionLogger } from './decision-log.js';
-import { type DrainReason, Machine } from './machine.js';
+import type { DrainReason } from './machine-state.js';
 import type { RoundTrigger } from './round-trigger.js';
+import { Machine } from './task-attempt.js';
 import type { TaskAttempts } from './task-attempts.js';
 
 /** What is known of a machine when it is registered. */
--- a/src/scheduler/state/task-attempts.ts
+++ b/src/scheduler/state/task-attempts.ts
@@ -1,10 +1,9 @@
 /** Creation and end of task attempts, with all that is counted by them. */
 import type { TaskStatus } from '../../model/heartbeat.js';
 import { isUnsent } from '../reconcile/task-commands.js';
-import type { Job } from './job.js';
-import { attemptKey, type Machine, type TaskAttempt } from './machine.js';
 import type { QuotaUsage } from './quota-usage.js';
 import type { RoundTrigger } from './round-trigger.js';
+import { attemptKey, type Job, type Machine, type TaskAttempt } from './task-attempt.js';
 
 /** Attempt numbers rise across leaders: the leader term is the high part. */
 const ATTEMPTS_PER_TERM = 2 ** 28;
--- a/src/scheduler/state/work-estimates.ts
+++ b/src/scheduler/state/work-estimates.ts
@@ -1,103 +1,160 @@
+/**
+ * How long work is expected to take, corrected by what was seen, and what
+ * leaving it to wait would cost against the service-level objectives.
+ */
+
 import type { JobSpec } from '../../model/job.js';
-import type { ServiceObjectives } from '../../model/policy.js';
+import type { ClassObjectives, ServiceObjectives } from '../../model/policy.js';
 import { EPSILON } from '../../model/resources.js';
-import type { Job } from './job.js';
-import type { TaskAttempt } from './machine.js';
+import type { JobState } from './job-state.js';
+import type { TaskAttempt } from './task-attempt.js';
 
-/** How near its latest start makes work pressing, in lengths of its tasks: in that time most of all room comes free. */
-const URGENCY_HORIZON = 1.5;
-/** The longest task of an array, and the owner's estimate being off, in estimates. */
+/**
+ * Look-ahead, in estimates of a task: an objective's pressure falls to 1/e
+ * when the latest start is this much further away. In that time most of all
+ * capacity comes free. Measured in docs/limits.md, "look-ahead and longest
+ * task of one and a half estimates".
+ */
+const LOOK_AHEAD = 1.5;
+/** The longest task of an array, with estimates that are off, in estimates; measured in the same row. */
 const LONGEST_TASK_RATIO = 1.5;
-/** What an arrival adds to the mean size of its class's jobs. */
+/** Weight of a new job in the mean number of tasks of its class's jobs. */
 const JOB_SIZE_LEARNING_RATE = 0.05;
+/** Weight of a completed task in its class's ratio of actual to estimated duration. */
+const DURATION_LEARNING_RATE = 0.05;
+/** Bounds of that ratio for a single task, so that one extreme figure moves the class little. */
+const MIN_DURATION_RATIO = 0.2;
+const MAX_DURATION_RATIO = 5;
+/** The least duration that is expected of any task, in seconds: costs are divided by it. */
+const MIN_ESTIMATE_S = 0.5;
+/** A task that has outrun its estimate is expected to need this part of it more. */
+const OVERRUN_REMAINDER = 0.2;
 
-/**
- * How long work is expected to take, corrected by what was seen, and what
- * leaving it to wait would cost against the aims of its class.
- */
+/** Expected durations and the cost of waiting, with what has been learned of each class in this term. */
 export class WorkEstimates {
-  /** How far owners' estimates are off, by class: actual over estimated. */
+  /** By class: actual over estimated duration of its tasks. */
   private readonly durationRatios = new Map<string, number>();
-  /** Tasks of a job on average, by class. */
+  /** By class: number of tasks of a job on average. */
   private readonly meanJobSizes = new Map<string, number>();
 
   constructor(private readonly objectives: ServiceObjectives) {}
 
-  /** A job has arrived. */
+  /** A job has arrived: its size corrects the mean of its class. */
   recordArrival(spec: JobSpec): void {
-    const size = this.meanJobSizes.get(spec.jobClass) ?? spec.tasks;
-    this.meanJobSizes.set(spec.jobClass, size + (spec.tasks - size) * JOB_SIZE_LEARNING_RATE);
+    const mean = this.meanJobSizes.get(spec.jobClass) ?? spec.tasks;
+    this.meanJobSizes.set(spec.jobClass, mean + (spec.tasks - mean) * JOB_SIZE_LEARNING_RATE);
+  }
+
+  /** A task has completed: how long it ran corrects the estimates of its class. */
+  recordDuration(attempt: TaskAttempt, now: number): void {
+    const { spec } = attempt.job;
+    if (attempt.runningSince === null || spec.estimatedDurationS <= 0) return;
+    const ratio = (now - attempt.runningSince) / 1000 / spec.estimatedDurationS;
+    const bounded = Math.min(MAX_DURATION_RATIO, Math.max(MIN_DURATION_RATIO, ratio));
+    const mean = this.durationRatios.get(spec.jobClass) ?? 1;
+    this.durationRatios.set(spec.jobClass, mean + (bounded - mean) * DURATION_LEARNING_RATE);
+  }
+
+  /** Seconds that a task of the job is expected to run: the owner's estimate, corrected by its class. */
+  estimateS(spec: JobSpec): number {
+    const ratio = this.durationRatios.get(spec.jobClass) ?? 1;
+    return Math.max(MIN_ESTIMATE_S, spec.estimatedDurationS * ratio);
   }
 
-  /** Seconds that the longest task of the job is expected to take. */
-  longestTaskS(job: Job): number {
+  /** Seconds that the longest task of the job is expected to run. */
+  longestTaskS(job: JobState): number {
     return this.estimateS(job.spec) * LONGEST_TASK_RATIO;
   }
 
-  /** The shortest wait that the class's aims allow; null when none of them is about waiting. */
+  /** Seconds that the attempt is expected to run on. */
+  remainingS(attempt: TaskAttempt, now: number): number {
+    const estimateS = this.estimateS(attempt.job.spec);
+    if (attempt.runningSince === null) return estimateS;
+    const ranS = (now - attempt.runningSince) / 1000;
+    return Math.max(estimateS - ranS, estimateS * OVERRUN_REMAINDER);
+  }
+
+  /** The shortest wait that the class's objectives allow, in seconds; null when none of them is about waiting. */
   startObjectiveS(jobClass: string): number | null {
-    const waits = this.objectives.classes.get(jobClass)?.startWithinS ?? [];
-    return waits.length > 0 ? Math.min(...waits) : null;
+    const limits = this.objectives.classes.get(jobClass)?.startWithinS ?? [];
+    return limits.length > 0 ? Math.min(...limits) : null;
   }
 
   /**
-   * What leaving the job to wait is about to cost, for each CPU second that it
-   * needs. Each of its class's aims that it can still meet counts, and the
-   * more the nearer the latest start for it; what it can't meet any more
-   * costs nothing. Aims on waiting count tasks, the others whole jobs.
+   * What leaving the job to wait is about to cost, for each CPU second that
+   * its ready tasks need: objectives missed per CPU second.
+   *
+   *     cost = (J + S * ready / meanJobSize) / (ready * cpus * estimateS)
+   *
+   * J is the pressure of the objectives on the whole job, S that of the
+   * objectives on the start of its tasks, which count tasks and not jobs. The
+   * pressure of an objective is exp(-slackS / (LOOK_AHEAD * estimateS)): 1 at
+   * the latest start for it, less the further away that is, and 0 once it
+   * can't be met any more, so that work which is late anyway goes last.
    */
-  waitingCost(job: Job, wallNow: number): number {
-    const { spec, readyCount: ready } = job;
-    const aims = this.objectives.classes.get(spec.jobClass);
-    if (!aims && !job.effectiveDeadline) return 0;
-    const age = (wallNow - job.eligibleAt) / 1000;
-    const estimate = this.estimateS(spec);
-    const longest = estimate * LONGEST_TASK_RATIO;
-    const near = (leftS: number) =>
-      leftS >= 0 ? Math.exp(-leftS / (estimate * URGENCY_HORIZON)) : 0;
-    let whole = 0;
-    for (const s of aims?.finishWithinS ?? []) whole += near(s - longest - age);
-    for (const leftS of this.deadlinesLeftS(job, wallNow)) whole += near(leftS - longest);
-    let tasks = 0;
-    for (const s of aims?.startWithinS ?? []) tasks += near(s - age);
-    const usual = this.meanJobSizes.get(spec.jobClass) ?? spec.tasks;
-    return (whole + (tasks * ready) / usual) / Math.max(EPSILON, ready * spec.cpus * estimate);
+  waitingCost(job: JobState, wallNow: number): number {
+    const { spec, readyCount } = job;
+    const objectives = this.objectives.classes.get(spec.jobClass);
+    if (!objectives && !job.effectiveDeadline) return 0;
+    const estimateS = this.estimateS(spec);
+    const jobs = this.jobPressure(job, objectives, estimateS, wallNow);
+    const starts = startPressure(job, objectives, estimateS, wallNow);
+    const meanJobSize = this.meanJobSizes.get(spec.jobClass) ?? spec.tasks;
+    const cpuSeconds = Math.max(EPSILON, readyCount * spec.cpus * estimateS);
+    return (jobs + (starts * readyCount) / meanJobSize) / cpuSeconds;
+  }
+
+  /** Pressure of the objectives on the end of the job, and on that of the job whose deadline it inherits. */
+  private jobPressure(
+    job: JobState,
+    objectives: ClassObjectives | undefined,
+    estimateS: number,
+    wallNow: number,
+  ): number {
+    const ageS = waitingS(job, wallNow);
+    const longestS = estimateS * LONGEST_TASK_RATIO;
+    let sum = 0;
+    for (const limitS of objectives?.finishWithinS ?? [])
+      sum += pressure(limitS - longestS - ageS, estimateS);
+    for (const leftS of this.deadlinesLeftS(job, wallNow))
+      sum += pressure(leftS - longestS, estimateS);
+    return sum;
   }
 
   /**
-   * Seconds until the job has to be done for each aim on deadlines of the job
-   * that it serves, its own or the last of its pipeline. Deadlines count from
-   * that job's submission, however long it waits for others.
+   * Seconds until the job has to be done, for each objective on deadlines of
+   * the job whose deadline it has, its own or one that depends on it. Deadlines
+   * count from that job's submission, however long it waits for others.
    */
-  private deadlinesLeftS(job: Job, wallNow: number): number[] {
+  private deadlinesLeftS(job: JobState, wallNow: number): number[] {
     if (!job.effectiveDeadline) return [];
-    const { job: last, remainingPathS: restS } = job.effectiveDeadline;
-    const deadlineS = last.spec.deadlineS ?? Number.POSITIVE_INFINITY;
-    const age = (wallNow - last.acceptedAt) / 1000;
-    const aims = this.objectives.classes.get(last.spec.jobClass);
-    return (aims?.deadlineMultiples ?? []).map((times) => deadlineS * times - restS - age);
+    const { job: owner, remainingPathS } = job.effectiveDeadline;
+    const deadlineS = owner.spec.deadlineS ?? Number.POSITIVE_INFINITY;
+    const ageS = (wallNow - owner.acceptedAt) / 1000;
+    const multiples = this.objectives.classes.get(owner.spec.jobClass)?.deadlineMultiples ?? [];
+    return multiples.map((multiple) => deadlineS * multiple - remainingPathS - ageS);
   }
+}
 
-  estimateS(spec: JobSpec): number {
-    return Math.max(0.5, spec.estimatedDurationS * (this.durationRatios.get(spec.jobClass) ?? 1));
-  }
+/** Pressure of the objectives on the start of the job's tasks. */
+function startPressure(
+  job: JobState,
+  objectives: ClassObjectives | undefined,
+  estimateS: number,
+  wallNow: number,
+): number {
+  const ageS = waitingS(job, wallNow);
+  let sum = 0;
+  for (const limitS of objectives?.startWithinS ?? []) sum += pressure(limitS - ageS, estimateS);
+  return sum;
+}
 
-  remainingS(attempt: TaskAttempt, now: number): number {
-    const estimate = this.estimateS(attempt.job.spec);
-    if (attempt.runningSince === null) return estimate;
-    // A task that has outrun its estimate is expected to need a part of it more.
-    return Math.max(estimate - (now - attempt.runningSince) / 1000, estimate * 0.2);
-  }
+/** Seconds since the job could have started. */
+function waitingS(job: JobState, wallNow: number): number {
+  return (wallNow - job.eligibleAt) / 1000;
+}
 
-  /** A task has completed: how long it ran corrects the estimates of its class. */
-  recordDuration(attempt: TaskAttempt, now: number): void {
-    const spec = attempt.job.spec;
-    if (attempt.runningSince === null || spec.estimatedDurationS <= 0) return;
-    const seen = Math.min(
-      5,
-      Math.max(0.2, (now - attempt.runningSince) / 1000 / spec.estimatedDurationS),
-    );
-    const old = this.durationRatios.get(spec.jobClass) ?? 1;
-    this.durationRatios.set(spec.jobClass, old + (seen - old) * 0.05);
-  }
+/** Pressure of one objective, from 0 to 1; `slackS` are the seconds until the latest start that meets it. */
+function pressure(slackS: number, estimateS: number): number {
+  return slackS >= 0 ? Math.exp(-slackS / (estimateS * LOOK_AHEAD)) : 0;
 }
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -14,7 +14,7 @@
 import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
 import { satisfiesConstraints } from '../src/scheduler/state/constraints.js';
-import type { Machine, TaskAttempt } from '../src/scheduler/state/machine.js';
+import type { Machine, TaskAttempt } from '../src/scheduler/state/task-attempt.js';
 import { createCluster, jobSpec, ScriptedAgent, teamQuota } from './support/scheduler.js';
 
 const LIMIT = 24;
--- a/test/job-graph.test.ts
+++ b/test/job-graph.test.ts
@@ -7,7 +7,7 @@
 import { takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
-import type { Job } from '../src/scheduler/state/job.js';
+import type { Job } from '../src/scheduler/state/task-attempt.js';
 import { createCluster, jobSpec, joinCluster, ScriptedAgent } from './support/scheduler.js';
 
 function id(n: number): string {
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -7,7 +7,7 @@
 import { addReservation } from '../src/scheduler/placement/reservations.js';
 import type { Batch } from '../src/scheduler/state/batch.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
-import type { Machine } from '../src/scheduler/state/machine.js';
+import type { Machine } from '../src/scheduler/state/task-attempt.js';
 import {
   createCluster,
   jobSpec,
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -13,7 +13,7 @@
 import { MachineTombstones } from '../src/scheduler/reconcile/machine-tombstones.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
-import type { Machine } from '../src/scheduler/state/machine.js';
+import type { Machine } from '../src/scheduler/state/task-attempt.js';
 import { FakeClock, settle } from './support/clock.js';
 import { createContext } from './support/context.js';
 import { WITHOUT_LEADER } from './support/job-api.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -15,7 +15,7 @@
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
-import { Job } from '../src/scheduler/state/job.js';
+import { Job } from '../src/scheduler/state/task-attempt.js';
 import { FakeClock, settle } from './support/clock.js';
 import { createContext } from './support/context.js';
 import {
