--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -1,11 +1,9 @@
 import { RequestRefusedError, RequestRejectedError } from '../../clients/key-value-store.js';
 import { AbortedError } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
-import {
-  chunksOfUnknownVersion,
-  type DurableWrite,
-  pendingWrites,
-} from '../../scheduler/persistence/durable-writes.js';
+import { chunksOfUnknownVersion } from '../../scheduler/persistence/bitmap-chunk-write.js';
+import type { DurableWrite } from '../../scheduler/persistence/durable-write.js';
+import { pendingWrites } from '../../scheduler/persistence/pending-writes.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { ControllerContext } from '../context.js';
 import { LEADER_KEY } from '../election/leader-key.js';
--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -5,11 +5,9 @@
 import type { Heartbeat } from '../src/model/heartbeat.js';
 import type { RosterEntry } from '../src/model/machine.js';
 import type { TaskCommand } from '../src/model/task-command.js';
-import {
-  chunksOfUnknownVersion,
-  type DurableWrite,
-  pendingWrites,
-} from '../src/scheduler/persistence/durable-writes.js';
+import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import type { DurableWrite } from '../src/scheduler/persistence/durable-write.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
--- a/test/job-graph.test.ts
+++ b/test/job-graph.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { pendingWrites } from '../src/scheduler/persistence/durable-writes.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -11,7 +11,7 @@
 import type { LiveJobRecord } from '../src/records/job-record.js';
 import { liveJobKey } from '../src/records/keys.js';
 import { RequestPriority } from '../src/runtime/request-budget.js';
-import { pendingWrites } from '../src/scheduler/persistence/durable-writes.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
 import { WITHOUT_LEADER } from './support/job-api.js';
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,9 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  chunksOfUnknownVersion,
-  pendingWrites,
-} from '../src/scheduler/persistence/durable-writes.js';
+import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import {
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -357,11 +357,11 @@
   assert.ok(first && second);
   first.applied(10);
   // It was refused, so the same page takes its machine and the next one.
-  second.dropped();
+  second.notApplied();
   const [again] = r.add([4, 5].map(entry));
   assert.deepEqual([again?.version, again?.entries.length], [0, 2]);
   // No answer: whatever comes of it, this page is not written again while it holds anybody.
-  again?.unknown();
+  again?.outcomeUnknown();
   const [other] = r.add([4, 5].map(entry));
   assert.notEqual(other?.key, again?.key);
   other?.applied(12);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -11,7 +11,7 @@
 import { fencingToken, truncateCommands } from '../src/protocol/agent-protocol.js';
 import { BitmapLayout } from '../src/records/bitmap-layout.js';
 import { decodeJobSpec } from '../src/records/job-record.js';
-import { pendingWrites } from '../src/scheduler/persistence/durable-writes.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
@@ -227,7 +227,7 @@
   const moves = roster.rewriteStalePages(9);
   assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.key !== '3-1'));
   // No answer: what stands there is not known, so both pages keep them.
-  for (const pageWrite of moves) pageWrite.unknown();
+  for (const pageWrite of moves) pageWrite.outcomeUnknown();
   for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.key, '3-1');
 });
 
