--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -17,13 +17,17 @@
   decodeDependencyListHeader,
   decodeJobIds,
   encodeDependencyListHeader,
+  encodeHeaderInRemoval,
   encodeJobIds,
-  encodeRemoval,
 } from '../../records/dependency-list-record.js';
 import type { DependencyListRef } from '../../records/job-record.js';
 import { listHeaderKey, listPageKey, listPagesPrefix, liveJobKey } from '../../records/keys.js';
-import { mapObject } from '../../records/stored-form.js';
-import { paged, TRANSACTION_BYTES, valueRoom } from '../../records/value-sizes.js';
+import { mapIfObject } from '../../records/stored-form.js';
+import {
+  splitIntoPages,
+  TRANSACTION_BYTES,
+  valueCapacityBytes,
+} from '../../records/value-sizes.js';
 import type { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 
@@ -67,8 +71,8 @@
     priority: RequestPriority,
   ): Promise<StoredDependencyList> {
     const { state, limits } = this.ctx;
-    const room = valueRoom(limits);
-    const pages = paged([...ids].sort(), room, room);
+    const room = valueCapacityBytes(limits);
+    const pages = splitIntoPages([...ids].sort(), room, room);
     const token = contentHash(pages);
     const condition = await this.openHeader(jobId, token, pages.length, priority);
     const written = await readPrefix(state, listPagesPrefix(jobId, token), priority);
@@ -119,7 +123,7 @@
           { key, version },
           { key: liveJobKey(jobId), version: 0 },
         ],
-        [{ op: 'put', key, value: encodeRemoval(header) }],
+        [{ op: 'put', key, value: encodeHeaderInRemoval(header) }],
         priority,
         signal,
       );
@@ -147,7 +151,7 @@
     const { state } = this.ctx;
     const key = listHeaderKey(jobId, token);
     const found = await state.get(key, priority);
-    if (found && !mapObject(found.value, decodeDependencyListHeader).removing)
+    if (found && !mapIfObject(found.value, decodeDependencyListHeader).removing)
       return { key, version: found.version };
     const value = encodeDependencyListHeader({ pages });
     const written = await state.transact(
--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -11,7 +11,7 @@
 import type { EndedJobRecord } from '../../records/job-end-record.js';
 import { decodeLiveJob, type LiveJobRecord } from '../../records/job-record.js';
 import { LIVE_JOB_PREFIX } from '../../records/keys.js';
-import { mapObject } from '../../records/stored-form.js';
+import { mapIfObject } from '../../records/stored-form.js';
 import type { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 import { hasInlineDependencies, type JobStore } from './job-store.js';
@@ -68,7 +68,7 @@
     const entries = await readPrefix(ctx.state, LIVE_JOB_PREFIX, priority);
     const records = new Map<string, LiveJobRecord>();
     for (const entry of entries)
-      records.set(entry.key.slice(LIVE_JOB_PREFIX.length), mapObject(entry.value, decodeLiveJob));
+      records.set(entry.key.slice(LIVE_JOB_PREFIX.length), mapIfObject(entry.value, decodeLiveJob));
     const knownLists: JobIdLists = previous?.contents.separateLists ?? new Map();
     const separateLists = await readSeparateLists(store, records, knownLists, priority);
     const dependencies: JobIdLists = new Map();
--- a/src/controller/api/job-creation.ts
+++ b/src/controller/api/job-creation.ts
@@ -7,7 +7,12 @@
 import { encodeJobIds } from '../../records/dependency-list-record.js';
 import { encodeLiveJob, type LiveJobRecord } from '../../records/job-record.js';
 import { dependencyPageKey, liveJobKey } from '../../records/keys.js';
-import { bytesOf, paged, TRANSACTION_BYTES, valueRoom } from '../../records/value-sizes.js';
+import {
+  splitIntoPages,
+  storedBytes,
+  TRANSACTION_BYTES,
+  valueCapacityBytes,
+} from '../../records/value-sizes.js';
 
 /** A value of the state service can't hold the job's description. */
 export class JobTooLargeError extends Error {}
@@ -39,7 +44,7 @@
   limits: Pick<StateLimits, 'valueBytes' | 'changes'>,
 ): Change[] | null {
   const { id } = record.spec;
-  const room = valueRoom(limits);
+  const room = valueCapacityBytes(limits);
   // The largest form of the record besides the ids themselves.
   const base: LiveJobRecord =
     pending.length === 0
@@ -49,10 +54,10 @@
           dependencies: [dependencyListPlaceholder(id)],
           dependencyPages: limits.changes,
         };
-  const baseBytes = bytesOf(encodeLiveJob(base));
+  const baseBytes = storedBytes(encodeLiveJob(base));
   if (baseBytes > room)
     throw new JobTooLargeError(`job ${id} takes ${baseBytes} of ${Math.floor(room)} bytes`);
-  const [inline = [], ...pages] = paged(pending, room - baseBytes, room);
+  const [inline = [], ...pages] = splitIntoPages(pending, room - baseBytes, room);
   if (pages.length + 1 > limits.changes) return null;
   if (pages.length * room > TRANSACTION_BYTES - room) return null;
   const value: LiveJobRecord = {
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -29,7 +29,7 @@
   LIVE_JOB_PREFIX,
   liveJobKey,
 } from '../../records/keys.js';
-import { mapObject } from '../../records/stored-form.js';
+import { mapIfObject } from '../../records/stored-form.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 import { DependencyLists } from './dependency-lists.js';
@@ -221,11 +221,11 @@
 }
 
 function liveJob(entry: Entry): LiveJob {
-  return { live: true, record: mapObject(entry.value, decodeLiveJob), version: entry.version };
+  return { live: true, record: mapIfObject(entry.value, decodeLiveJob), version: entry.version };
 }
 
 function endedJob(entry: Entry): EndedJob {
-  return { live: false, record: mapObject(entry.value, decodeJobEnd), version: entry.version };
+  return { live: false, record: mapIfObject(entry.value, decodeJobEnd), version: entry.version };
 }
 
 /** The conditions under which no job with this id was ever accepted. */
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -1,7 +1,7 @@
 import { readPrefix } from '../../clients/key-ranges.js';
 import { decodeDependencyListHeader } from '../../records/dependency-list-record.js';
 import { LIST_HEADER_PREFIX } from '../../records/keys.js';
-import { mapObject } from '../../records/stored-form.js';
+import { mapIfObject } from '../../records/stored-form.js';
 import { sleepUntilAborted } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import { DependencyLists } from '../api/dependency-lists.js';
@@ -52,7 +52,7 @@
       const since = this.orphanSince.get(key);
       if (since === undefined) this.orphanSince.set(key, now);
       else if (now - since >= timing.orphanListMs) {
-        const header = mapObject(value, decodeDependencyListHeader);
+        const header = mapIfObject(value, decodeDependencyListHeader);
         const list = { jobId: job, token, version, header };
         await this.lists.remove(list, RequestPriority.progress, signal);
       }
--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -3,12 +3,12 @@
 import type { PeerStatus } from '../../records/peer-frames.js';
 import {
   type CancellationNotice,
-  decodeCancellation,
-  decodeRequest,
-  encodeReply,
+  decodeCancellationNotice,
+  decodeForwardedRequest,
+  encodeForwardedReply,
   type ForwardedRequest,
 } from '../../records/peer-requests.js';
-import { mapObject } from '../../records/stored-form.js';
+import { mapIfObject } from '../../records/stored-form.js';
 import { PeerProtocolError } from './peer-errors.js';
 
 /** Names of operations as they are sent; the payload of each is in records/peer-requests. */
@@ -48,15 +48,20 @@
 ): Promise<unknown> {
   switch (operation) {
     case PEER_OPERATIONS.handleHeartbeat:
-      return encodeReply(await handlers.handleHeartbeat(Buffer.from(payload as Uint8Array)));
+      return encodeForwardedReply(
+        await handlers.handleHeartbeat(Buffer.from(payload as Uint8Array)),
+      );
     case PEER_OPERATIONS.announceCancellation: {
-      const { job, revision }: CancellationNotice = mapObject(payload, decodeCancellation);
+      const { job, revision }: CancellationNotice = mapIfObject(payload, decodeCancellationNotice);
       handlers.announceCancellation(job, revision);
       return null;
     }
     case PEER_OPERATIONS.serveUser: {
-      const { method, target, body }: ForwardedRequest = mapObject(payload, decodeRequest);
-      return encodeReply(await handlers.serveUser(method, target, Buffer.from(body)));
+      const { method, target, body }: ForwardedRequest = mapIfObject(
+        payload,
+        decodeForwardedRequest,
+      );
+      return encodeForwardedReply(await handlers.serveUser(method, target, Buffer.from(body)));
     }
     default:
       throw new PeerProtocolError(`unknown operation ${operation}`);
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -5,12 +5,12 @@
 import { truncateCommands } from '../../protocol/agent-protocol.js';
 import type { PeerStatus } from '../../records/peer-frames.js';
 import {
-  decodeReply,
-  encodeCancellation,
-  encodeReply,
-  encodeRequest,
+  decodeForwardedReply,
+  encodeCancellationNotice,
+  encodeForwardedReply,
+  encodeForwardedRequest,
 } from '../../records/peer-requests.js';
-import { mapObject } from '../../records/stored-form.js';
+import { mapIfObject } from '../../records/stored-form.js';
 import { sleepUntilAborted } from '../../runtime/clock.js';
 import type { ControllerContext } from '../context.js';
 import { Mailbox } from '../heartbeats/mailbox.js';
@@ -62,7 +62,7 @@
   const mailbox = new Mailbox(ctx, async (text) => {
     const reply = await handlers.handleHeartbeat(Buffer.from(text));
     const body = truncateCommands(reply.body, limits.valueBytes * MAILBOX_VALUE_SHARE);
-    return encodeReply({ ...reply, body });
+    return encodeForwardedReply({ ...reply, body });
   });
   const peers = new Peers(ctx, handlers, { network, mailbox, statuses });
   return peers;
@@ -119,7 +119,7 @@
    * @throws PeerUnavailableError without a response in time; PeerProtocolError when it is no reply.
    */
   async forwardRequest(node: string, method: string, target: string, body: Buffer): Promise<Reply> {
-    const payload = encodeRequest({ method, target, body });
+    const payload = encodeForwardedRequest({ method, target, body });
     const timeoutMs = this.ctx.timing.stateTimeoutMs * FORWARD_TIMEOUTS;
     return replyOf(await this.network.request(node, PEER_OPERATIONS.serveUser, payload, timeoutMs));
   }
@@ -172,7 +172,7 @@
    */
   async announceCancellation(job: string, revision: number): Promise<void> {
     const { platform, timing } = this.ctx;
-    const notice = encodeCancellation({ job, revision });
+    const notice = encodeCancellationNotice({ job, revision });
     const reachable = platform.peers.filter((peer) => this.statuses.isReachable(peer.node));
     const timeoutMs = timing.stateTimeoutMs * ANNOUNCE_TIMEOUTS;
     await Promise.allSettled(
@@ -191,7 +191,7 @@
 }
 
 function replyOf(payload: unknown): Reply {
-  const reply: Reply = mapObject(payload, decodeReply);
+  const reply: Reply = mapIfObject(payload, decodeForwardedReply);
   if (typeof reply?.status !== 'number') throw new PeerProtocolError('response is no reply');
   return reply;
 }
--- a/src/model/heartbeat.ts
+++ b/src/model/heartbeat.ts
@@ -1,4 +1,4 @@
-/** What agents report of their machine and its tasks. */
+/** Heartbeats: what agents report of their machine and its tasks. */
 
 /** State of a task on its machine. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
@@ -14,22 +14,22 @@
   state: TaskState;
   /** Null until it has exited. */
   cause: ExitCause | null;
-  /** A checkpoint of it is kept. */
+  /** A checkpoint of it has been saved. */
   saved: boolean;
 }
 
-/** A heartbeat: the machine and the whole list of the tasks that it knows. */
+/** A heartbeat: the machine, and the whole list of the task attempts that its agent knows. */
 export interface Heartbeat {
   machineId: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Counts up each time the agent's lease ran out or its machine restarted: nothing of an earlier one runs. */
+  /** Rises each time the agent's lease runs out or its machine restarts: no task of an earlier epoch runs. */
   agentEpoch: number;
-  /** Counts up with each heartbeat of an epoch. */
+  /** Rises with each heartbeat of an epoch. */
   sequence: number;
-  /** The highest fencing token that the agent has seen: a leader's term and, within it, the machine's fence. */
+  /** The highest fencing token that the agent has seen: a leader term and, within it, the machine's fence. */
   term: number;
   fence: number;
   /** Seconds until the cloud takes the spot machine back; null: no notice. */
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,4 +1,4 @@
-/** Jobs as users describe them: arrays of like tasks. */
+/** Jobs as users describe them: arrays of tasks of the same kind. */
 
 /** Names of the priorities, the highest first. */
 export const PRIORITIES = ['critical', 'urgent', 'standard', 'low'] as const;
@@ -6,7 +6,7 @@
 /** Index into PRIORITIES: a smaller number is a higher priority. */
 export type JobPriority = number;
 
-/** What a user asks for, checked at the edge. It never changes once the job is accepted. */
+/** What a user asks for, checked when it is submitted. It never changes once the job is accepted. */
 export interface JobSpec {
   id: string;
   /** The kind of work, by which service-level objectives and estimates are kept. */
@@ -44,16 +44,17 @@
 /** How a job ended, as its durable record says. */
 export interface JobEnd {
   state: 'done' | 'cancelled';
-  /** Time of day of the end; null: its record is from a version that did not keep it. */
+  /** Time of day of the end, in milliseconds; null: its record has none, as for cancellations. */
   at: number | null;
 }
 
-/** What a job depends on, as its record tells. */
+/** What a job depends on, as its record says. */
 export interface DependencyList {
+  /** Ids of jobs that were not done when this one was accepted. */
   ids: readonly string[];
-  /** There are more than these, which have to be read. */
+  /** There are more ids, in records that have to be read first. */
   unread: boolean;
-  /** Keys of the state service that are removed with the job. */
+  /** Keys of the state service that are deleted when the job ends. */
   keys: readonly string[];
 }
 
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -6,12 +6,12 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Size of the cache for images. */
+  /** Size of the cache for images, in GB. */
   imageCacheGb: number;
   imagePullGbPerS: number;
-  /** Price of an ordinary machine for a unit of time. */
+  /** Price of an on-demand machine for a unit of time. */
   price: number;
-  /** The same for a spot machine, which the cloud may take back after a notice. */
+  /** The same for a spot machine, which the cloud may preempt after a notice. */
   spotPrice: number;
   /** Usual time from the request to the first heartbeat, in seconds. */
   bootS: number;
@@ -27,7 +27,7 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Seconds since it was asked for. */
+  /** Seconds since it was requested. */
   ageS: number;
 }
 
@@ -40,7 +40,7 @@
   address: string;
 }
 
-/** Names a pool of the cloud: machines of one type in one zone, ordinary or spot. */
+/** Names a pool of the cloud: machines of one type in one zone, on-demand or spot. */
 export function machinePoolKey(type: string, zone: string, spot: boolean): string {
   return `${type}|${zone}|${spot}`;
 }
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -1,9 +1,9 @@
-/** Amounts of resources, and the share of them that teams may use. */
+/** Amounts of resources, and teams' quotas. */
 
 /** Sums of decimal amounts are compared with this much slack. */
 export const EPSILON = 1e-6;
 
-/** What tasks take of a team's quota or of machines. */
+/** What tasks use of a team's quota or of machines. */
 export interface ResourceUsage {
   cpus: number;
   gpus: number;
@@ -16,13 +16,13 @@
   memoryGb: number;
 }
 
-/** A team's quota: what it is guaranteed, and the most that it may use at a time. */
+/** A team's quota: what it is guaranteed, and the maximum that it may use at a time. */
 export interface TeamQuota {
   name: string;
   guaranteedCpus: number;
   guaranteedGpus: number;
-  /** 0: no limit. */
+  /** 0: no maximum. */
   maxCpus: number;
-  /** 0: no limit. */
+  /** 0: no maximum. */
   maxGpus: number;
 }
--- a/src/model/task-command.ts
+++ b/src/model/task-command.ts
@@ -1,4 +1,4 @@
-/** What the leader tells an agent to do with one attempt of a task. */
+/** Commands of the leader to an agent, each for one task attempt. */
 
 /** An attempt of a task: attempts rise across leaders and are never used twice. */
 interface AttemptReference {
@@ -19,10 +19,10 @@
   graceS: number;
 }
 
-/** Forget the exited attempt: what it reported is durable. */
+/** Forget the exited attempt: what it reported is durable, or need not be. */
 export interface ForgetCommand extends AttemptReference {
   op: 'forget';
 }
 
-/** A command to an agent, in an answer to its heartbeat or sent directly. */
+/** A command to an agent, in the answer to its heartbeat or sent directly. */
 export type TaskCommand = StartCommand | StopCommand | ForgetCommand;
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -1,13 +1,18 @@
+/**
+ * The demand forecasts.
+ *
+ * Keys: `loads` with the first page, `loads/<page>` with further ones, from 1 on.
+ * Written: by the leader, again and again. Read: by the next leader, on failover.
+ * Absent: both, before a leader has written them; `holdS` in forecasts and `more`
+ * in the first page that an earlier version wrote.
+ * Versions: earlier ones write and read the first page alone. Fields that this
+ * version does not know are kept in what is written anew.
+ */
+
 import type { DemandForecast } from '../model/demand-forecast.js';
 import { isObject } from '../protocol/json-fields.js';
 import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from './job-record.js';
-import { mapObject, overForm, rememberForm } from './stored-form.js';
-
-/**
- * What work is expected: `loads` with the first page and `loads/<page>` with
- * further ones. The leader writes them again and again, the next leader reads
- * them. Fields that this version does not know go on in what is written anew.
- */
+import { mapIfObject, mergeIntoStoredForm, rememberStoredForm } from './stored-form.js';
 
 /** What one task takes on average. */
 export interface StoredResourceRequest {
@@ -16,7 +21,7 @@
   memoryGb: number;
 }
 
-/** What is expected of one kind of work. */
+/** The demand forecast of one kind of work; the fields are those of `DemandForecast`, in its order. */
 export interface StoredForecast {
   /** The last job of this kind. */
   spec: StoredJobSpec;
@@ -32,9 +37,9 @@
 /** `loads`. Earlier versions write and read this page alone, without `more`. */
 export interface StoredFirstPage {
   loads: StoredForecast[];
-  /** The version of the newest job that is counted in it. */
+  /** Version of the newest job that is counted in the forecasts: later ones are counted by the next leader. */
   upTo: number;
-  /** Further pages. */
+  /** Number of further pages. */
   more?: number;
 }
 
@@ -59,7 +64,11 @@
 ];
 
 function encodeResourceRequest(shape: DemandForecast['meanRequest']): StoredResourceRequest {
-  return overForm(shape, { cpus: shape.cpus, gpus: shape.gpus, memoryGb: shape.memoryGb });
+  return mergeIntoStoredForm(shape, {
+    cpus: shape.cpus,
+    gpus: shape.gpus,
+    memoryGb: shape.memoryGb,
+  });
 }
 
 function decodeResourceRequest(stored: StoredResourceRequest): DemandForecast['meanRequest'] {
@@ -68,39 +77,41 @@
     gpus: stored.gpus,
     memoryGb: stored.memoryGb,
   };
-  rememberForm(shape, stored, RESOURCE_REQUEST_FIELDS);
+  rememberStoredForm(shape, stored, RESOURCE_REQUEST_FIELDS);
   return shape;
 }
 
+/** The forecast as it is stored, with fields of other versions that it was read with. */
 export function encodeForecast(forecast: DemandForecast): StoredForecast {
-  return overForm(forecast, {
-    spec: mapObject(forecast.spec, encodeJobSpec),
+  return mergeIntoStoredForm(forecast, {
+    spec: mapIfObject(forecast.spec, encodeJobSpec),
     mean: forecast.mean,
     variance: forecast.variance,
-    shape: mapObject(forecast.meanRequest, encodeResourceRequest),
+    shape: mapIfObject(forecast.meanRequest, encodeResourceRequest),
     holdS: forecast.occupancyS,
     gapMs: forecast.arrivalIntervalMs,
     quietMs: forecast.sinceLastArrivalMs,
   });
 }
 
-/** Null: it is no object. A load of an earlier version has no `holdS`, which its reader has to give it. */
+/** Null: it is no object. A forecast of an earlier version has no `holdS`: its reader has to set `occupancyS`. */
 export function decodeForecast(value: unknown): DemandForecast | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredForecast;
   const forecast: DemandForecast = {
-    spec: mapObject(stored.spec, decodeJobSpec),
+    spec: mapIfObject(stored.spec, decodeJobSpec),
     mean: stored.mean,
     variance: stored.variance,
-    meanRequest: mapObject(stored.shape, decodeResourceRequest),
+    meanRequest: mapIfObject(stored.shape, decodeResourceRequest),
     occupancyS: stored.holdS as number,
     arrivalIntervalMs: stored.gapMs,
     sinceLastArrivalMs: stored.quietMs,
   };
-  rememberForm(forecast, value, FORECAST_FIELDS);
+  rememberStoredForm(forecast, value, FORECAST_FIELDS);
   return forecast;
 }
 
+/** `upTo`: version of the newest job that is counted; `more`: number of further pages. */
 export function encodeFirstPage(
   loads: StoredForecast[],
   upTo: number,
@@ -109,20 +120,26 @@
   return { loads, upTo, more };
 }
 
+/** A page after the first. */
 export function encodeFurtherPage(loads: StoredForecast[]): StoredFurtherPage {
   return { loads };
 }
 
-/** The loads of a page; null: it is none. */
+/** The forecasts of a page, the first or a further one; null: it is no page. */
 export function decodeForecasts(value: unknown): DemandForecast[] | null {
   if (!isObject(value) || !Array.isArray(value.loads)) return null;
-  return value.loads.map((load) => mapObject(load, decodeForecast));
+  return value.loads.map((load) => mapIfObject(load, decodeForecast));
+}
+
+/** The first page as it is used; the fields have the names of the stored ones. */
+export interface FirstPage {
+  loads: DemandForecast[];
+  upTo: number;
+  more: number;
 }
 
-/** The first page: its loads, what is counted in them and how many further pages there are; null: it is none. */
-export function decodeFirstPage(
-  value: unknown,
-): { loads: DemandForecast[]; upTo: number; more: number } | null {
+/** Null: it is no page. A page of an earlier version has no further ones. */
+export function decodeFirstPage(value: unknown): FirstPage | null {
   const forecasts = decodeForecasts(value);
   if (!forecasts) return null;
   const { upTo, more = 0 } = value as StoredFirstPage;
--- a/src/records/job-end-record.ts
+++ b/src/records/job-end-record.ts
@@ -1,21 +1,28 @@
-import type { JobEnd } from '../model/job.js';
-import { isObject } from '../protocol/json-fields.js';
-
 /**
- * The record of an ended job, `over/<job>`: created in the transaction that
- * removes its live record, or that accepts it as already cancelled, by
- * whichever node ends it, and never written again.
+ * The end of a job.
+ *
+ * Keys: `over/<job>`.
+ * Written: once, in the transaction that removes the live record, or that
+ * accepts the job as already cancelled, by whichever controller ends it. It is
+ * never written again or removed. Read: by every controller that is asked for
+ * the job, and by a leader for jobs that depend on it.
+ * Absent: `at`, for cancellations and in records of earlier versions.
+ * Versions: earlier ones write and read `state` and `tasks` alone.
  */
 
+import type { JobEnd } from '../model/job.js';
+import { isObject } from '../protocol/json-fields.js';
+
 /** An ended job. */
 export interface EndedJobRecord {
   state: JobEnd['state'];
+  /** Number of its tasks. */
   tasks: number;
-  /** Time of day of the end. Cancellations have none, and ends of earlier versions neither. */
+  /** Time of day of the end, in milliseconds. */
   at?: number;
 }
 
-/** An ended job as its key holds it. Earlier versions write and read no more than state and tasks. */
+/** An ended job as it is stored. */
 export interface StoredJobEnd {
   state: 'done' | 'cancelled';
   tasks: number;
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -1,19 +1,28 @@
-import type { JobSpec } from '../model/job.js';
-import { isObject } from '../protocol/json-fields.js';
-import { mapObject, overForm, rememberForm } from './stored-form.js';
-
 /**
- * The record of an accepted job, `live/<job>`. The node that accepts the job
- * writes it once; its end removes it. Every node reads it. The description of
- * the job in it stands in the records of expected work too.
+ * An accepted job that has not ended.
+ *
+ * Keys: `live/<job>`; the version of the key is the job's place in the order of
+ * arrival.
+ * Written: once, by the controller that accepts the job. Read: by every
+ * controller; the leader keeps all of them. Removed: in the transaction that
+ * writes the job's end.
+ * Absent: what a job without dependencies does not need.
+ * Versions: the earliest write and read `spec` and `at` alone; those before long
+ * lists do not know `upstreamList`.
+ *
+ * The job's description in it is stored in demand forecasts too.
  */
 
+import type { JobSpec } from '../model/job.js';
+import { isObject } from '../protocol/json-fields.js';
+import { mapIfObject, mergeIntoStoredForm, rememberStoredForm } from './stored-form.js';
+
 /** A job's description as it is stored. All versions write all fields. */
 export interface StoredJobSpec {
   id: string;
   jobClass: string;
   team: string;
-  /** Index into the names of priorities, the highest first. */
+  /** The priority: index into the names of priorities, the highest first. */
   rank: number;
   tasks: number;
   cpus: number;
@@ -54,8 +63,9 @@
   'deadlineS',
 ];
 
+/** The description as it is stored, with fields of other versions that it was read with. */
 export function encodeJobSpec(spec: JobSpec): StoredJobSpec {
-  return overForm(spec, {
+  return mergeIntoStoredForm(spec, {
     id: spec.id,
     jobClass: spec.jobClass,
     team: spec.team,
@@ -103,14 +113,15 @@
     checkpointCostS: stored.saveS,
     deadlineS: stored.deadlineS,
   };
-  rememberForm(spec, value, JOB_SPEC_FIELDS);
+  rememberStoredForm(spec, value, JOB_SPEC_FIELDS);
   return spec;
 }
 
-/** Where a job's record says that its list of upstream jobs stands. */
+/** Names the list of a job's dependencies in its record (dependency-list-record). */
 export interface DependencyListRef {
   /** Names the content, so that a repeated submission of the same list continues the first one. */
   token: string;
+  /** Number of pages of the list. */
   pages: number;
 }
 
@@ -131,24 +142,21 @@
 /** An accepted job. */
 export interface LiveJobRecord {
   spec: JobSpec;
-  /** Time of day of its acceptance. */
+  /** Time of day of its acceptance, in milliseconds. */
   acceptedAt: number;
-  /** Jobs that it needs and that were not done when it was accepted. */
+  /** Ids of its dependencies that were not done when it was accepted, as far as the record has room for them. */
   dependencies?: string[];
-  /** Further ids of such jobs stand in this many pages, written together with the record. */
+  /** Further such ids are in this many pages, written together with the record. */
   dependencyPages?: number;
   /**
-   * All ids of such jobs stand in a list that was written before the record.
-   * `upstream` then holds a name that no job has: a version that does not know
-   * of lists waits for it, so that it starts nothing too early.
+   * All such ids are in a list that was written before the record.
+   * `dependencies` then holds one id that no job has: a version that does not
+   * know lists waits for that job, so that it starts nothing too early.
    */
   dependencyList?: DependencyListRef;
 }
 
-/**
- * An accepted job as its key holds it. Earlier versions write and read `spec`
- * and `at` alone; what a job does not need is absent.
- */
+/** An accepted job as it is stored. */
 export interface StoredLiveJob {
   spec: StoredJobSpec;
   at: number;
@@ -157,6 +165,7 @@
   upstreamList?: StoredDependencyListRef;
 }
 
+/** The record of a job that is being accepted. */
 export function encodeLiveJob(record: LiveJobRecord): StoredLiveJob {
   const stored: StoredLiveJob = { spec: encodeJobSpec(record.spec), at: record.acceptedAt };
   if (record.dependencies !== undefined) stored.upstream = record.dependencies;
@@ -171,12 +180,12 @@
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredLiveJob;
   const record: LiveJobRecord = {
-    spec: mapObject(stored.spec, decodeJobSpec),
+    spec: mapIfObject(stored.spec, decodeJobSpec),
     acceptedAt: stored.at,
   };
   if (stored.upstream !== undefined) record.dependencies = stored.upstream;
   if (stored.upstreamPages !== undefined) record.dependencyPages = stored.upstreamPages;
   if (stored.upstreamList !== undefined)
-    record.dependencyList = mapObject(stored.upstreamList, decodeDependencyListRef);
+    record.dependencyList = mapIfObject(stored.upstreamList, decodeDependencyListRef);
   return record;
 }
--- a/src/records/leader-record.ts
+++ b/src/records/leader-record.ts
@@ -1,20 +1,28 @@
-import { isObject } from '../protocol/json-fields.js';
-
 /**
- * Who leads, `leader`, attached to the leader's lease, and the last term that
- * was won, `term`, a number. Both are written in the transaction of an
- * election; every node reads them.
+ * Who leads, and the last leader term.
+ *
+ * Keys: `leader`, attached to the leader's lease, so that it disappears with it;
+ * `term`, a number, which stays.
+ * Written: both in the transaction of an election, by the controller that wins.
+ * Read: by every controller.
+ * Absent: `leader` while nobody leads; `term` before the first election.
+ * Versions: all write all fields.
  */
 
+import { isObject } from '../protocol/json-fields.js';
+
+/** The leader. Its fencing token is the term; its writes are conditioned on the version of this key. */
 export interface LeaderRecord {
+  /** Name of the controller. */
   node: string;
   /** Tells a restarted process from its predecessor. */
   incarnation: string;
   term: number;
+  /** Id of the lease in the state service. */
   lease: number;
 }
 
-/** The leader as its key holds it. All versions write all fields. */
+/** The leader as it is stored. */
 export interface StoredLeader {
   node: string;
   incarnation: string;
@@ -22,6 +30,7 @@
   lease: number;
 }
 
+/** The record of a controller that campaigns. */
 export function encodeLeaderRecord(record: LeaderRecord): StoredLeader {
   return {
     node: record.node,
@@ -45,6 +54,7 @@
   return { node, incarnation, term, lease };
 }
 
+/** A leader term, as a number. */
 export function encodeTerm(term: number): number {
   return term;
 }
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -1,13 +1,18 @@
-import type { MachineType } from '../model/machine.js';
-import { isObject } from '../protocol/json-fields.js';
-import { mapObject } from './stored-form.js';
-
 /**
- * The cloud's machine types, `types`: a list. The leader writes it when more
- * than prices has changed; nodes read it that start while the cloud is away.
+ * The cloud's machine types.
+ *
+ * Keys: `types`, a list.
+ * Written: by the leader, when more than prices has changed. Read: by
+ * controllers that start while the cloud is unreachable.
+ * Absent: the key, before the first leader has seen the cloud's list.
+ * Versions: all write all fields.
  */
 
-/** A machine type as it is stored. All versions write all fields. */
+import type { MachineType } from '../model/machine.js';
+import { isObject } from '../protocol/json-fields.js';
+import { mapIfObject } from './stored-form.js';
+
+/** A machine type as it is stored. */
 export interface StoredMachineType {
   name: string;
   cpus: number;
@@ -21,6 +26,7 @@
   zones: string[];
 }
 
+/** One machine type. */
 export function encodeMachineType(type: MachineType): StoredMachineType {
   return {
     name: type.name,
@@ -54,16 +60,20 @@
   };
 }
 
+/** The list, in the cloud's order. */
 export function encodeMachineTypes(types: readonly MachineType[]): StoredMachineType[] {
   return types.map(encodeMachineType);
 }
 
-/** The list as it stands, with whatever another version has put into it; null: it is no list. */
+/**
+ * The list as it is stored, with whatever another version has put into it, to
+ * compare it with what would be written; null: it is no list.
+ */
 export function storedMachineTypes(value: unknown): StoredMachineType[] | null {
   return Array.isArray(value) ? value : null;
 }
 
 /** Null: it is no list. */
 export function decodeMachineTypes(value: unknown): MachineType[] | null {
-  return storedMachineTypes(value)?.map((type) => mapObject(type, decodeMachineType)) ?? null;
+  return storedMachineTypes(value)?.map((type) => mapIfObject(type, decodeMachineType)) ?? null;
 }
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -1,30 +1,40 @@
-import { isObject } from '../protocol/json-fields.js';
-
 /**
- * Questions and answers between controllers by way of the state service,
- * `mail/<to>/<from>/<machine>`. Each is overwritten by the next and hangs on
- * a lease. Any node writes and reads them; nothing is kept beyond seconds.
+ * Questions and answers between controllers through the state service, for when
+ * their own connections fail.
+ *
+ * Keys: `mail/<to>/<from>/<machine>`, attached to a lease. Each message is
+ * overwritten by the next one of the same key, and nothing is kept beyond seconds.
+ * Written and read: by any controller.
+ * Absent: nothing in a message; a key, whenever there is no message.
+ * Versions: `kind` is `ask` or `answer`; a message of another kind is ignored.
  */
 
+import { isObject } from '../protocol/json-fields.js';
+
+/** A question: a heartbeat that is passed on to the leader. */
 export interface MailboxRequest {
   kind: 'ask';
-  /** Numbers the asker's questions. */
+  /** Sequence number among the questions of the controller that asks. */
   n: number;
+  /** The controller that asks. */
   from: string;
-  /** The asker's: a later process takes no answer to an earlier one. */
+  /** The process that asks: a restarted one takes no answer to a question of its predecessor. */
   incarnation: string;
+  /** The heartbeat, as the agent sent it. */
   text: string;
 }
 
+/** The answer to a question. */
 export interface MailboxResponse {
   kind: 'answer';
   /** Number and incarnation of the question. */
   n: number;
   incarnation: string;
-  /** What was answered, in its stored form. */
+  /** What was answered, in its stored form (peer-requests). */
   value: unknown;
 }
 
+/** A question as it is stored. */
 export interface StoredMailboxRequest {
   kind: 'ask';
   n: number;
@@ -33,6 +43,7 @@
   text: string;
 }
 
+/** An answer as it is stored. */
 export interface StoredMailboxResponse {
   kind: 'answer';
   n: number;
@@ -40,8 +51,10 @@
   value: unknown;
 }
 
+/** A message as it is stored. */
 export type StoredMailboxMessage = StoredMailboxRequest | StoredMailboxResponse;
 
+/** A question to write. */
 export function encodeMailboxRequest(question: MailboxRequest): StoredMailboxRequest {
   return {
     kind: 'ask',
@@ -52,6 +65,7 @@
   };
 }
 
+/** An answer to write. */
 export function encodeMailboxResponse(answer: MailboxResponse): StoredMailboxResponse {
   return {
     kind: 'answer',
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -1,29 +1,39 @@
-import { isObject } from '../protocol/json-fields.js';
-
 /**
- * What controllers send each other, each in a frame of its own: their status
- * all the time, and questions with their answers. Versions meet while a new
- * one is rolled out, so each reads what the other sends.
+ * What controllers send each other over their own connections, each in a frame
+ * of its own: their status all the time, and questions with their answers.
+ *
+ * Sent and read: by every controller; nothing is stored.
+ * Absent: `memoryShort`, which earlier versions do not send.
+ * Versions: they meet while a new one is rolled out, so each reads what the other
+ * sends; a frame of an unknown kind is ignored.
  */
 
-/** What one controller tells the others about itself, again and again. */
+import { isObject } from '../protocol/json-fields.js';
+
+/** Progress of a live job as it is sent: done and running tasks. */
+export type SentJobProgress = [jobId: string, done: number, running: number];
+
+/** What a controller tells the others about itself, again and again. */
 export interface PeerStatus {
+  /** Name of the controller. */
   node: string;
+  /** Tells a restarted process from its predecessor. */
   incarnation: string;
-  /** Time of day at which it was sent: a cut may hold it back. */
+  /** Time of day at which it was sent, in milliseconds: a network partition may delay it. */
   sentAt: number;
-  /** Highest term known. */
+  /** The highest leader term that it knows. */
   term: number;
+  /** It leads. */
   leading: boolean;
-  /** The state service serves this node. */
+  /** The state service serves this controller. */
   stateOk: boolean;
-  /** It has no memory for further jobs. Earlier versions do not say. */
+  /** It has no memory for further jobs. */
   memoryShort?: boolean;
-  /** Done and running tasks of live jobs, from the leader, for display only. */
-  counts: [job: string, done: number, running: number][];
+  /** Progress of live jobs, from the leader, for display only. */
+  counts: SentJobProgress[];
 }
 
-/** A status as it is sent. Earlier versions send no `memoryShort`. */
+/** A status as it is sent. */
 export interface SentPeerStatus {
   node: string;
   incarnation: string;
@@ -32,22 +42,23 @@
   leading: boolean;
   stateOk: boolean;
   memoryShort?: boolean;
-  counts: [job: string, done: number, running: number][];
+  counts: SentJobProgress[];
 }
 
+/** A frame as it is used. `n` numbers the questions of a connection; an answer has the number of its question. */
 export type PeerFrame =
   | { kind: 'status'; status: PeerStatus }
   | { kind: 'ask'; n: number; op: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
-/** A frame as it is sent. What `payload` holds is in peer-questions. */
+/** A frame as it is sent. What `payload` holds is in peer-requests. */
 export type SentPeerFrame =
   | { kind: 'status'; status: SentPeerStatus }
   | { kind: 'ask'; n: number; op: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
 function encodeStatus(status: PeerStatus): SentPeerStatus {
-  // A field without a value would be sent: in CBOR it is not the same as none.
+  // A field whose value is undefined would be sent: in CBOR that is not the same as no field.
   return {
     node: status.node,
     incarnation: status.incarnation,
@@ -74,6 +85,7 @@
   return status;
 }
 
+/** A frame to send. */
 export function encodeFrame(frame: PeerFrame): SentPeerFrame {
   switch (frame.kind) {
     case 'status':
@@ -85,7 +97,7 @@
   }
 }
 
-/** Null: it is no frame that this version knows. Whether a status is believed is for its reader to see. */
+/** Null: it is no frame that this version knows. Whether a status is believed is for its reader to decide. */
 export function decodeFrame(value: unknown): PeerFrame | null {
   if (!isObject(value)) return null;
   const sent = value as unknown as SentPeerFrame;
--- a/src/records/roster-record.ts
+++ b/src/records/roster-record.ts
@@ -1,12 +1,18 @@
-import type { RosterEntry } from '../model/machine.js';
-import { isObject } from '../protocol/json-fields.js';
-
 /**
- * A page of machines that may have been given tasks, `roster/<page>`. The
- * leader writes it, the next leader reads it.
+ * A page of machines that may have been given tasks.
+ *
+ * Keys: `roster/<page>`; the pages of this version are named `<term>-<number>`.
+ * Written and removed: by the leader. Read: by the next leader, on failover,
+ * which has to reach these machines before it gives their tasks to others.
+ * Absent: nothing in a page; the key, once all of its machines are terminated.
+ * Versions: the earliest kept one machine under its own name,
+ * `roster/<machine>`: an entry without id and, earlier still, without address.
  */
 
-/** A machine in such a page. */
+import type { RosterEntry } from '../model/machine.js';
+import { isObject } from '../protocol/json-fields.js';
+
+/** A machine of a page as it is stored. */
 export interface StoredRosterEntry {
   id: string;
   type: string;
@@ -15,15 +21,12 @@
   address: string;
 }
 
-/**
- * The page as its key holds it. The earliest versions kept one machine under
- * its own name, `roster/<machine>`: an entry without id and, earlier still,
- * without address.
- */
+/** A page as it is stored. */
 export interface StoredRosterPage {
   machines: StoredRosterEntry[];
 }
 
+/** One machine. */
 export function encodeRosterEntry(entry: RosterEntry): StoredRosterEntry {
   return {
     id: entry.id,
@@ -34,11 +37,12 @@
   };
 }
 
+/** The machines of a page. */
 export function encodeRosterPage(entries: readonly RosterEntry[]): StoredRosterPage {
   return { machines: entries.map(encodeRosterEntry) };
 }
 
-/** Null: it is no object. What is missing or of another type is made a text, or false. */
+/** Null: it is no object. A missing field, or one of another type, becomes a text or false: no machine is dropped for it. */
 export function decodeRosterEntry(value: unknown): RosterEntry | null {
   if (!isObject(value)) return null;
   return {
--- a/src/records/value-sizes.ts
+++ b/src/records/value-sizes.ts
@@ -1,35 +1,45 @@
-import type { StateLimits } from '../config/state-limits.js';
+/** How much fits a value or a transaction of the state service. */
 
-/** All that one transaction may hold, with room for its frame (protocol). */
+/** Bytes that the parts of one transaction may take, with room for its frame (protocol). */
 export const TRANSACTION_BYTES = 56 * 1024;
 
-/** The part of a value that its content may fill. */
+/** The share of a value's limit that its content may take; the rest is reserve. */
 const VALUE_SHARE = 0.9;
 
+/** Limits of the state service on values. */
+export interface ValueLimits {
+  /** Bytes of a value at all times, whatever limits come into force. */
+  valueBytes: number;
+}
+
 /** Bytes of content that fit a value at all times. */
-export function valueRoom(limits: Pick<StateLimits, 'valueBytes'>): number {
+export function valueCapacityBytes(limits: ValueLimits): number {
   return limits.valueBytes * VALUE_SHARE;
 }
 
 /** Bytes of a value as the state service counts them. */
-export function bytesOf(value: unknown): number {
+export function storedBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-/** The brackets of a list. */
+/** Bytes of the brackets of a list. */
 const LIST_FRAME_BYTES = 2;
 
-/** The ids in order, in pages of which the first has less room. */
-export function paged(ids: readonly string[], firstRoom: number, room: number): string[][] {
+/** Splits the ids, in order, into pages of at most these bytes. */
+export function splitIntoPages(
+  ids: readonly string[],
+  firstPageBytes: number,
+  pageBytes: number,
+): string[][] {
   const pages: string[][] = [[]];
-  let left = firstRoom - LIST_FRAME_BYTES;
+  let bytesLeft = firstPageBytes - LIST_FRAME_BYTES;
   for (const id of ids) {
-    const bytes = bytesOf(id) + 1;
-    if (bytes > left) {
+    const bytes = storedBytes(id) + 1;
+    if (bytes > bytesLeft) {
       pages.push([]);
-      left = room - LIST_FRAME_BYTES;
+      bytesLeft = pageBytes - LIST_FRAME_BYTES;
     }
-    left -= bytes;
+    bytesLeft -= bytes;
     pages.at(-1)?.push(id);
   }
   return pages;
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -16,8 +16,8 @@
   decodeDependencyListHeader,
   decodeJobIds,
   encodeDependencyListHeader,
+  encodeHeaderInRemoval,
   encodeJobIds,
-  encodeRemoval,
 } from '../src/records/dependency-list-record.js';
 import { decodeFinishedTasks, encodeFinishedTasks } from '../src/records/finished-tasks-record.js';
 import { decodeJobEnd, encodeJobEnd } from '../src/records/job-end-record.js';
@@ -46,19 +46,19 @@
 } from '../src/records/mailbox-record.js';
 import { decodeFrame, encodeFrame } from '../src/records/peer-frames.js';
 import {
-  decodeCancellation,
-  decodeReply,
-  decodeRequest,
-  encodeCancellation,
-  encodeReply,
-  encodeRequest,
+  decodeCancellationNotice,
+  decodeForwardedReply,
+  decodeForwardedRequest,
+  encodeCancellationNotice,
+  encodeForwardedReply,
+  encodeForwardedRequest,
 } from '../src/records/peer-requests.js';
 import {
   decodeRosterEntry,
   decodeRosterPage,
   encodeRosterPage,
 } from '../src/records/roster-record.js';
-import { mapObject } from '../src/records/stored-form.js';
+import { mapIfObject } from '../src/records/stored-form.js';
 import { PEER_FRAMES, WRITTEN } from './support/records.js';
 import { jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 
@@ -77,7 +77,7 @@
   needs: (value) => encodeJobIds(decodeJobIds(value)),
   lists: (value) => {
     const header = readable(decodeDependencyListHeader(value));
-    return header.removing ? encodeRemoval(header) : encodeDependencyListHeader(header);
+    return header.removing ? encodeHeaderInRemoval(header) : encodeDependencyListHeader(header);
   },
   over: (value) => {
     const record = readable(decodeJobEnd(value));
@@ -119,10 +119,10 @@
     assert.equal(packFrame(encodeFrame(read)).toString('hex'), hex, name);
   }
   const payloads: [string, (value: unknown) => unknown][] = [
-    [PEER_FRAMES.user, (v) => encodeRequest(readable(decodeRequest(v)))],
-    [PEER_FRAMES.cancelled, (v) => encodeCancellation(readable(decodeCancellation(v)))],
-    [PEER_FRAMES.userReply, (v) => encodeReply(readable(decodeReply(v)))],
-    [PEER_FRAMES.reportReply, (v) => encodeReply(readable(decodeReply(v)))],
+    [PEER_FRAMES.user, (v) => encodeForwardedRequest(readable(decodeForwardedRequest(v)))],
+    [PEER_FRAMES.cancelled, (v) => encodeCancellationNotice(readable(decodeCancellationNotice(v)))],
+    [PEER_FRAMES.userReply, (v) => encodeForwardedReply(readable(decodeForwardedReply(v)))],
+    [PEER_FRAMES.reportReply, (v) => encodeForwardedReply(readable(decodeForwardedReply(v)))],
   ];
   for (const [hex, roundTrip] of payloads) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
@@ -189,14 +189,14 @@
     decodeMailboxMessage,
     decodeLeaderRecord,
     decodeFrame,
-    decodeRequest,
-    decodeCancellation,
-    decodeReply,
+    decodeForwardedRequest,
+    decodeCancellationNotice,
+    decodeForwardedReply,
   };
   for (const [name, decode] of Object.entries(decoders))
     for (const value of NO_OBJECTS) {
       assert.equal(decode(value), null, `${name} of ${JSON.stringify(value)}`);
-      assert.equal(mapObject(value, decode), value);
+      assert.equal(mapIfObject(value, decode), value);
     }
   assert.equal(decodeMachineTypes({}), null);
   assert.deepEqual(decodeMachineTypes([null, 5]), [null, 5]);
@@ -251,5 +251,8 @@
   const shape: StoredResourceRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   assert.deepEqual(encodeForecast(forecast).shape, shape);
   const header = readable(decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }));
-  assert.equal(JSON.stringify(encodeRemoval(header)), '{"by":"n-1","pages":2,"removing":true}');
+  assert.equal(
+    JSON.stringify(encodeHeaderInRemoval(header)),
+    '{"by":"n-1","pages":2,"removing":true}',
+  );
 });
