--- a/src/scheduler/persistence/roster-page-write.ts
+++ b/src/scheduler/persistence/roster-page-write.ts
@@ -62,7 +62,7 @@
   /** Tasks may start on the machines that were added. */
   applied(revision: number): void {
     this.pageWrite.applied(revision);
-    for (const machine of this.addedMachines()) machine.inRoster = true;
+    for (const machine of this.endPendingWrites()) machine.inRoster = true;
     this.cluster.roundDue = true;
   }
 
@@ -80,12 +80,12 @@
   }
 
   private addAgain(): void {
-    for (const machine of this.addedMachines())
+    for (const machine of this.endPendingWrites())
       if (!machine.inRoster) this.cluster.pendingRosterAdds.add(machine);
   }
 
-  /** The machines that the write adds, without those terminated meanwhile; none of them is being written any more. */
-  private addedMachines(): Machine[] {
+  /** Notes for the added machines that no write of them is on its way; returns those not terminated meanwhile. */
+  private endPendingWrites(): Machine[] {
     const machines: Machine[] = [];
     for (const { id } of this.pageWrite.added) {
       const machine = this.cluster.machines.get(id);
--- /dev/null
+++ b/test/durable-writes.test.ts
@@ -0,0 +1,121 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { liveJobKey } from '../src/records/keys.js';
+import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import type { DurableWrite } from '../src/scheduler/persistence/durable-write.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { Roster } from '../src/scheduler/persistence/roster.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
+import {
+  createCluster,
+  jobSpec,
+  joinCluster,
+  ScriptedAgent,
+  sendHeartbeat,
+} from './support/scheduler.js';
+
+const BUDGET = { progressChanges: 9, wallNow: 0 };
+const JOB_ID = 'req-000001';
+const CHUNK_KEY = `bits/${JOB_ID}/0000/0`;
+
+interface ChunkWriteUnderWay {
+  cluster: ClusterState;
+  agent: ScriptedAgent;
+  write: DurableWrite;
+}
+
+/** A job of two tasks, one of which is done; the write of that is on its way. */
+function startChunkWrite(): ChunkWriteUnderWay {
+  const cluster = createCluster();
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
+  runPlacementRound(cluster, 32, 0);
+  sendHeartbeat(cluster, agent, 10);
+  agent.exit([...agent.tasks.keys()][0] as string, 'done');
+  sendHeartbeat(cluster, agent, 20);
+  const [write] = pendingWrites(cluster, BUDGET);
+  assert.ok(write);
+  assert.deepEqual(
+    write.changes.map((change) => change.key),
+    [CHUNK_KEY],
+  );
+  return { cluster, agent, write };
+}
+
+function mayForgetFirstTask(cluster: ClusterState, agent: ScriptedAgent, now: number): boolean {
+  const commands = sendHeartbeat(cluster, agent, now);
+  return commands.some((command) => command.op === 'forget' && command.index === 0);
+}
+
+const OUTCOMES: [name: string, report: (write: DurableWrite) => void][] = [
+  ['was not sent', (write) => write.retry(false)],
+  ['had no answer', (write) => write.retry(true)],
+  ['met another version of the chunk', (write) => write.conflict([CHUNK_KEY])],
+  ['found the job ended', (write) => write.conflict([liveJobKey(JOB_ID), CHUNK_KEY])],
+];
+
+for (const [name, report] of OUTCOMES)
+  test(`progress of a job that ended meanwhile is not written again when its write ${name}`, () => {
+    const { cluster, agent, write } = startChunkWrite();
+    cluster.endJob(JOB_ID, { state: 'cancelled', at: null });
+    report(write);
+    assert.deepEqual(chunksOfUnknownVersion(cluster), []);
+    // The chunk may exist, so it is deleted, and its task may be forgotten.
+    assert.deepEqual(
+      pendingWrites(cluster, BUDGET).flatMap((pending) => pending.changes),
+      [{ op: 'delete', key: CHUNK_KEY }],
+    );
+    assert.ok(mayForgetFirstTask(cluster, agent, 30));
+  });
+
+test('progress of a job whose end is not known yet is not written again once its record is missing', () => {
+  const { cluster, agent, write } = startChunkWrite();
+  write.conflict([liveJobKey(JOB_ID)]);
+  assert.deepEqual(chunksOfUnknownVersion(cluster), []);
+  assert.deepEqual(pendingWrites(cluster, BUDGET), []);
+  assert.ok(mayForgetFirstTask(cluster, agent, 30));
+});
+
+test('progress of a live job is written again over the version that is read back', () => {
+  const { cluster, agent, write } = startChunkWrite();
+  write.conflict([CHUNK_KEY]);
+  assert.deepEqual(pendingWrites(cluster, BUDGET), []);
+  const [unknown] = chunksOfUnknownVersion(cluster);
+  unknown?.job.chunkVersions.set(unknown.chunk, 7);
+  const [repeated] = pendingWrites(cluster, BUDGET);
+  assert.deepEqual(repeated?.changes, write.changes);
+  assert.deepEqual(repeated?.conditions[1], { key: CHUNK_KEY, version: 7 });
+  assert.equal(mayForgetFirstTask(cluster, agent, 30), false);
+  repeated?.applied(8);
+  assert.ok(mayForgetFirstTask(cluster, agent, 40));
+});
+
+test('a machine of the roster whose move to another page failed is not added once more', () => {
+  const cluster = createCluster();
+  cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
+  const [machine] = cluster.machines.values();
+  assert.ok(machine);
+  cluster.pendingRosterAdds.add(machine);
+  const [write] = pendingWrites(cluster, BUDGET);
+  assert.equal(machine.rosterWritePending, true);
+  write?.conflict([]);
+  assert.deepEqual([machine.inRoster, machine.rosterWritePending], [true, false]);
+  assert.equal(cluster.pendingRosterAdds.size, 0);
+});
+
+test('a machine whose move had no answer is not moved to a third page', () => {
+  const entry = (n: number) => ({ id: `n-${n}`, type: 'm', zone: 'a', spot: true, address: '' });
+  const entryBytes = JSON.stringify(entry(1)).length + 1;
+  const roster = new Roster(4, 3 * entryBytes);
+  // Written under a higher limit: one machine too many for this one, once another has been terminated.
+  roster.restore('3-1', 10, [1, 2, 3, 4, 5].map(entry));
+  roster.removeMachine('n-5');
+  const [move] = roster.rewriteStalePages(9);
+  assert.deepEqual(
+    move?.added.map((added) => added.id),
+    ['n-1'],
+  );
+  move?.outcomeUnknown();
+  assert.deepEqual(roster.rewriteStalePages(9), []);
+});
--- /dev/null
+++ b/test/task-attempt.test.ts
@@ -0,0 +1,40 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { createCluster, jobSpec, joinCluster, ScriptedAgent } from './support/scheduler.js';
+
+/** A job of four tasks of 4 CPUs and 8 GB each, with an attempt of the first on a machine. */
+function assignOne() {
+  const cluster = createCluster();
+  joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const machine = cluster.machines.get('n-1');
+  const job = cluster.addJob(jobSpec({ tasks: 4, cpus: 4, memoryGb: 8 }), 5, 0, false);
+  const index = job?.takeReadyTask();
+  assert.ok(machine && job && typeof index === 'number');
+  return { job, machine, attempt: cluster.assign(job, index, machine, 0) };
+}
+
+test('an attempt releases what it uses of its machine once, by its exit or by its removal', () => {
+  const exited = assignOne();
+  assert.deepEqual([exited.machine.usedCpus, exited.machine.usedMemoryGb], [4, 8]);
+  exited.machine.markExited(exited.attempt);
+  exited.machine.markExited(exited.attempt);
+  assert.deepEqual([exited.machine.usedCpus, exited.machine.attempts.size], [0, 1]);
+  exited.machine.removeAttempt(exited.attempt);
+  assert.deepEqual([exited.machine.usedCpus, exited.machine.attempts.size], [0, 0]);
+
+  const left = assignOne();
+  left.machine.removeAttempt(left.attempt);
+  left.machine.removeAttempt(left.attempt);
+  assert.deepEqual([left.machine.usedCpus, left.machine.attempts.size], [0, 0]);
+});
+
+test('the end of an attempt that is not the active one of its task changes nothing of the job', () => {
+  const { job, machine, attempt } = assignOne();
+  const other = { ...attempt, attempt: attempt.attempt + 1 };
+  job.removeAttempt(other, 0);
+  assert.deepEqual([job.readyCount, job.activeAttempts.get(0)], [3, attempt]);
+  assert.equal(job.attemptsByZone.get(machine.zone), 1);
+  job.removeAttempt(attempt, 0);
+  assert.deepEqual([job.readyCount, job.activeAttempts.size], [4, 0]);
+  assert.equal(job.attemptsByZone.get(machine.zone), 0);
+});
--- /dev/null
+++ b/test/task-states.test.ts
@@ -0,0 +1,73 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { TaskStates } from '../src/scheduler/state/task-states.js';
+
+/** All ready tasks, in the order in which they are taken; each is assigned at once. */
+function takeAll(states: TaskStates): number[] {
+  const taken: number[] = [];
+  for (let index = states.takeReady(); index !== null; index = states.takeReady()) {
+    states.markAssigned(index);
+    taken.push(index);
+  }
+  return taken;
+}
+
+test('a task whose attempt ended is taken again, and one that backs off only from its time on', () => {
+  const states = new TaskStates(3);
+  assert.deepEqual(takeAll(states), [0, 1, 2]);
+  states.requeue(0, 0);
+  states.requeue(1, 50);
+  assert.deepEqual([states.readyCount, states.backedOffCount], [1, 1]);
+  states.releaseBackedOff(49);
+  assert.deepEqual(takeAll(states), [0]);
+  states.releaseBackedOff(50);
+  assert.deepEqual([states.readyCount, states.backedOffCount], [1, 0]);
+  assert.deepEqual(takeAll(states), [1]);
+});
+
+test('a task that was found done while it was ready or backed off never becomes ready again', () => {
+  const states = new TaskStates(2);
+  takeAll(states);
+  states.requeue(0, 0);
+  states.requeue(1, 50);
+  assert.equal(states.markDone(0), true);
+  assert.equal(states.markDone(1), true);
+  states.releaseBackedOff(50);
+  assert.deepEqual([states.readyCount, states.doneCount], [0, 2]);
+  assert.equal(states.takeReady(), null);
+  // Nor by the end of another attempt of it.
+  states.requeue(0, 0);
+  states.requeue(1, 60);
+  states.releaseBackedOff(60);
+  assert.deepEqual([states.readyCount, states.backedOffCount, states.isComplete], [0, 0, true]);
+  assert.equal(states.markDone(0), false);
+  assert.equal(states.doneCount, 2);
+});
+
+test('a task that was adopted after its return to the queue is not taken from it', () => {
+  const states = new TaskStates(1);
+  takeAll(states);
+  states.requeue(0, 0);
+  states.markAssigned(0);
+  assert.equal(states.readyCount, 0);
+  assert.equal(states.takeReady(), null);
+});
+
+test('a bitmap is read back as it was written, and bits beyond the tasks count for nothing', () => {
+  const states = new TaskStates(21);
+  for (const index of [0, 7, 8, 15, 16, 20]) states.markDone(index);
+  const chunks = [states.chunkBits(0, 16), states.chunkBits(1, 16)];
+  assert.deepEqual(
+    chunks.map((bits) => [...bits]),
+    [[0b1000_0001, 0b1000_0001], [0b1_0001]],
+  );
+
+  const restored = new TaskStates(21);
+  restored.loadBits(0, chunks[0] as Uint8Array);
+  restored.loadBits(16, Uint8Array.of(0b1111_0001));
+  assert.deepEqual(
+    [...Array(21).keys()].filter((index) => restored.isDone(index)),
+    [0, 7, 8, 15, 16, 20],
+  );
+  assert.deepEqual([restored.doneCount, restored.readyCount], [6, 15]);
+});
