--- a/test/history.test.ts
+++ b/test/history.test.ts
@@ -5,16 +5,14 @@
 import type { Heartbeat } from '../src/model/heartbeat.js';
 import type { RosterEntry } from '../src/model/machine.js';
 import type { TaskCommand } from '../src/model/task-command.js';
-import {
-  chunksOfUnknownVersion,
-  type DurableWrite,
-  pendingWrites,
-} from '../src/scheduler/persistence/durable-writes.js';
+import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import type { DurableWrite } from '../src/scheduler/persistence/durable-write.js';
+import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
 import { satisfiesConstraints } from '../src/scheduler/state/constraints.js';
-import type { Machine, TaskAttempt } from '../src/scheduler/state/machine.js';
+import type { Machine, TaskAttempt } from '../src/scheduler/state/task-attempt.js';
 import { createCluster, jobSpec, ScriptedAgent, teamQuota } from './support/scheduler.js';
 
 const LIMIT = 24;
