--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -1,20 +1,32 @@
+/**
+ * Reads for the leader what it has not seen itself about dependencies: how jobs
+ * ended that others wait for (before its term, or ended by another controller),
+ * and dependency lists that are stored apart from their job's record. Owns no
+ * state and writes nothing: what it reads goes into `ClusterState`.
+ *
+ * A job whose dependencies are not known completely never starts; until this
+ * routine has read them, it waits.
+ */
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { Job } from '../../scheduler/state/task-attempt.js';
 import type { JobStore } from '../api/job-store.js';
 import type { ControllerContext } from '../context.js';
 
-/** Lists read at the same time. */
+/** Dependency lists read at the same time. */
 const MAX_CONCURRENT_READS = 8;
-/** Rounds between two looks, while reads succeed. */
+
+/** Round intervals between two looks while reads succeed. */
 const POLL_ROUNDS = 2;
 
-/**
- * Reads for a leader what it has not seen itself: how jobs ended that others
- * wait for (before its term, or ended by another node), and lists of upstream
- * jobs that stand apart from their records. Nothing that waits for them starts
- * before.
- */
+/** A dependency has neither a live record nor an end: it was moved between the two reads, or its record is lost. */
+export class MissingDependencyError extends Error {
+  constructor(readonly jobId: string) {
+    super(`job ${jobId} has neither a live record nor an end`);
+  }
+}
+
+/** Resolves dependencies for one leader term. */
 export class DependencyResolver {
   constructor(
     private readonly ctx: ControllerContext,
@@ -22,6 +34,7 @@
     private readonly store: JobStore,
   ) {}
 
+  /** Reads what is unresolved until the signal is aborted; throws `AbortedError` then. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
     while (!signal.aborted) {
@@ -32,24 +45,24 @@
 
   /** True when something could not be read. */
   private async resolvePending(signal: AbortSignal): Promise<boolean> {
-    const { dependencies: graph } = this.cluster;
-    const unread = [...graph.unreadLists].slice(0, MAX_CONCURRENT_READS);
+    const { dependencies } = this.cluster;
+    const unread = [...dependencies.unreadLists].slice(0, MAX_CONCURRENT_READS);
     const results = await Promise.allSettled([
-      this.readEnds([...graph.unresolvedEnds], signal),
+      this.readEnds([...dependencies.unresolvedEnds], signal),
       ...unread.map((job) => this.readList(job, signal)),
     ]);
-    const failure = results.find((r) => r.status === 'rejected');
+    const failure = results.find((result) => result.status === 'rejected');
     if (failure && !signal.aborted)
-      this.ctx.log.debug({ error: String(failure.reason) }, 'upstream job not read');
+      this.ctx.log.debug({ err: failure.reason }, 'dependency not read');
     return failure !== undefined;
   }
 
   private async readList(job: Job, signal: AbortSignal): Promise<void> {
     const { id } = job.spec;
-    const found = await this.store.find(id, RequestPriority.ends, signal);
-    // It has ended meanwhile; the watch is about to tell.
-    if (!found?.live) return;
-    const ids = await this.store.dependenciesOf(id, found.record, RequestPriority.ends, signal);
+    const stored = await this.store.find(id, RequestPriority.ends, signal);
+    // It has ended meanwhile; the job watch is about to report that.
+    if (!stored?.live) return;
+    const ids = await this.store.dependenciesOf(id, stored.record, RequestPriority.ends, signal);
     if (ids) this.cluster.addReadDependencies(job, ids);
   }
 
@@ -60,6 +73,6 @@
     for (const [id, { record }] of ends)
       this.cluster.endJob(id, { state: record.state, at: record.at ?? null });
     const missing = ids.find((id) => !ends.has(id));
-    if (missing !== undefined) throw new Error(`${missing} is neither live nor over`);
+    if (missing !== undefined) throw new MissingDependencyError(missing);
   }
 }
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -1,4 +1,15 @@
+/**
+ * Makes the leader's progress durable: ends of jobs, bitmaps of finished tasks,
+ * the roster, and deletions of obsolete keys. Owns the budget of changes for
+ * progress; what is to be written is decided by scheduler/persistence.
+ *
+ * Serves docs/design.md "Safety" 1 (each transaction is conditioned on the
+ * version of this term's leader key), 9 (an exit is forgotten only once it is
+ * durable: `DurableWrite.applied`) and 10 (a write without an answer may still
+ * be applied: `DurableWrite.retry(true)`).
+ */
 import { RequestRefusedError, RequestRejectedError } from '../../clients/key-value-store.js';
+import { TRANSACTION_BYTES } from '../../records/value-sizes.js';
 import { AbortedError } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import { chunksOfUnknownVersion } from '../../scheduler/persistence/bitmap-chunk-write.js';
@@ -9,16 +20,23 @@
 import { LEADER_KEY } from '../election/leader-key.js';
 import type { LeaderTerm } from '../election/leader-term.js';
 
-/** A transaction's own limit in the protocol, with room for its frame. */
-const TRANSACTION_BYTES = 56 * 1024;
-/** A part of the changes is progress; the rest stays for submissions, cancellations and ends. */
+/** The share of the changes a second for progress; the rest stays for submissions, cancellations and ends. */
 const PROGRESS_SHARE = 0.3;
-/** Progress that was not needed for a while may follow in a burst, in seconds of all changes. */
+
+/** Unused changes for progress are kept for a burst, up to this many seconds of all changes. */
 const PROGRESS_BURST_S = 0.5;
-/** Ticks to wait after a transaction that was not answered. */
-const FAILURE_BACKOFF_TICKS = 3;
 
-/** Writes what a leader has to keep: ends of jobs, finished tasks and the roster. */
+/** Write intervals to wait after a transaction that was refused or not answered. */
+const FAILURE_BACKOFF_INTERVALS = 3;
+
+/**
+ * What became of a batch. Each of its writes has been told.
+ * - `settled`: applied, in conflict with what is stored, or rejected for good. The next batch may follow.
+ * - `postponed`: refused, not answered, or this leader has a successor. The rest waits for the next interval.
+ */
+type BatchOutcome = 'settled' | 'postponed';
+
+/** The durable writes of one leader term. */
 export class ProgressWriter {
   constructor(
     private readonly ctx: ControllerContext,
@@ -26,23 +44,27 @@
     private readonly cluster: ClusterState,
   ) {}
 
+  /** Writes what is pending at regular intervals; throws `AbortedError` when the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, cluster } = this;
     const { loweredChangesPerS } = ctx.limits;
-    const tickMs = ctx.timing.progressWriteMs;
-    const sparePerTick = (loweredChangesPerS * PROGRESS_SHARE * tickMs) / 1000;
-    let spare = 0;
+    const intervalMs = ctx.timing.progressWriteMs;
+    const changesPerInterval = (loweredChangesPerS * PROGRESS_SHARE * intervalMs) / 1000;
+    let budget = 0;
     while (!signal.aborted) {
-      await ctx.clock.sleep(tickMs, signal);
-      spare = Math.min(spare + sparePerTick, loweredChangesPerS * PROGRESS_BURST_S);
+      await ctx.clock.sleep(intervalMs, signal);
+      budget = Math.min(budget + changesPerInterval, loweredChangesPerS * PROGRESS_BURST_S);
       await this.rereadUnknownChunks(signal);
-      const writes = pendingWrites(cluster, { progressChanges: spare, wallNow: ctx.clock.wall() });
+      const writes = pendingWrites(cluster, {
+        progressChanges: budget,
+        wallNow: ctx.clock.wall(),
+      });
       let from = 0;
       while (from < writes.length) {
         const batch = this.nextBatch(writes, from);
         from += batch.length;
-        spare = Math.max(0, spare - batch.filter((write) => write.changes.length === 1).length);
-        if (!(await this.write(batch))) {
+        budget = Math.max(0, budget - progressChangesIn(batch));
+        if ((await this.write(batch)) === 'postponed') {
           for (const write of writes.slice(from)) write.retry(false);
           break;
         }
@@ -50,8 +72,8 @@
     }
   }
 
-  /** As many of the next units as a transaction takes, and one at the least. */
-  private nextBatch(writes: DurableWrite[], from: number): DurableWrite[] {
+  /** As many of the next writes as one transaction takes, and at least one. */
+  private nextBatch(writes: readonly DurableWrite[], from: number): DurableWrite[] {
     const batch: DurableWrite[] = [];
     let changes = 0;
     let bytes = 0;
@@ -67,23 +89,26 @@
     return batch;
   }
 
-  /** Reads anew which version of a bitmap stands after a write of it had no answer. */
+  /**
+   * After a write of a bitmap without an answer its stored version is not
+   * known: it is read before the bitmap is written again, since a write over a
+   * wrong version could only fail.
+   */
   private async rereadUnknownChunks(signal: AbortSignal): Promise<void> {
     for (const { job, chunk } of chunksOfUnknownVersion(this.cluster)) {
       try {
         const key = this.cluster.bitmaps.key(job.spec.id, chunk);
         const entry = await this.ctx.state.get(key, RequestPriority.ends, signal);
         job.chunkVersions.set(chunk, entry?.version ?? 0);
-      } catch (error) {
+      } catch (err) {
         if (signal.aborted) throw new AbortedError();
-        this.ctx.log.debug({ error: String((error as Error).message) }, 'bitmap not read');
+        this.ctx.log.debug({ err }, 'bitmap not read');
         return;
       }
     }
   }
 
-  /** False: the state service did not take it; the rest waits for the next turn. */
-  private async write(batch: DurableWrite[]): Promise<boolean> {
+  private async write(batch: readonly DurableWrite[]): Promise<BatchOutcome> {
     const { term, ctx } = this;
     try {
       const result = await ctx.state.transact(
@@ -92,47 +117,56 @@
         RequestPriority.ends,
         term.signal,
       );
-      if (!result.ok) return this.notApplied(batch, result.failed);
+      if (!result.ok) return this.conditionsFailed(batch, result.failed);
       for (const write of batch) write.applied(result.revision);
-      return true;
-    } catch (error) {
-      if (error instanceof RequestRejectedError) return this.giveUpOrSplit(batch, error);
-      for (const write of batch) write.retry(!(error instanceof RequestRefusedError));
-      if (!term.signal.aborted)
-        ctx.log.debug({ error: String((error as Error).message) }, 'flush not answered');
-      await ctx.clock.sleep(ctx.timing.progressWriteMs * FAILURE_BACKOFF_TICKS, term.signal);
-      return false;
+      return 'settled';
+    } catch (err) {
+      if (err instanceof RequestRejectedError) return this.splitOrGiveUp(batch, err);
+      // Refused: certainly not applied. Not answered: it may have been applied, or may be yet.
+      const maybeApplied = !(err instanceof RequestRefusedError);
+      for (const write of batch) write.retry(maybeApplied);
+      if (!term.signal.aborted) ctx.log.debug({ err }, 'progress write refused or not answered');
+      await ctx.clock.sleep(ctx.timing.progressWriteMs * FAILURE_BACKOFF_INTERVALS, term.signal);
+      return 'postponed';
     }
   }
 
-  /** The conditions on these keys failed, so nothing of the batch stands. False: this leader has been followed. */
-  private notApplied(batch: DurableWrite[], failed: string[]): boolean {
-    if (failed.includes(LEADER_KEY)) {
+  /** The conditions on these keys failed, so nothing of the batch was applied. */
+  private conditionsFailed(batch: readonly DurableWrite[], failedKeys: string[]): BatchOutcome {
+    if (failedKeys.includes(LEADER_KEY)) {
       this.term.resign('leader key held by another controller');
       for (const write of batch) write.retry(false);
-      return false;
+      return 'postponed';
     }
     for (const write of batch)
-      if (write.conditions.some((condition) => failed.includes(condition.key)))
-        write.conflict(failed);
+      if (write.conditions.some((condition) => failedKeys.includes(condition.key)))
+        write.conflict(failedKeys);
       else write.retry(false);
-    return true;
+    return 'settled';
   }
 
   /**
-   * The service will never take this transaction as it stands. Each part is
-   * written by itself, so that one that is at fault holds up none of the others;
-   * that one is left until the next leader, which begins with what is stored.
+   * The state service will never take this transaction as it stands. Each write
+   * is sent by itself, so that the one at fault blocks none of the others; that
+   * one is left until the next leader, which begins with what is stored.
    */
-  private async giveUpOrSplit(batch: DurableWrite[], error: Error): Promise<boolean> {
+  private async splitOrGiveUp(
+    batch: readonly DurableWrite[],
+    err: RequestRejectedError,
+  ): Promise<BatchOutcome> {
     if (batch.length > 1) {
       for (const write of batch) await this.write([write]);
-      return true;
+      return 'settled';
     }
     this.ctx.log.error(
-      { keys: batch[0]?.changes.map((change) => change.key), error: error.message },
-      'a write is not acceptable to the state service and was given up',
+      { keys: batch[0]?.changes.map((change) => change.key), err },
+      'write rejected by the state service and given up',
     );
-    return true;
+    return 'settled';
   }
 }
+
+/** The changes that count against the budget: bitmaps, roster pages and deletions, but not ends of jobs. */
+function progressChangesIn(batch: readonly DurableWrite[]): number {
+  return batch.filter((write) => write.changes.length === 1).length;
+}
