--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -107,7 +107,7 @@
     }
     if (!term.mayRenewAgentLeases())
       return { status: 503, body: { error: 'leadership is not proven' } };
-    const { orders: commands, fence } = leader.handleHeartbeat(heartbeat, relayed);
+    const { commands, fence } = leader.handleHeartbeat(heartbeat, relayed);
     return { status: 200, body: heartbeatResponseBody(fencingToken(term.number, fence), commands) };
   }
 
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -1,4 +1,14 @@
-import type { AgentClient } from '../../clients/agent-client.js';
+/**
+ * Commands that a leader sends to its machines directly, without waiting for
+ * their next heartbeats: confirmations after failover, urgent starts and stops,
+ * and probes of unresponsive machines. Owns the set of machines with a command
+ * in flight; writes nothing to the state service.
+ *
+ * Serves docs/design.md "Safety" 2 (a command leaves only while the term is
+ * proven), 3 (confirmed machines), 5 (a direct start stays assigned while
+ * unanswered) and 6 (each command goes out under the machine's fence).
+ */
+import type { AgentClient, CommandResult } from '../../clients/agent-client.js';
 import { NotAttemptedError, NotSentError } from '../../http/errors.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { TaskCommand } from '../../model/task-command.js';
@@ -10,125 +20,178 @@
 import type { ControllerContext } from '../context.js';
 import type { LeaderTerm } from '../election/leader-term.js';
 
-/** Asking machines after a takeover is followed by this many times as much for their own reports. */
-const CONFIRM_REST_RATIO = 2;
+/** A batch of confirmations is followed by this many times its duration for the machines' own heartbeats. */
+const CONFIRMATION_REST_RATIO = 2;
+
+/** Confirmations are sent in growing batches while a batch takes less than this share of the lag threshold. */
+const QUICK_BATCH_SHARE = 0.5;
+
+/** With the agent epoch that a refusal reports, a second confirmation is executed. */
+const CONFIRMATION_ATTEMPTS = 2;
+
+/** An agent begins with this epoch. */
+const FIRST_AGENT_EPOCH = 1;
 
 /** The sockets that a leader's commands may take. */
 export interface CommandSockets {
-  /** Commands to machines under way at the same time; the connections are kept for the next ones. */
+  /** Commands in flight at the same time; the connections are kept open for the next ones. */
   commands: number;
-  /** Machines confirmed at the same time after a takeover: one that is gone keeps its lane until it times out. */
+  /** Machines confirmed at the same time after failover: a terminated one occupies its socket until it times out. */
   confirmations: number;
 }
 
-/**
- * Commands that a leader sends straight to its machines, without waiting for
- * their next reports: its token after a takeover, urgent starts and stops, and
- * probes of machines that may not hear it.
- */
+/** What the commands work on. */
+export interface AgentCommandsOptions {
+  ctx: ControllerContext;
+  term: LeaderTerm;
+  cluster: ClusterState;
+  agents: Pick<AgentClient, 'command'>;
+  sockets: CommandSockets;
+}
+
+/** Direct commands of one leader term. */
 export class AgentCommands {
-  /** Machines with a command under way: one at a time each. */
+  /** Ids of machines with a command in flight: at most one each. */
   private readonly inFlight = new Set<string>();
+  private readonly ctx: ControllerContext;
+  private readonly term: LeaderTerm;
+  private readonly cluster: ClusterState;
 
-  constructor(
-    private readonly ctx: ControllerContext,
-    private readonly term: LeaderTerm,
-    private readonly cluster: ClusterState,
-    private readonly agents: Pick<AgentClient, 'command'>,
-    private readonly limits: CommandSockets,
-  ) {}
+  constructor(private readonly options: AgentCommandsOptions) {
+    this.ctx = options.ctx;
+    this.term = options.term;
+    this.cluster = options.cluster;
+  }
 
-  isInFlight(machine: string): boolean {
-    return this.inFlight.has(machine);
+  /** Whether a command to this machine has left and is not answered yet. */
+  isInFlight(machineId: string): boolean {
+    return this.inFlight.has(machineId);
   }
 
   /**
-   * Sends the inherited machines the new token without waiting for their
-   * reports: an answer under it confirms the machine.
+   * Sends the inherited machines the new fencing token without waiting for
+   * their heartbeats: a response under it confirms the machine. Returns when
+   * each has been confirmed or asked once; throws `AbortedError` when the
+   * signal is aborted.
    */
   async confirmInheritedMachines(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
-    const left = [...this.cluster.machines.values()].filter((machine) => machine.inherited);
-    let atOnce = 1;
-    while (left.length > 0) {
+    const waiting = [...this.cluster.machines.values()].filter((machine) => machine.inherited);
+    let concurrency = 1;
+    while (waiting.length > 0) {
       await waitWhileLagging(clock, timing.roundMs, timing.agentLeaseMs, signal);
-      const asked: Promise<void>[] = [];
-      while (asked.length < atOnce && left.length > 0) {
-        const machine = left.pop() as Machine;
-        if (machine.inherited && machine.address !== '') asked.push(this.confirm(machine, signal));
-      }
-      const began = clock.now();
-      // One that does not answer holds up nobody.
-      await Promise.race([Promise.all(asked), clock.sleep(timing.lagThresholdMs, signal)]);
-      const tookMs = clock.now() - began;
-      const quick = tookMs < timing.lagThresholdMs * 0.5;
-      atOnce = quick
-        ? Math.min(this.limits.confirmations, atOnce * 2)
-        : Math.max(1, Math.ceil(atOnce / 2));
-      // A worker that reports costs less than one that is asked, and has to be served in any case.
-      await clock.sleep(tookMs * CONFIRM_REST_RATIO, signal);
+      const batch = this.startConfirmations(waiting, concurrency, signal);
+      const startedAt = clock.now();
+      // A machine that does not answer must not delay the others.
+      await Promise.race([Promise.all(batch), clock.sleep(timing.lagThresholdMs, signal)]);
+      const tookMs = clock.now() - startedAt;
+      concurrency = this.nextConcurrency(concurrency, tookMs);
+      // A heartbeat costs less than a confirmation, and has to be answered in any case.
+      await clock.sleep(tookMs * CONFIRMATION_REST_RATIO, signal);
+    }
+  }
+
+  /** Takes machines from the end of `waiting`; those that a heartbeat has confirmed meanwhile are skipped. */
+  private startConfirmations(
+    waiting: Machine[],
+    concurrency: number,
+    signal: AbortSignal,
+  ): Promise<void>[] {
+    const batch: Promise<void>[] = [];
+    while (batch.length < concurrency && waiting.length > 0) {
+      const machine = waiting.pop() as Machine;
+      if (machine.inherited && machine.address !== '') batch.push(this.confirm(machine, signal));
     }
+    return batch;
   }
 
-  /** Sends what should not wait for the machines' next reports. */
+  /** Doubles while the machines answer quickly, and halves when they do not. */
+  private nextConcurrency(concurrency: number, tookMs: number): number {
+    const quick = tookMs < this.ctx.timing.lagThresholdMs * QUICK_BATCH_SHARE;
+    if (!quick) return Math.max(1, Math.ceil(concurrency / 2));
+    return Math.min(this.options.sockets.confirmations, concurrency * 2);
+  }
+
+  /** Sends what should not wait for the machines' next heartbeats, as far as the sockets go. */
   sendPending(): void {
-    const { cluster } = this;
     if (!this.term.mayStartTasks()) return;
-    // A command costs several times what its orders cost in the answer to a report.
-    if (cluster.isLagging(this.ctx.clock.now())) return;
-    for (const machine of cluster.pendingCommands) {
-      // The rest follows as these are answered, unless a report comes first.
-      if (this.inFlight.size >= this.limits.commands) return;
+    // A direct command costs several times what its content costs in the response to a heartbeat.
+    if (this.cluster.isLagging(this.ctx.clock.now())) return;
+    this.sendPendingCommands();
+    this.sendPendingProbes();
+  }
+
+  /**
+   * The same once the current event has been handled: the response to a
+   * heartbeat takes the commands of its machine first, at no cost.
+   */
+  sendPendingSoon(): void {
+    if (this.cluster.pendingCommands.size > 0) setImmediate(() => this.sendPending());
+  }
+
+  private sendPendingCommands(): void {
+    const { pendingCommands } = this.cluster;
+    for (const machine of pendingCommands) {
+      // The rest follows as these are answered, unless a heartbeat comes first.
+      if (!this.hasFreeSocket()) return;
       if (this.inFlight.has(machine.id)) continue;
-      cluster.pendingCommands.delete(machine);
-      const { commands: orders, starts } = takePendingCommands(machine);
-      if (orders.length > 0) void this.command(machine, orders, starts);
+      pendingCommands.delete(machine);
+      const { commands, starts } = takePendingCommands(machine);
+      if (commands.length > 0) void this.command(machine, commands, starts);
     }
-    for (const machine of cluster.pendingProbes) {
-      if (this.inFlight.size >= this.limits.commands) return;
+  }
+
+  /** A command without content: whether it is answered shows whether the machine receives commands. */
+  private sendPendingProbes(): void {
+    const { pendingProbes } = this.cluster;
+    for (const machine of pendingProbes) {
+      if (!this.hasFreeSocket()) return;
       if (this.inFlight.has(machine.id) || machine.address === '') continue;
-      cluster.pendingProbes.delete(machine);
+      pendingProbes.delete(machine);
       void this.command(machine, [], []);
     }
   }
 
-  /** The same after what is being handled now: a report's answer takes its own orders first. */
-  sendPendingSoon(): void {
-    if (this.cluster.pendingCommands.size > 0) setImmediate(() => this.sendPending());
+  private hasFreeSocket(): boolean {
+    return this.inFlight.size < this.options.sockets.commands;
   }
 
-  /** A command under the machine's token. It leaves only while leadership is proven, however long it waited for its connection. */
-  private send(machine: Machine, session: number, commands: TaskCommand[]) {
+  /**
+   * Sends under the machine's fencing token. It is asked again whether the
+   * term is proven once there is a connection: the wait for one may outlast the
+   * proof.
+   */
+  private send(
+    machine: Machine,
+    agentEpoch: number,
+    commands: TaskCommand[],
+  ): Promise<CommandResult> {
     const { term } = this;
-    const token = fencingToken(term.number, machine.fence);
-    return this.agents.command(
+    return this.options.agents.command(
       machine.address,
-      token,
-      session,
+      fencingToken(term.number, machine.fence),
+      agentEpoch,
       commands,
       term.signal,
-      term.isProven,
+      () => term.isProven(),
     );
   }
 
   private async confirm(machine: Machine, signal: AbortSignal): Promise<void> {
     try {
-      // Most machines are in their first session; the refusal tells of a later one.
-      let session = Math.max(1, machine.agentEpoch);
-      for (let tries = 0; tries < 2 && this.term.isProven(); tries++) {
-        const result = await this.send(machine, session, []);
-        this.applyResponse(machine, result.heartbeat);
-        if (result.executed || result.heartbeat.agentEpoch === session) return;
-        session = result.heartbeat.agentEpoch;
+      // Most agents are in their first epoch; a refusal reports a later one.
+      let agentEpoch = Math.max(FIRST_AGENT_EPOCH, machine.agentEpoch);
+      for (let attempt = 0; attempt < CONFIRMATION_ATTEMPTS && this.term.isProven(); attempt++) {
+        const { executed, heartbeat } = await this.send(machine, agentEpoch, []);
+        this.applyResponse(machine, heartbeat);
+        if (executed || heartbeat.agentEpoch === agentEpoch) return;
+        agentEpoch = heartbeat.agentEpoch;
       }
-    } catch (error) {
-      // Not having asked says nothing of the machine.
-      machine.confirmationUnanswered = !(error instanceof NotAttemptedError);
+    } catch (err) {
+      // A request that was not attempted says nothing about the machine.
+      machine.confirmationUnanswered = !(err instanceof NotAttemptedError);
       if (!signal.aborted)
-        this.ctx.log.debug(
-          { machine: machine.id, error: String((error as Error).message) },
-          'not confirmed by command',
-        );
+        this.ctx.log.debug({ machine: machine.id, err }, 'machine not confirmed by command');
     }
   }
 
@@ -137,31 +200,37 @@
     commands: TaskCommand[],
     startedAttempts: TaskAttempt[],
   ): Promise<void> {
-    const { cluster, term, ctx } = this;
+    const { cluster } = this;
     this.inFlight.add(machine.id);
     try {
-      const result = await this.send(machine, machine.agentEpoch, commands);
-      this.applyResponse(machine, result.heartbeat);
-      cluster.applyCommandResult(startedAttempts, result.executed, result.heartbeat.sequence);
-      if (result.executed) cluster.markResponsive(machine);
-    } catch (error) {
-      if (error instanceof NotSentError)
-        for (const start of startedAttempts) start.directCommandFence = null;
-      const tried = !(error instanceof NotAttemptedError);
-      if (tried && !term.signal.aborted && !machine.relayed)
-        cluster.markUnresponsive(machine, ctx.clock.now());
-      if (!term.signal.aborted)
-        ctx.log.debug(
-          { machine: machine.id, error: String((error as Error).message) },
-          'command not answered',
-        );
+      const { executed, heartbeat } = await this.send(machine, machine.agentEpoch, commands);
+      this.applyResponse(machine, heartbeat);
+      cluster.applyCommandResult(startedAttempts, executed, heartbeat.sequence);
+      if (executed) cluster.markResponsive(machine);
+    } catch (err) {
+      this.recordFailure(machine, startedAttempts, err);
     } finally {
       this.inFlight.delete(machine.id);
       this.sendPendingSoon();
     }
   }
 
+  /** Without an answer the starts may have been executed or be executed yet; they stay assigned. */
+  private recordFailure(machine: Machine, startedAttempts: TaskAttempt[], err: unknown): void {
+    const { ctx, term, cluster } = this;
+    // What has certainly not left can still go out in the response to a heartbeat.
+    if (err instanceof NotSentError)
+      for (const attempt of startedAttempts) attempt.directCommandFence = null;
+    if (term.signal.aborted) return;
+    // A request that was not attempted says nothing about the machine, and behind a network
+    // partition a machine can't answer.
+    if (!(err instanceof NotAttemptedError) && !machine.relayed)
+      cluster.markUnresponsive(machine, ctx.clock.now());
+    ctx.log.debug({ machine: machine.id, err }, 'command not answered');
+  }
+
   private applyResponse(machine: Machine, heartbeat: Heartbeat): void {
+    // Guards against an address that another machine has now: its tasks are not this machine's.
     if (heartbeat.machineId !== machine.id) return;
     if (heartbeat.term > this.term.number)
       this.term.resign('command reply carries a higher fencing token');
--- /dev/null
+++ b/src/controller/leader/prefix-snapshot.ts
@@ -0,0 +1,41 @@
+/**
+ * Reads all keys below a prefix for a leader, page by page, each page until it
+ * is answered. Reads only.
+ */
+import type { Entry } from '../../protocol/key-value-protocol.js';
+import type { ControllerContext } from '../context.js';
+import { retry } from '../retry.js';
+
+/** All keys below a prefix. */
+export interface PrefixSnapshot {
+  entries: Entry[];
+  /**
+   * Of the first page. Later pages may show later changes already: a watch
+   * from this revision reports these once more, and misses none.
+   */
+  revision: number;
+}
+
+type Page = Awaited<ReturnType<ControllerContext['state']['listPage']>>;
+
+/** All keys below the prefix, in key order. Throws `AbortedError` once the signal is aborted. */
+export async function readPrefixSnapshot(
+  ctx: ControllerContext,
+  prefix: string,
+  signal: AbortSignal,
+): Promise<PrefixSnapshot> {
+  const entries: Entry[] = [];
+  let after: string | null = null;
+  let revision: number | null = null;
+  for (;;) {
+    const from: string | null = after;
+    const page: Page = await retry(ctx, signal, (callSignal) =>
+      ctx.state.listPage(prefix, from, callSignal),
+    );
+    revision ??= page.revision;
+    entries.push(...page.entries);
+    const last = page.entries.at(-1);
+    if (!page.more || !last) return { entries, revision };
+    after = last.key;
+  }
+}
--- /dev/null
+++ b/src/controller/leader/state-restoration.ts
@@ -0,0 +1,133 @@
+/**
+ * Failover: rebuilds the cluster state of a new leader term from the state
+ * service. Reads only, and owns no state of its own: what it reads becomes part
+ * of `ClusterState` and of the demand forecast.
+ *
+ * Serves docs/design.md "Safety" 4: the roster is read before the live jobs, so
+ * each machine that may run a task of an inherited job is known before the job
+ * is, and the task waits until those machines are confirmed or terminated. And
+ * "One bound for cancellations": the moment at which the live jobs were asked
+ * for is the first one at which this term knows of all cancellations.
+ */
+import type { CloudClient } from '../../clients/cloud-client.js';
+import type { Entry } from '../../protocol/key-value-protocol.js';
+import { decodeFinishedTasks } from '../../records/finished-tasks-record.js';
+import {
+  BITMAP_PREFIX,
+  DEPENDENCY_PAGE_PREFIX,
+  LIVE_JOB_PREFIX,
+  ROSTER_PREFIX,
+} from '../../records/keys.js';
+import { decodeRosterPage } from '../../records/roster-record.js';
+import type { ClusterState } from '../../scheduler/state/cluster-state.js';
+import type { ControllerContext } from '../context.js';
+import type { LeaderTerm } from '../election/leader-term.js';
+import { readMachineTypes } from '../machine-types.js';
+import { retry } from '../retry.js';
+import type { DemandStore } from './demand-store.js';
+import type { LiveJobs } from './live-jobs.js';
+import { type PrefixSnapshot, readPrefixSnapshot } from './prefix-snapshot.js';
+
+/** How current the restored jobs are. */
+export interface RestoredState {
+  /** The revision from which the live jobs are to be watched. */
+  revision: number;
+  /** When the live jobs were asked for (clock time in ms): all cancellations confirmed until then are known. */
+  askedAt: number;
+}
+
+/** What the restoration works on. */
+export interface StateRestorationOptions {
+  ctx: ControllerContext;
+  cloud: Pick<CloudClient, 'types'>;
+  term: LeaderTerm;
+  cluster: ClusterState;
+  liveJobs: LiveJobs;
+  demandStore: DemandStore;
+}
+
+/** Restores the state of the term's predecessors. */
+export class StateRestoration {
+  private readonly ctx: ControllerContext;
+  private readonly cluster: ClusterState;
+
+  constructor(private readonly options: StateRestorationOptions) {
+    this.ctx = options.ctx;
+    this.cluster = options.cluster;
+  }
+
+  /**
+   * Reads, in this order: machine types, roster, live jobs, demand forecast,
+   * bitmaps of finished tasks, pages of dependencies. Each read is repeated
+   * until it is answered. Throws `AbortedError` once the term has ended.
+   */
+  async run(): Promise<RestoredState> {
+    const { ctx, cluster } = this;
+    const { cloud, term, liveJobs, demandStore } = this.options;
+    const now = ctx.clock.now();
+    cluster.wallClockOffset = ctx.clock.wall() - now;
+    if (!ctx.machineTypes)
+      ctx.machineTypes = await retry(ctx, term.signal, (signal) =>
+        readMachineTypes(ctx, cloud, signal),
+      );
+    cluster.updateMachineTypes(ctx.machineTypes ?? []);
+    const roster = await this.readAll(ROSTER_PREFIX);
+    this.restoreRoster(roster.entries);
+    const askedAt = ctx.clock.now();
+    const live = await this.readAll(LIVE_JOB_PREFIX);
+    // Before the jobs are added: those that arrived after the forecast was saved add to it.
+    await demandStore.read();
+    liveJobs.addAll(live.entries);
+    const bitmaps = await this.readAll(BITMAP_PREFIX);
+    this.restoreFinishedTasks(bitmaps.entries);
+    const pages = await this.readAll(DEPENDENCY_PAGE_PREFIX);
+    this.markOrphanedDependencyPages(pages.entries, live.revision);
+    return { revision: live.revision, askedAt };
+  }
+
+  private readAll(prefix: string): Promise<PrefixSnapshot> {
+    return readPrefixSnapshot(this.ctx, prefix, this.options.term.signal);
+  }
+
+  /** Machines to which earlier leaders may have assigned tasks. */
+  private restoreRoster(pages: readonly Entry[]): void {
+    for (const page of pages) {
+      const key = page.key.slice(ROSTER_PREFIX.length);
+      const machines = decodeRosterPage(key, page.value);
+      this.cluster.roster.restore(key, page.version, machines);
+      for (const { id, type, zone, spot, address } of machines)
+        this.cluster.inheritMachine(id, type, zone, spot, address, this.ctx.clock.now());
+    }
+  }
+
+  /** The finished tasks of live jobs; bitmaps of ended jobs, and values that are none, are to be deleted. */
+  private restoreFinishedTasks(entries: readonly Entry[]): void {
+    const { cluster } = this;
+    for (const { key, value, version } of entries) {
+      const chunk = cluster.bitmaps.parse(key);
+      const job = chunk && cluster.jobs.get(chunk.job);
+      const finished = decodeFinishedTasks(value);
+      if (!job || !finished) {
+        cluster.obsoleteKeys.add(key);
+        continue;
+      }
+      job.loadBits(chunk.firstTask, finished);
+      // A chunk in the form of an earlier version is never written again, and deleted with its job.
+      if (chunk.chunk === null) job.ownedKeys.push(key);
+      else job.chunkVersions.set(chunk.chunk, version);
+    }
+  }
+
+  /**
+   * Pages of dependencies whose job has ended are to be deleted. A page is
+   * written in one transaction with its job: one that is newer than the list of
+   * live jobs belongs to a job that this list does not show yet.
+   */
+  private markOrphanedDependencyPages(pages: readonly Entry[], liveRevision: number): void {
+    const { cluster } = this;
+    for (const { key, version } of pages) {
+      const [jobId = ''] = key.slice(DEPENDENCY_PAGE_PREFIX.length).split('/');
+      if (!cluster.jobs.has(jobId) && version <= liveRevision) cluster.obsoleteKeys.add(key);
+    }
+  }
+}
--- a/src/controller/local-leader.ts
+++ b/src/controller/local-leader.ts
@@ -5,7 +5,8 @@
 import type { TaskCounts } from './api/job-status.js';
 import type { ControllerContext } from './context.js';
 import type { LeaderTerm } from './election/leader-term.js';
-import { commandSockets, Leader } from './leader/leader.js';
+import { Leader } from './leader/leader.js';
+import { totalCommandSockets } from './leader/scheduler-configuration.js';
 
 /**
  * Runs a `Leader` for each term that is won, and lets the other parts of the
@@ -24,8 +25,14 @@
   /** Runs the leader's routines until the term ends. */
   async run(term: LeaderTerm): Promise<void> {
     const { platform, timing } = this.ctx;
-    const agents = new AgentClient(timing.commandTimeoutMs, commandSockets(platform));
-    const leader = new Leader(this.ctx, this.cloud, term, this.policy, agents);
+    const agents = new AgentClient(timing.commandTimeoutMs, totalCommandSockets(platform));
+    const leader = new Leader({
+      ctx: this.ctx,
+      cloud: this.cloud,
+      term,
+      policy: this.policy,
+      agents,
+    });
     this.current = leader;
     try {
       await leader.run();
--- a/src/controller/wiring.ts
+++ b/src/controller/wiring.ts
@@ -16,7 +16,7 @@
 import { LeaderElection } from './election/leader-election.js';
 import { ControllerHealth } from './health.js';
 import { HeartbeatHandler } from './heartbeats/heartbeat-handler.js';
-import { schedulerPolicy } from './leader/leader.js';
+import { schedulerPolicy } from './leader/scheduler-configuration.js';
 import { LocalLeader } from './local-leader.js';
 import { createPeers, type Peers } from './membership/peers.js';
 import { MemoryGuard, processMemory } from './memory-guard.js';
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -105,12 +105,12 @@
   // Its first report goes through, then it is cut off for good: the answer has to do.
   const heartbeat = m.worker.heartbeat();
   assert.ok(heartbeat.term < (leader.leadership.current?.number ?? 0));
-  const { orders } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { orders: [] };
-  const stops = orders.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
+  const { commands } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { commands: [] };
+  const stops = commands.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
   assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
   assert.ok(stops.length > 0);
   // Under a later term's own token, without proof, the same.
-  assert.equal(orders.length, stops.length);
+  assert.equal(commands.length, stops.length);
 });
 
 test('after a watch that is too old the leader knows nothing until it has read all jobs again', async () => {
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -10,7 +10,8 @@
 import { Mailbox } from '../src/controller/heartbeats/mailbox.js';
 import { DemandStore } from '../src/controller/leader/demand-store.js';
 import { DependencyListCleaner } from '../src/controller/leader/dependency-list-cleaner.js';
-import { Leader, schedulerPolicy } from '../src/controller/leader/leader.js';
+import { Leader } from '../src/controller/leader/leader.js';
+import { schedulerPolicy } from '../src/controller/leader/scheduler-configuration.js';
 import { readMachineTypes, storeMachineTypes } from '../src/controller/machine-types.js';
 import type { JobSpec } from '../src/model/job.js';
 import type { EndedJobRecord } from '../src/records/job-end-record.js';
@@ -67,7 +68,13 @@
     retainOnly: () => {},
     close: () => {},
   };
-  const leader = new Leader({ ...ctx, log }, cloud, term, schedulerPolicy(DEFAULT_POLICY), workers);
+  const leader = new Leader({
+    ctx: { ...ctx, log },
+    cloud,
+    term,
+    policy: schedulerPolicy(DEFAULT_POLICY),
+    agents: workers,
+  });
   const ended = leader.run().catch(() => {});
   await settle();
   assert.ok(leader.ready);
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -204,7 +204,7 @@
     untilReady: () => leader.ready,
     handleHeartbeat: () => {
       leader.handled++;
-      return { orders: [], fence: 2 };
+      return { commands: [], fence: 2 };
     },
   };
   const handler = new HeartbeatHandler({
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -289,7 +289,14 @@
     },
   };
   const term = { number: 1, signal: stop.signal, isProven: () => true } as never;
-  const duty = new FleetController(ctx, term, c, new ScaleOutPlanner(c), cloud, () => {});
+  const duty = new FleetController({
+    ctx,
+    term,
+    cluster: c,
+    scaleOut: new ScaleOutPlanner(c),
+    cloud,
+    agents: { retainOnly: () => {} },
+  });
   void duty.runScaling(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.listMs + ctx.timing.heartbeatMs * 2);
   assert.equal(c.machines.size, 0);
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -4,7 +4,8 @@
 import type { ControllerContext } from '../../src/controller/context.js';
 import { LeaderElection } from '../../src/controller/election/leader-election.js';
 import { HeartbeatHandler } from '../../src/controller/heartbeats/heartbeat-handler.js';
-import { Leader, schedulerPolicy } from '../../src/controller/leader/leader.js';
+import { Leader } from '../../src/controller/leader/leader.js';
+import { schedulerPolicy } from '../../src/controller/leader/scheduler-configuration.js';
 import { NoResponseError } from '../../src/http/errors.js';
 import { createContext, type NextLimits } from './context.js';
 import { FakeStateService } from './state.js';
@@ -39,13 +40,13 @@
     this.ctx = { ...createContext(name, this.state, clock, next), incarnation: `${name}-${life}` };
     this.ctx.log = pino({ level: 'silent' });
     this.leadership = new LeaderElection(this.ctx, async (term) => {
-      const leader = new Leader(
-        this.ctx,
-        world.cloud(this),
+      const leader = new Leader({
+        ctx: this.ctx,
+        cloud: world.cloud(this),
         term,
-        schedulerPolicy(DEFAULT_POLICY),
-        world.commands(this),
-      );
+        policy: schedulerPolicy(DEFAULT_POLICY),
+        agents: world.commands(this),
+      });
       this.leader = leader;
       world.terms.push(this);
       try {
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -163,9 +163,12 @@
     },
   };
   const term = { number: 2, signal: stop.signal, isProven: () => true } as never;
-  const commands = new AgentCommands(ctx, term, cluster, workers, {
-    commands: 9,
-    confirmations: 9,
+  const commands = new AgentCommands({
+    ctx,
+    term,
+    cluster,
+    agents: workers,
+    sockets: { commands: 9, confirmations: 9 },
   });
   void commands.confirmInheritedMachines(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.heartbeatMs);
