--- /dev/null
+++ b/test/agent-commands.test.ts
@@ -0,0 +1,149 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { CommandResult } from '../src/clients/agent-client.js';
+import { AgentCommands } from '../src/controller/leader/agent-commands.js';
+import { NoResponseError, NotAttemptedError, NotSentError } from '../src/http/errors.js';
+import type { TaskCommand } from '../src/model/task-command.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { FakeClock, settle } from './support/clock.js';
+import { createContext } from './support/context.js';
+import { createCluster, jobSpec, joinCluster, ScriptedAgent } from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
+
+interface SentCommand {
+  agentEpoch: number;
+  commands: TaskCommand[];
+}
+
+/** The commands of a leader of term 2, whose agents answer by script. */
+function commandsOf(answer: (sent: SentCommand) => CommandResult) {
+  const clock = new FakeClock();
+  const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
+  const cluster = createCluster({ term: 2 });
+  const stop = new AbortController();
+  const sent: SentCommand[] = [];
+  const reasons: string[] = [];
+  const term = {
+    number: 2,
+    signal: stop.signal,
+    isProven: () => true,
+    mayStartTasks: () => true,
+    resign: (reason: string) => reasons.push(reason),
+  } as never;
+  const agents = {
+    command: async (
+      _address: string,
+      _token: number,
+      agentEpoch: number,
+      commands: TaskCommand[],
+    ) => {
+      sent.push({ agentEpoch, commands });
+      return answer({ agentEpoch, commands });
+    },
+  };
+  const sockets = { commands: 9, confirmations: 9 };
+  const commands = new AgentCommands({ ctx, term, cluster, agents, sockets });
+  return { clock, ctx, cluster, stop, sent, reasons, commands };
+}
+
+/** A machine of term 2 with one task assigned, whose start has not been sent. */
+function withAssignedTask(node: ReturnType<typeof commandsOf>) {
+  const { cluster, clock } = node;
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), clock.now());
+  const job = cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
+  runPlacementRound(cluster, 32, clock.now());
+  const machine = cluster.machines.get('n-1');
+  const attempt = job?.activeAttempts.get(0);
+  assert.ok(machine && attempt);
+  return { agent, machine, attempt };
+}
+
+test('a confirmation refused for its agent epoch is repeated under the reported one', async () => {
+  const agent = new ScriptedAgent('n-1');
+  agent.agentEpoch = 3;
+  const node = commandsOf(({ agentEpoch }) => {
+    const executed = agentEpoch === 3 && agent.execute(2, []);
+    return { executed, heartbeat: agent.heartbeat() };
+  });
+  node.cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
+  void node.commands.confirmInheritedMachines(node.stop.signal).catch(() => {});
+  await node.clock.advance(node.ctx.timing.heartbeatMs);
+  node.stop.abort();
+  assert.deepEqual(
+    node.sent.map(({ agentEpoch }) => agentEpoch),
+    [1, 3],
+  );
+  assert.equal(node.cluster.machines.get('n-1')?.confirmed, true);
+});
+
+test('the answer of another machine at the same address is not taken for this one’s', async () => {
+  const other = new ScriptedAgent('n-2');
+  other.term = 2;
+  const node = commandsOf(() => ({ executed: true, heartbeat: other.heartbeat() }));
+  node.cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
+  void node.commands.confirmInheritedMachines(node.stop.signal).catch(() => {});
+  await node.clock.advance(node.ctx.timing.heartbeatMs);
+  node.stop.abort();
+  assert.ok(node.sent.length > 0);
+  assert.equal(node.cluster.machines.get('n-1')?.confirmed, false);
+  assert.equal(node.cluster.machines.has('n-2'), false);
+});
+
+test('an agent that knows a higher fencing token ends the term', async () => {
+  const agent = new ScriptedAgent('n-1');
+  agent.term = 3;
+  const node = commandsOf(() => ({ executed: false, heartbeat: agent.heartbeat() }));
+  node.cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
+  void node.commands.confirmInheritedMachines(node.stop.signal).catch(() => {});
+  await node.clock.advance(node.ctx.timing.heartbeatMs);
+  node.stop.abort();
+  assert.deepEqual(node.reasons, ['command reply carries a higher fencing token']);
+});
+
+test('only a start that has certainly not left may go out with the next heartbeat as if unsent', async () => {
+  for (const [error, fence, unresponsive] of [
+    [new NotAttemptedError('every socket is in use'), null, false],
+    [new NotSentError('no connection'), null, true],
+    [new NoResponseError('timed out'), 0, true],
+  ] as const) {
+    const node = commandsOf(() => {
+      throw error;
+    });
+    const { machine, attempt } = withAssignedTask(node);
+    node.commands.sendPending();
+    await settle();
+    assert.equal(node.sent[0]?.commands[0]?.op, 'start');
+    assert.equal(attempt.directCommandFence, fence, error.message);
+    assert.equal(machine.unresponsiveSince !== null, unresponsive, error.message);
+    assert.equal(attempt.state, 'assigned');
+    node.stop.abort();
+  }
+});
+
+test('a machine behind a network partition is not unresponsive for a command that it can’t answer', async () => {
+  const node = commandsOf(() => {
+    throw new NoResponseError('timed out');
+  });
+  const { machine } = withAssignedTask(node);
+  node.commands.sendPending();
+  machine.relayed = true;
+  await settle();
+  assert.equal(node.sent.length, 1);
+  assert.equal(machine.unresponsiveSince, null);
+  node.stop.abort();
+});
+
+test('a machine has one command in flight at a time', async () => {
+  const node = commandsOf(() => {
+    throw new NoResponseError('timed out');
+  });
+  const { machine } = withAssignedTask(node);
+  node.commands.sendPending();
+  assert.equal(node.commands.isInFlight('n-1'), true);
+  node.cluster.pendingProbes.add(machine);
+  node.commands.sendPending();
+  assert.equal(node.sent.length, 1);
+  await settle();
+  assert.equal(node.commands.isInFlight('n-1'), false);
+  node.stop.abort();
+});
