--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -30,7 +30,7 @@
 const FAILURE_BACKOFF_INTERVALS = 3;
 
 /**
- * What became of a batch. Each of its writes has been told.
+ * What became of a batch; each of its writes has had the callback for it.
  * - `settled`: applied, in conflict with what is stored, or rejected for good. The next batch may follow.
  * - `postponed`: refused, not answered, or this leader has a successor. The rest waits for the next interval.
  */
--- a/test/agent-commands.test.ts
+++ b/test/agent-commands.test.ts
@@ -13,6 +13,8 @@
 interface SentCommand {
   agentEpoch: number;
   commands: TaskCommand[];
+  /** Asked by the client once it has a connection. */
+  stillValid: () => boolean;
 }
 
 /** The commands of a leader of term 2, whose agents answer by script. */
@@ -23,10 +25,11 @@
   const stop = new AbortController();
   const sent: SentCommand[] = [];
   const reasons: string[] = [];
+  const proof = { lasts: true };
   const term = {
     number: 2,
     signal: stop.signal,
-    isProven: () => true,
+    isProven: () => proof.lasts,
     mayStartTasks: () => true,
     resign: (reason: string) => reasons.push(reason),
   } as never;
@@ -36,14 +39,17 @@
       _token: number,
       agentEpoch: number,
       commands: TaskCommand[],
+      _signal: AbortSignal,
+      stillValid: () => boolean,
     ) => {
-      sent.push({ agentEpoch, commands });
-      return answer({ agentEpoch, commands });
+      const command = { agentEpoch, commands, stillValid };
+      sent.push(command);
+      return answer(command);
     },
   };
   const sockets = { commands: 9, confirmations: 9 };
   const commands = new AgentCommands({ ctx, term, cluster, agents, sockets });
-  return { clock, ctx, cluster, stop, sent, reasons, commands };
+  return { clock, ctx, cluster, stop, sent, reasons, commands, proof };
 }
 
 /** A machine of term 2 with one task assigned, whose start has not been sent. */
@@ -147,3 +153,31 @@
   assert.equal(node.commands.isInFlight('n-1'), false);
   node.stop.abort();
 });
+
+test('a command that waits for its connection until the proof is over does not leave', async () => {
+  const node = commandsOf(() => {
+    throw new NoResponseError('timed out');
+  });
+  withAssignedTask(node);
+  node.commands.sendPending();
+  assert.equal(node.sent[0]?.stillValid(), true);
+  node.proof.lasts = false;
+  assert.equal(node.sent[0]?.stillValid(), false);
+  await settle();
+  node.stop.abort();
+});
+
+test('a leader that is late itself sends no direct commands', async () => {
+  const node = commandsOf(() => {
+    throw new NoResponseError('timed out');
+  });
+  withAssignedTask(node);
+  node.cluster.markLagging(node.clock.now());
+  node.commands.sendPending();
+  assert.equal(node.sent.length, 0);
+  await node.clock.advance(node.ctx.timing.heartbeatMs);
+  node.commands.sendPending();
+  assert.equal(node.sent.length, 1);
+  await settle();
+  node.stop.abort();
+});
--- /dev/null
+++ b/test/progress-writer.test.ts
@@ -0,0 +1,69 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { ProgressWriter } from '../src/controller/leader/progress-writer.js';
+import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { FakeClock } from './support/clock.js';
+import { createContext } from './support/context.js';
+import {
+  createCluster,
+  jobSpec,
+  joinCluster,
+  ScriptedAgent,
+  sendHeartbeat,
+} from './support/scheduler.js';
+import { FakeStateService, FakeStore } from './support/state.js';
+
+/** A leader whose only job is complete, with its end still to be written. */
+function withCompleteJob() {
+  const clock = new FakeClock();
+  const store = new FakeStore(clock);
+  const state = new FakeStateService(store);
+  const ctx = createContext('n-0', state, clock);
+  const cluster = createCluster();
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  store.transact([], [{ op: 'put', key: 'live/req-000001', value: {} }]);
+  cluster.addJob(jobSpec({ tasks: 1 }), store.revision, 0, false);
+  runPlacementRound(cluster, 9, 0);
+  sendHeartbeat(cluster, agent, 10);
+  for (const key of [...agent.tasks.keys()]) agent.exit(key, 'done');
+  sendHeartbeat(cluster, agent, 20);
+  const stop = new AbortController();
+  const reasons: string[] = [];
+  const term = {
+    number: 1,
+    version: 0,
+    signal: stop.signal,
+    resign: (reason: string) => reasons.push(reason),
+  } as never;
+  const run = () => void new ProgressWriter(ctx, term, cluster).run(stop.signal).catch(() => {});
+  return { clock, store, state, ctx, cluster, stop, reasons, run };
+}
+
+test('a leader whose key is another’s writes nothing and ends its term', async () => {
+  const node = withCompleteJob();
+  node.store.transact([], [{ op: 'put', key: 'leader', value: {} }]);
+  node.run();
+  await node.clock.advance(node.ctx.timing.progressWriteMs * 1.5);
+  node.stop.abort();
+  assert.deepEqual(node.reasons, ['leader key held by another controller']);
+  assert.equal(node.store.entries.has('over/req-000001'), false);
+  assert.equal(node.cluster.jobs.size, 1);
+});
+
+test('a refused write is written again after a pause, as often as it takes', async () => {
+  const node = withCompleteJob();
+  node.state.fault = 'refuse';
+  node.run();
+  const { progressWriteMs } = node.ctx.timing;
+  await node.clock.advance(progressWriteMs * 1.5);
+  const { requests } = node.state;
+  // The pause is longer than an interval.
+  await node.clock.advance(progressWriteMs * 2);
+  assert.equal(node.state.requests, requests);
+  node.state.fault = null;
+  await node.clock.advance(progressWriteMs * 3);
+  node.stop.abort();
+  assert.equal(node.store.entries.has('over/req-000001'), true);
+  assert.equal(node.cluster.jobs.size, 0);
+  assert.deepEqual(node.reasons, []);
+});
