--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -26,7 +26,7 @@
 const MAX_ERROR_LENGTH = 200;
 
 /** The list of a large fleet has many pages, which must not hold up provisioning and termination. */
-const LIST_PRIORITY = RequestPriority.ends;
+const LIST_PRIORITY = RequestPriority.completions;
 
 /** Where the cloud is, and the part of its limit that this client may use. */
 export interface CloudClientOptions {
@@ -88,7 +88,7 @@
     signal: AbortSignal,
     isStillValid: () => boolean,
   ): Promise<string[] | null> {
-    await this.awaitBudget(RequestPriority.users, signal);
+    await this.awaitBudget(RequestPriority.submissions, signal);
     const response = await this.http.request({
       method: 'POST',
       target: PATHS.machines,
@@ -130,7 +130,10 @@
   }
 
   /** The body of a 200; any other status is no usable answer. */
-  private async call({ priority = RequestPriority.users, ...request }: Call): Promise<unknown> {
+  private async call({
+    priority = RequestPriority.submissions,
+    ...request
+  }: Call): Promise<unknown> {
     await this.awaitBudget(priority, request.signal);
     const { timeoutMs } = this.options;
     const response: HttpResponse = await this.http.request({ ...request, timeoutMs });
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -106,7 +106,7 @@
     prefix: string,
     after: string | null,
     signal?: AbortSignal,
-    priority: RequestPriority = RequestPriority.lead,
+    priority: RequestPriority = RequestPriority.leadership,
   ): Promise<EntryPage> {
     const target = listTarget(prefix, after, MAX_PAGE_ENTRIES);
     return parsePage((await this.call({ method: 'GET', target, priority, signal })).body);
@@ -140,7 +140,7 @@
       method: 'POST',
       target: PATHS.leases,
       body: grantBody(Math.round(ttlMs)),
-      priority: RequestPriority.lead,
+      priority: RequestPriority.leadership,
       signal,
     });
     return parseLease(response.body);
@@ -152,7 +152,7 @@
       method: 'POST',
       target: leaseTarget(lease, true),
       body: {},
-      priority: RequestPriority.lead,
+      priority: RequestPriority.leadership,
       signal,
     });
     return response.status === 200;
@@ -161,7 +161,7 @@
   /** See `KeyValueStore`. */
   async revoke(lease: number, signal?: AbortSignal): Promise<void> {
     const target = leaseTarget(lease, false);
-    await this.call({ method: 'DELETE', target, priority: RequestPriority.lead, signal });
+    await this.call({ method: 'DELETE', target, priority: RequestPriority.leadership, signal });
   }
 
   /** See `KeyValueStore`. What becomes of it counts for neither `failingSince` nor `lastAttemptAt`. */
@@ -171,7 +171,7 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<EventBatch | null> {
-    await this.awaitBudget(RequestPriority.lead, 0, signal);
+    await this.awaitBudget(RequestPriority.leadership, 0, signal);
     try {
       const response = await this.watchHttp.request({
         method: 'GET',
@@ -200,7 +200,7 @@
     const { clock, timeoutMs } = this.options;
     await this.awaitBudget(priority, changes, signal);
     this.lastAttemptAt = clock.now();
-    const client = priority === RequestPriority.lead ? this.leadershipHttp : this.http;
+    const client = priority === RequestPriority.leadership ? this.leadershipHttp : this.http;
     try {
       const response = this.check(
         await client.request({ method, target, body, timeoutMs, signal }),
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -77,7 +77,7 @@
       dependencies: this.dependencies,
       taskCounts: options.taskCounts,
     });
-    this.lookups = new JobLookups(this.store, RequestPriority.questions);
+    this.lookups = new JobLookups(this.store, RequestPriority.queries);
   }
 
   /**
@@ -112,7 +112,7 @@
     try {
       const job = await this.lookups.find(id);
       if (!job) return refuse('unknownJob');
-      const status = await this.statuses.statusOf(id, job, RequestPriority.questions);
+      const status = await this.statuses.statusOf(id, job, RequestPriority.queries);
       const counts = status.live ? this.options.taskCounts.taskCountsOf(id) : null;
       const done = status.state === 'done' ? status.tasks : (counts?.done ?? 0);
       return {
@@ -133,13 +133,13 @@
     if (!JOB_ID_PATTERN.test(id)) return refuse('unknownJob');
     try {
       for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
-        const status = await this.statuses.find(id, RequestPriority.users);
+        const status = await this.statuses.find(id, RequestPriority.submissions);
         if (!status) return refuse('unknownJob');
         if (!status.live) {
           if (status.state === 'cancelled') await this.announceCancellation(id, status.version);
           return { status: 200, body: jobStateBody(id, status.state) };
         }
-        const cancelled = await this.store.cancel(status.live, RequestPriority.users);
+        const cancelled = await this.store.cancel(status.live, RequestPriority.submissions);
         if (cancelled.ok) {
           this.ctx.log.info({ job: id }, 'job cancelled');
           await this.announceCancellation(id, cancelled.revision);
@@ -171,7 +171,7 @@
 
   /** 200 with the job's state; null when its id was never accepted. */
   private async replyIfKnown(id: string): Promise<Reply | null> {
-    const status = await this.statuses.find(id, RequestPriority.users);
+    const status = await this.statuses.find(id, RequestPriority.submissions);
     return status && { status: 200, body: jobStateBody(id, status.state) };
   }
 
@@ -183,10 +183,10 @@
     const known = await this.replyIfKnown(spec.id);
     if (known) return known;
     if (named.includes(spec.id)) return refuse('dependsOnItself');
-    const summary = await this.dependencies.summarize(named, RequestPriority.users);
+    const summary = await this.dependencies.summarize(named, RequestPriority.submissions);
     if (summary.missing.length > 0) return refuseUnknownDependencies(summary.missing);
     if (!summary.cancelled) return this.accept(spec, { pending: summary.pending, named });
-    const created = await this.store.createCancelled(spec, RequestPriority.users);
+    const created = await this.store.createCancelled(spec, RequestPriority.submissions);
     if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
     return { status: 201, body: jobStateBody(spec.id, 'cancelled') };
   }
@@ -195,7 +195,7 @@
   private async accept(spec: JobSpec, dependencies: SubmittedDependencies): Promise<Reply> {
     const record: LiveJobRecord = { spec, acceptedAt: this.ctx.clock.wall() };
     try {
-      const created = await this.store.create(record, dependencies, RequestPriority.users);
+      const created = await this.store.create(record, dependencies, RequestPriority.submissions);
       if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
     } catch (error) {
       if (error instanceof DependencyListContendedError) return refuse('sameJobAtAnotherNode');
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -165,7 +165,11 @@
     const { id } = record.spec;
     const changes = creationChanges(record, pending, this.ctx.limits);
     if (changes) return this.ctx.state.transact(unknownId(id), changes, priority);
-    const { ref, condition } = await this.dependencyLists.write(id, named, RequestPriority.ends);
+    const { ref, condition } = await this.dependencyLists.write(
+      id,
+      named,
+      RequestPriority.completions,
+    );
     const value: LiveJobRecord = {
       ...record,
       dependencies: [dependencyListPlaceholder(id)],
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -97,7 +97,7 @@
    */
   private async campaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
-    const lastTerm = await ctx.state.get(TERM_KEY, RequestPriority.lead, signal);
+    const lastTerm = await ctx.state.get(TERM_KEY, RequestPriority.leadership, signal);
     const number = (decodeTerm(lastTerm?.value) ?? 0) + 1;
     const leaseRequestedAt = ctx.clock.now();
     const lease = await ctx.state.grant(ctx.timing.leaseMs, signal);
--- a/src/controller/election/leader-key.ts
+++ b/src/controller/election/leader-key.ts
@@ -37,7 +37,7 @@
       { op: 'put', key: LEADER_KEY, value: encodeLeaderRecord(record), lease: record.lease },
       { op: 'put', key: TERM_KEY, value: encodeTerm(record.term) },
     ],
-    RequestPriority.lead,
+    RequestPriority.leadership,
     signal,
   );
 }
@@ -55,7 +55,7 @@
   signal: AbortSignal,
 ): Promise<number | null> {
   await ctx.clock.sleep(ctx.timing.renewMs * READ_BACK_DELAY, signal);
-  const entry = await ctx.state.get(LEADER_KEY, RequestPriority.lead, signal);
+  const entry = await ctx.state.get(LEADER_KEY, RequestPriority.leadership, signal);
   const found = entry ? decodeLeaderRecord(entry.value) : null;
   if (entry && found?.incarnation === ctx.incarnation && found.term === term) return entry.version;
   await ctx.state.revoke(lease, signal);
--- a/src/controller/heartbeats/delegated-renewal.ts
+++ b/src/controller/heartbeats/delegated-renewal.ts
@@ -6,7 +6,7 @@
  * tasks of every agent on the other side one lease later. The follower replies
  * with the leader's own fencing token, issues no command but the stop of tasks
  * whose job has ended, and stops renewing in time. Why that is safe
- * (docs/design.md, "One bound for cancellations", "Cuts" and "Copies at a
+ * (docs/design.md, "One bound for cancellations", "Network partitions" and "Copies at a
  * follower"):
  *
  * - Cancellations known to the state service. Whoever renews a lease answers
@@ -99,7 +99,7 @@
         if (task.state === 'exited') continue;
         const { jobId, index, attempt } = task;
         if (!endedByJob.has(jobId)) {
-          const live = await ctx.state.get(liveJobKey(jobId), RequestPriority.ends);
+          const live = await ctx.state.get(liveJobKey(jobId), RequestPriority.completions);
           endedByJob.set(jobId, live === null);
         }
         if (endedByJob.get(jobId)) stops.push({ op: 'stop', jobId, index, attempt, graceS: 0 });
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -169,7 +169,11 @@
 
   private async write(key: string, value: StoredMailboxMessage): Promise<void> {
     const lease = await this.usableLease();
-    await this.ctx.state.transact([], [{ op: 'put', key, value, lease }], RequestPriority.ends);
+    await this.ctx.state.transact(
+      [],
+      [{ op: 'put', key, value, lease }],
+      RequestPriority.completions,
+    );
   }
 
   /** A lease with enough of its life left for a request and its response. */
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -85,7 +85,7 @@
   private async readPage(page: number): Promise<unknown> {
     const { ctx } = this;
     const entry = await retry(ctx, this.term.signal, (signal) =>
-      ctx.state.get(pageKey(page), RequestPriority.lead, signal),
+      ctx.state.get(pageKey(page), RequestPriority.leadership, signal),
     );
     return entry?.value ?? null;
   }
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -59,17 +59,22 @@
 
   private async readList(job: Job, signal: AbortSignal): Promise<void> {
     const { id } = job.spec;
-    const stored = await this.store.find(id, RequestPriority.ends, signal);
+    const stored = await this.store.find(id, RequestPriority.completions, signal);
     // It has ended meanwhile; the job watch is about to report that.
     if (!stored?.live) return;
-    const ids = await this.store.dependenciesOf(id, stored.record, RequestPriority.ends, signal);
+    const ids = await this.store.dependenciesOf(
+      id,
+      stored.record,
+      RequestPriority.completions,
+      signal,
+    );
     if (ids) this.cluster.addReadDependencies(job, ids);
   }
 
   /** All at once: one job may wait for thousands that ended before this term. */
   private async readEnds(ids: readonly string[], signal: AbortSignal): Promise<void> {
     if (ids.length === 0) return;
-    const ends = await this.store.findEnds(ids, RequestPriority.ends, signal);
+    const ends = await this.store.findEnds(ids, RequestPriority.completions, signal);
     for (const [id, { record }] of ends)
       this.cluster.endJob(id, { state: record.state, at: record.at ?? null });
     const missing = ids.find((id) => !ends.has(id));
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -12,7 +12,7 @@
 import type { ListedMachine } from '../../model/machine.js';
 import type { ProvisionRequest } from '../../protocol/cloud-protocol.js';
 import { waitWhileLagging } from '../../runtime/clock.js';
-import type { MachineTermination } from '../../scheduler/scaling/scale-in.js';
+import type { MachineTermination, ScaleInPlanner } from '../../scheduler/scaling/scale-in.js';
 import type { ScaleOutPlan, ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { ControllerContext } from '../context.js';
@@ -39,6 +39,7 @@
   term: LeaderTerm;
   cluster: ClusterState;
   scaleOut: ScaleOutPlanner;
+  scaleIn: ScaleInPlanner;
   cloud: Pick<CloudClient, 'types' | 'list' | 'provision' | 'terminate'>;
   /** Its connections to machines that no longer exist are closed after each list. */
   agents: Pick<AgentClient, 'retainOnly'>;
@@ -50,6 +51,7 @@
   private readonly term: LeaderTerm;
   private readonly cluster: ClusterState;
   private readonly scaleOut: ScaleOutPlanner;
+  private readonly scaleIn: ScaleInPlanner;
   private readonly cloud: FleetControllerOptions['cloud'];
   private provisionCount = 0;
 
@@ -58,6 +60,7 @@
     this.term = options.term;
     this.cluster = options.cluster;
     this.scaleOut = options.scaleOut;
+    this.scaleIn = options.scaleIn;
     this.cloud = options.cloud;
   }
 
@@ -98,7 +101,7 @@
 
   /** Plans and carries out scale-out and scale-in; throws `AbortedError` when the signal is aborted. */
   async runScaling(signal: AbortSignal): Promise<void> {
-    const { ctx, scaleOut } = this;
+    const { ctx, scaleOut, scaleIn } = this;
     const { clock, timing } = ctx;
     let loggedAt = 0;
     let planningMs = 0;
@@ -111,7 +114,7 @@
       const now = clock.now();
       // Scale-out first: its plan marks the machines that are candidates for scale-in.
       const provisions = scaleOut.plan(now);
-      const terminations = scaleOut.planScaleIn(now).slice(0, this.maxTerminations());
+      const terminations = scaleIn.plan(now).slice(0, this.maxTerminations());
       planningMs = clock.now() - now;
       for (let from = 0; from < terminations.length; from += MAX_MACHINES_PER_TERMINATION)
         await this.terminate(terminations.slice(from, from + MAX_MACHINES_PER_TERMINATION), signal);
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -13,6 +13,7 @@
 import type { SchedulerPolicy } from '../../model/policy.js';
 import { BitmapLayout } from '../../records/bitmap-layout.js';
 import { valueCapacityBytes } from '../../records/value-sizes.js';
+import { ScaleInPlanner } from '../../scheduler/scaling/scale-in.js';
 import { ScaleOutPlanner } from '../../scheduler/scaling/scale-out.js';
 import { ClusterState } from '../../scheduler/state/cluster-state.js';
 import { JobStore } from '../api/job-store.js';
@@ -88,6 +89,7 @@
       rosterPageBytes: valueCapacityBytes(ctx.limits),
     });
     const scaleOut = new ScaleOutPlanner(cluster);
+    const scaleIn = new ScaleInPlanner(cluster);
     cluster.onMachineTerminated = (machine) => scaleOut.capacityFreed(machine, ctx.clock.now());
     const commands = new AgentCommands({
       ctx,
@@ -108,7 +110,7 @@
     this.progressWriter = new ProgressWriter(ctx, term, cluster);
     this.dependencyResolver = new DependencyResolver(ctx, cluster, new JobStore(ctx));
     this.listCleaner = new DependencyListCleaner(ctx, cluster.jobs);
-    this.fleet = new FleetController({ ctx, term, cluster, scaleOut, cloud, agents });
+    this.fleet = new FleetController({ ctx, term, cluster, scaleOut, scaleIn, cloud, agents });
     // Each request in flight listens to the term's end: far more than Node warns about by default.
     setMaxListeners(0, term.signal);
     term.signal.addEventListener('abort', () => agents.close(), { once: true });
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -98,7 +98,7 @@
     for (const { job, chunk } of chunksOfUnknownVersion(this.cluster)) {
       try {
         const key = this.cluster.bitmaps.key(job.spec.id, chunk);
-        const entry = await this.ctx.state.get(key, RequestPriority.ends, signal);
+        const entry = await this.ctx.state.get(key, RequestPriority.completions, signal);
         job.chunkVersions.set(chunk, entry?.version ?? 0);
       } catch (err) {
         if (signal.aborted) throw new AbortedError();
@@ -114,7 +114,7 @@
       const result = await ctx.state.transact(
         [{ key: LEADER_KEY, version: term.version }, ...batch.flatMap((write) => write.conditions)],
         batch.flatMap((write) => write.changes),
-        RequestPriority.ends,
+        RequestPriority.completions,
         term.signal,
       );
       if (!result.ok) return this.conditionsFailed(batch, result.failed);
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -46,7 +46,7 @@
   signal: AbortSignal,
 ): Promise<MachineType[]> {
   try {
-    const entry = await ctx.state.get(MACHINE_TYPES_KEY, RequestPriority.lead, signal);
+    const entry = await ctx.state.get(MACHINE_TYPES_KEY, RequestPriority.leadership, signal);
     const types = entry && decodeMachineTypes(entry.value);
     if (types && types.length > 0) return types;
   } catch (error) {
--- a/src/controller/memory-guard.ts
+++ b/src/controller/memory-guard.ts
@@ -31,7 +31,7 @@
  */
 export class MemoryGuard {
   /** Memory is low: new jobs are refused for now. */
-  isShort = false;
+  isLow = false;
   private logged = false;
   private shortChecks = 0;
 
@@ -51,10 +51,10 @@
 
   private check(): void {
     const share = this.usedShare();
-    const isOver = share >= (this.isShort ? ENOUGH_BELOW : SHORT_FROM);
+    const isOver = share >= (this.isLow ? ENOUGH_BELOW : SHORT_FROM);
     this.shortChecks = isOver ? this.shortChecks + 1 : 0;
-    this.isShort = this.isShort ? isOver : this.shortChecks >= SHORT_CHECKS;
-    if (!this.isShort || this.logged) return;
+    this.isLow = this.isLow ? isOver : this.shortChecks >= SHORT_CHECKS;
+    if (!this.isLow || this.logged) return;
     this.logged = true;
     this.ctx.log.error(
       { usedShare: Math.round(share * 100) / 100 },
--- a/src/controller/wiring.ts
+++ b/src/controller/wiring.ts
@@ -87,7 +87,7 @@
         return peers.announceCancellation(jobId, revision);
       },
     },
-    isMemoryLow: () => memory.isShort || peers.statuses.isLeaderMemoryShort(),
+    isMemoryLow: () => memory.isLow || peers.statuses.isLeaderMemoryShort(),
   });
   const heartbeats = new HeartbeatHandler({
     ctx,
@@ -143,7 +143,7 @@
     term: election.highestTerm,
     leading: leader.current !== null,
     stateOk: state.failingSince === null,
-    memoryShort: memory.isShort,
+    memoryShort: memory.isLow,
     counts: leader.current?.taskCounts(COUNTS_PER_STATUS) ?? [],
   };
 }
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -12,7 +12,13 @@
  *   users from asking about them.
  * - `progress`: what may come late, such as the demand forecast and clean-up.
  */
-export const RequestPriority = { lead: 0, users: 1, ends: 2, questions: 3, progress: 4 } as const;
+export const RequestPriority = {
+  leadership: 0,
+  submissions: 1,
+  completions: 2,
+  queries: 3,
+  progress: 4,
+} as const;
 /** One of the priorities. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
@@ -55,7 +61,7 @@
     );
     // A transaction larger than the burst could never pass; it runs the bucket into debt instead.
     const needed = Math.min(count, this.burst - reserve) + reserve;
-    if (this.tokens >= needed || priority === RequestPriority.lead) {
+    if (this.tokens >= needed || priority === RequestPriority.leadership) {
       this.tokens -= count;
       return 0;
     }
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -16,7 +16,6 @@
 import { DemandForecasts } from './demand-forecasts.js';
 import { type FleetOverview, fleetOverview } from './fleet-overview.js';
 import { type PoolContext, type PoolOption, poolOptions } from './pool-options.js';
-import { type MachineTermination, ScaleInPlanner } from './scale-in.js';
 
 /**
  * The most machines of one request (protocol; docs/limits-history.md, "What helped, in
@@ -60,12 +59,10 @@
 export class ScaleOutPlanner {
   private readonly forecasts: DemandForecasts;
   private readonly backoff: CapacityBackoff;
-  private readonly scaleIn: ScaleInPlanner;
 
   constructor(private readonly cluster: ClusterState) {
     this.forecasts = new DemandForecasts(cluster);
     this.backoff = new CapacityBackoff(cluster);
-    this.scaleIn = new ScaleInPlanner(cluster);
   }
 
   /** A job has arrived: its work counts towards the demand that is expected. */
@@ -98,7 +95,7 @@
     this.backoff.recordTermination(machine, now);
   }
 
-  /** What to provision now. Marks the scale-in candidates, which `planScaleIn` rests on. */
+  /** What to provision now. Marks the scale-in candidates, which `ScaleInPlanner` rests on. */
   plan(now: number): ScaleOutPlan[] {
     const { cluster, backoff } = this;
     this.forecasts.decay(now);
@@ -116,11 +113,6 @@
     return planning.plans;
   }
 
-  /** Machines to be terminated now, with the reason. */
-  planScaleIn(now: number): MachineTermination[] {
-    return this.scaleIn.plan(now);
-  }
-
   /** The machines and the demand in short, for the log. */
   overview(now: number): FleetOverview {
     return fleetOverview(this.cluster, estimateDemands(this.cluster, this.forecasts, now));
--- a/src/scheduler/state/work-estimates.ts
+++ b/src/scheduler/state/work-estimates.ts
@@ -12,7 +12,7 @@
 /**
  * Look-ahead, in estimates of a task: an objective's pressure falls to 1/e
  * when the latest start is this much further away. In that time most of all
- * capacity comes free. Measured in docs/limits.md, "look-ahead and longest
+ * capacity comes free. Measured in docs/limits-history.md, "look-ahead and longest
  * task of one and a half estimates".
  */
 const LOOK_AHEAD = 1.5;
--- a/test/fleet-controller.test.ts
+++ b/test/fleet-controller.test.ts
@@ -3,6 +3,7 @@
 import { FleetController } from '../src/controller/leader/fleet-controller.js';
 import { NoResponseError } from '../src/http/errors.js';
 import type { ProvisionRequest } from '../src/protocol/cloud-protocol.js';
+import { ScaleInPlanner } from '../src/scheduler/scaling/scale-in.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock } from './support/clock.js';
 import { createContext } from './support/context.js';
@@ -18,6 +19,7 @@
   const cluster = createCluster();
   cluster.addJob(jobSpec({ tasks: 200, zone: 'a', allowsSpot: false }), 1, 0, false);
   const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const requests: ProvisionRequest[] = [];
   const checks: (() => boolean)[] = [];
   const stop = new AbortController();
@@ -38,7 +40,7 @@
   };
   const term = { number: 4, signal: stop.signal, isProven: () => proof.lasts } as never;
   const agents = { retainOnly: () => {} };
-  const fleet = new FleetController({ ctx, term, cluster, scaleOut, cloud, agents });
+  const fleet = new FleetController({ ctx, term, cluster, scaleOut, scaleIn, cloud, agents });
   const run = () => void fleet.runScaling(stop.signal).catch(() => {});
   const firstLook = ctx.timing.listMs + ctx.timing.scalingMs + ctx.timing.roundMs;
   return { clock, ctx, cluster, requests, checks, stop, proof, run, firstLook };
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -268,10 +268,10 @@
 
 test('users who ask without end keep neither budget nor connections from what leads, nor ends from being written', async () => {
   const budget = new RequestBudget(10, 10, 0);
-  while (budget.take(1, RequestPriority.questions, 0) === 0);
-  assert.equal(budget.take(1, RequestPriority.ends, 0), 0);
-  while (budget.take(1, RequestPriority.users, 0) === 0);
-  assert.equal(budget.take(1, RequestPriority.lead, 0), 0);
+  while (budget.take(1, RequestPriority.queries, 0) === 0);
+  assert.equal(budget.take(1, RequestPriority.completions, 0), 0);
+  while (budget.take(1, RequestPriority.submissions, 0) === 0);
+  assert.equal(budget.take(1, RequestPriority.leadership, 0), 0);
 
   const held: (() => void)[] = [];
   const handler: Handler = (request) =>
@@ -288,7 +288,7 @@
       clock: new FakeClock(),
     });
     // More than the connections for users.
-    const asked = Array.from({ length: 5 }, () => state.get('live/x', RequestPriority.users));
+    const asked = Array.from({ length: 5 }, () => state.get('live/x', RequestPriority.submissions));
     assert.equal(await state.touch(7), true);
     const drain = async () => {
       while (held.length > 0) held.pop()?.();
--- a/test/job-lookups.test.ts
+++ b/test/job-lookups.test.ts
@@ -18,7 +18,7 @@
         return Promise.reject(new Error('not read'));
       },
     },
-    RequestPriority.questions,
+    RequestPriority.queries,
   );
   const single = Array.from({ length: SINGLE_READS }, (_, i) => lookups.find(`req-${i}`));
   const batch = ['req-100', 'req-100', 'req-101'].map((id) => lookups.find(id));
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -198,14 +198,17 @@
   seed(store, ['live/odd', 'null'], ['live/req-000009', FULL]);
   const jobs = new JobStore(ctx);
   for (const id of ['req-000004', 'req-000005']) {
-    const found = await jobs.find(id, RequestPriority.users);
+    const found = await jobs.find(id, RequestPriority.submissions);
     assert.ok(found?.live);
-    assert.deepEqual(await jobs.dependenciesOf(id, found.record, RequestPriority.users), LONG_IDS);
+    assert.deepEqual(
+      await jobs.dependenciesOf(id, found.record, RequestPriority.submissions),
+      LONG_IDS,
+    );
   }
-  const done = await jobs.find('req-000001', RequestPriority.users);
+  const done = await jobs.find('req-000001', RequestPriority.submissions);
   const doneEnd: EndedJobRecord = { state: 'done', tasks: 3, at: 1_800_000_001_000 };
   assert.deepEqual(done?.record, doneEnd);
-  const cancelled = await jobs.findEnd('req-000002', RequestPriority.users);
+  const cancelled = await jobs.findEnd('req-000002', RequestPriority.submissions);
   const cancelledEnd: EndedJobRecord = { state: 'cancelled', tasks: 3 };
   assert.deepEqual(cancelled?.record, cancelledEnd);
   const users = new JobApi(ctx, WITHOUT_LEADER);
@@ -240,7 +243,7 @@
   const first = new ScaleOutPlanner(createCluster());
   const kept = new DemandStore(ctx, term, first);
   await kept.read();
-  const found = await new JobStore(ctx).find('req-000001', RequestPriority.users);
+  const found = await new JobStore(ctx).find('req-000001', RequestPriority.submissions);
   assert.ok(found?.live);
   kept.recordArrival(found.record.spec, 99);
   void kept.run(stop.signal).catch(() => {});
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -54,7 +54,7 @@
   await new JobStore(ctx).create(
     record,
     { pending: LONG_IDS, named: LONG_IDS },
-    RequestPriority.users,
+    RequestPriority.submissions,
   );
   assertWritten(state.written, 'upstreamPages');
 });
@@ -68,7 +68,7 @@
   await new JobStore(ctx).create(
     record,
     { pending: LONG_IDS, named: LONG_IDS },
-    RequestPriority.users,
+    RequestPriority.submissions,
   );
   assertWritten(state.written, 'upstreamList');
   state.written.length = 0;
@@ -97,12 +97,12 @@
   waiting.dependencyCancelled = true;
   for (const write of pendingWrites(cluster, { progressChanges: 9, wallNow: ctx.clock.wall() }))
     await state.transact([], write.changes);
-  await store.createCancelled(jobSpec({ id: 'req-000003', tasks: 4 }), RequestPriority.users);
+  await store.createCancelled(jobSpec({ id: 'req-000003', tasks: 4 }), RequestPriority.submissions);
   const accepted: LiveJobRecord = { spec: jobSpec({ id: 'req-000004' }), acceptedAt: 5 };
-  await store.create(accepted, { pending: [], named: [] }, RequestPriority.users);
-  const live = await store.find('req-000004', RequestPriority.users);
+  await store.create(accepted, { pending: [], named: [] }, RequestPriority.submissions);
+  const live = await store.find('req-000004', RequestPriority.submissions);
   assert.ok(live?.live);
-  await store.cancel(live, RequestPriority.users);
+  await store.cancel(live, RequestPriority.submissions);
   assertWritten(
     state.written.filter(([key]) => key.startsWith('over/')),
     'ends',
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
+import { ScaleInPlanner } from '../src/scheduler/scaling/scale-in.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import {
   createCluster,
@@ -92,12 +93,12 @@
   for (let now = 0; now <= 24_000; now += 3000) {
     sendHeartbeat(cluster, w, now);
     scaleOut.plan(now);
-    assert.deepEqual(scaleOut.planScaleIn(now), []);
+    assert.deepEqual(new ScaleInPlanner(cluster).plan(now), []);
   }
   sendHeartbeat(cluster, w, 24_500);
   scaleOut.plan(24_500);
   assert.deepEqual(
-    scaleOut.planScaleIn(24_500).map((x) => [x.machine.id, x.reason]),
+    new ScaleInPlanner(cluster).plan(24_500).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'idle']],
   );
 });
@@ -117,7 +118,7 @@
 
 test('a machine that never boots, a sick one and a dead one are returned; a cut zone is not', () => {
   const cluster = createCluster();
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   cluster.ensureMachine('n-1', 'm16', 'a', false, 0, 0);
   const dead = joinCluster(cluster, new ScriptedAgent('n-2', 'a'), 150_000);
   const alive = joinCluster(cluster, new ScriptedAgent('n-3', 'a'), 150_000);
@@ -127,7 +128,7 @@
     runPlacementRound(cluster, 4, 150_000);
   }
   for (let now = 150_000; now <= 161_000; now += 1000) sendHeartbeat(cluster, alive, now);
-  const back = () => scaleOut.planScaleIn(161_000).map((x) => [x.machine.id, x.reason]);
+  const back = () => scaleIn.plan(161_000).map((x) => [x.machine.id, x.reason]);
   assert.deepEqual(back(), [
     ['n-1', 'boot timeout'],
     ['n-2', 'unreachable'],
@@ -140,25 +141,25 @@
 
 test('when many machines of a zone fall silent at once, a cut is likelier than their deaths', () => {
   const cluster = createCluster();
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const workers = Array.from({ length: 20 }, (_, i) =>
     joinCluster(cluster, new ScriptedAgent(`n-${i}`), 0),
   );
   const returned = (silent: number, until: number) => {
     for (let now = 1000; now <= until; now += 1000)
       for (const w of workers.slice(silent)) sendHeartbeat(cluster, w, now);
-    return scaleOut.planScaleIn(until).filter((x) => x.reason === 'unreachable').length;
+    return scaleIn.plan(until).filter((x) => x.reason === 'unreachable').length;
   };
   // Some found their way round the cut at once, so the zone was never silent as a whole.
   assert.equal(returned(8, 22_000), 0);
   // Their leases have run out, and so have their tasks: new machines are better.
   assert.equal(returned(8, 24_000), 8);
   // A few alone are dead, most likely, and not waited for.
-  const again = new ScaleOutPlanner(cluster);
+  const scaleInAgain = new ScaleInPlanner(cluster);
   for (const w of workers) sendHeartbeat(cluster, w, 30_000);
   for (let now = 30_000; now <= 40_000; now += 1000)
     for (const w of workers.slice(4)) sendHeartbeat(cluster, w, now);
-  assert.equal(again.planScaleIn(40_000).filter((x) => x.reason === 'unreachable').length, 4);
+  assert.equal(scaleInAgain.plan(40_000).filter((x) => x.reason === 'unreachable').length, 4);
 });
 
 test('a refusal is tried again soon once a machine of its kind has gone', () => {
@@ -177,46 +178,46 @@
 
 test('after a cut the machines of a zone are given time to find their way back', () => {
   const cluster = createCluster();
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const first = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   joinCluster(cluster, new ScriptedAgent('n-2'), 0);
   // Nobody of the zone is heard for half a minute, then one is.
   for (let now = 30_000; now <= 42_000; now += 1000) {
     sendHeartbeat(cluster, first, now);
-    assert.deepEqual(scaleOut.planScaleIn(now), []);
+    assert.deepEqual(scaleIn.plan(now), []);
   }
   for (let now = 43_000; now <= 45_000; now += 1000) sendHeartbeat(cluster, first, now);
   assert.deepEqual(
-    scaleOut.planScaleIn(45_000).map((x) => [x.machine.id, x.reason]),
+    scaleIn.plan(45_000).map((x) => [x.machine.id, x.reason]),
     [['n-2', 'unreachable']],
   );
 });
 
 test('a machine whose notice has run out is returned as soon as it is silent', () => {
   const cluster = createCluster();
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const w = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, w, 0);
   w.preemptionNoticeS = 4;
   sendHeartbeat(cluster, w, 1000);
-  assert.deepEqual(scaleOut.planScaleIn(4900), []);
+  assert.deepEqual(scaleIn.plan(4900), []);
   assert.deepEqual(
-    scaleOut.planScaleIn(5600).map((x) => [x.machine.id, x.reason]),
+    scaleIn.plan(5600).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'missing from list']],
   );
 });
 
 test('a leader that is late itself takes no machine for silent, but not for longer than a lease', () => {
   const cluster = createCluster({ term: 2 });
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
   for (const w of workers) cluster.inheritMachine(w.id, 'm16', 'a', false, '', 0);
   cluster.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
   const returned = (now: number) => {
     for (const w of workers.slice(0, 9)) joinCluster(cluster, w, now);
-    return scaleOut.planScaleIn(now).map((x) => x.machine.id);
+    return scaleIn.plan(now).map((x) => x.machine.id);
   };
   // One has not been served two reports after the takeover, and work waits for it.
   cluster.markLagging(6000);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -11,6 +11,7 @@
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { placeOnMachine, runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { MachineTombstones } from '../src/scheduler/reconcile/machine-tombstones.js';
+import { ScaleInPlanner } from '../src/scheduler/scaling/scale-in.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
 import type { Machine } from '../src/scheduler/state/task-attempt.js';
@@ -90,7 +91,7 @@
       c.addJob(jobSpec({ id: `req-${i}`, jobClass: `class-${i}`, tasks: size }), i, 0, false);
     machines.steps = 0;
     assert.ok(scaleOut.plan(1000).length > 0);
-    scaleOut.planScaleIn(1000);
+    new ScaleInPlanner(c).plan(1000);
     return machines.steps / size;
   });
   assert.equal(passes[0], passes[1]);
@@ -294,6 +295,7 @@
     term,
     cluster: c,
     scaleOut: new ScaleOutPlanner(c),
+    scaleIn: new ScaleInPlanner(c),
     cloud,
     agents: { retainOnly: () => {} },
   });
@@ -354,7 +356,7 @@
   const guard = new MemoryGuard(ctx, () => share);
   const stop = new AbortController();
   void guard.run(stop.signal);
-  const users = new JobApi(ctx, { ...WITHOUT_LEADER, isMemoryLow: () => guard.isShort });
+  const users = new JobApi(ctx, { ...WITHOUT_LEADER, isMemoryLow: () => guard.isLow });
   const submit = (id: string) => users.submit(Buffer.from(JSON.stringify({ ...SUBMISSION, id })));
   const look = () => clock.advance(ctx.timing.heartbeatMs);
   await look();
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -7,7 +7,7 @@
 import type { PeerStatus } from '../src/records/peer-frames.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
-import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
+import { ScaleInPlanner } from '../src/scheduler/scaling/scale-in.js';
 import { FakeClock } from './support/clock.js';
 import { createContext } from './support/context.js';
 import {
@@ -76,7 +76,7 @@
 
 test('a machine that hears nothing gets no new work until it answers, and is fenced in the end', () => {
   const cluster = createCluster();
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const deaf = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const others = ['n-2', 'n-3', 'n-4', 'n-5', 'n-6'].map((id) =>
     joinCluster(cluster, new ScriptedAgent(id, 'b'), 0),
@@ -107,9 +107,9 @@
   deaf.lapse();
   pass();
   assert.equal(job.readyCount, 1);
-  while (now < 60_000 && scaleOut.planScaleIn(now).length === 0) pass();
+  while (now < 60_000 && scaleIn.plan(now).length === 0) pass();
   assert.deepEqual(
-    scaleOut.planScaleIn(now).map((x) => [x.machine.id, x.reason]),
+    scaleIn.plan(now).map((x) => [x.machine.id, x.reason]),
     [['n-1', 'unresponsive']],
   );
   assert.equal(starts, 3);
@@ -118,13 +118,13 @@
     const other = cluster.machines.get(w.id);
     if (other) cluster.markUnresponsive(other, 0);
   }
-  assert.deepEqual(scaleOut.planScaleIn(now), []);
+  assert.deepEqual(scaleIn.plan(now), []);
 });
 
 test('an inherited machine that answers nothing, asked directly or not, is fenced after a report interval', () => {
   const endOf = (unanswered: boolean) => {
     const cluster = createCluster({ term: 2 });
-    const scaleOut = new ScaleOutPlanner(cluster);
+    const scaleIn = new ScaleInPlanner(cluster);
     cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
     cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
     const well = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
@@ -135,7 +135,7 @@
     cluster.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
     for (let now = 200; now < 60_000; now += 100) {
       sendHeartbeat(cluster, well, now);
-      if (scaleOut.planScaleIn(now).some((x) => x.machine === silent)) return now;
+      if (scaleIn.plan(now).some((x) => x.machine === silent)) return now;
     }
     return null;
   };
@@ -182,7 +182,7 @@
 test('a machine that never learns of the new term holds up only work it could hold, and not for ever', () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
   const cluster = createCluster({ term: 2, teams });
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   cluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
   const oneWay = new ScriptedAgent('n-1', 'a', true);
@@ -203,7 +203,7 @@
     now += 1000;
     cluster.applyHeartbeat(oneWay.heartbeat(), 'heartbeat', now);
     sendHeartbeat(cluster, well, now);
-    for (const x of scaleOut.planScaleIn(now)) {
+    for (const x of scaleIn.plan(now)) {
       assert.deepEqual([x.machine.id, x.reason], ['n-1', 'unreachable']);
       cluster.markTerminated(x.machine.id, 'returned', now);
       gone = now;
@@ -228,13 +228,13 @@
 
 test('while a cut keeps many machines from a new leader, none of them is fenced for the work that waits', () => {
   const cluster = createCluster({ term: 2 });
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
   for (const w of workers) cluster.inheritMachine(w.id, 'm16', 'a', false, '', 0);
   cluster.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
   const returned = (heard: number, now: number) => {
     for (const w of workers.slice(0, heard)) joinCluster(cluster, w, now);
-    return scaleOut.planScaleIn(now).map((x) => x.machine.id);
+    return scaleIn.plan(now).map((x) => x.machine.id);
   };
   assert.deepEqual(returned(7, 8000), []);
   assert.deepEqual(returned(8, 8500), ['n-8', 'n-9']);
@@ -242,12 +242,12 @@
   const clusterState = createCluster({ term: 2 });
   for (const w of workers) clusterState.inheritMachine(w.id, 'm16', 'a', false, '', 0);
   for (const w of workers.slice(0, 9)) joinCluster(clusterState, w, 8000);
-  assert.deepEqual(new ScaleOutPlanner(clusterState).planScaleIn(8500), []);
+  assert.deepEqual(new ScaleInPlanner(clusterState).plan(8500), []);
 });
 
 test('a leader that stood still under a kept lease takes no healthy machine for silent or missing', () => {
   const cluster = createCluster();
-  const scaleOut = new ScaleOutPlanner(cluster);
+  const scaleIn = new ScaleInPlanner(cluster);
   const workers = Array.from({ length: 6 }, (_, i) =>
     joinCluster(cluster, new ScriptedAgent(`n-${i}`, i < 3 ? 'a' : 'b'), 0),
   );
@@ -265,15 +265,15 @@
   const shown = workers.map(entry);
   const woken = 30_000;
   cluster.applyMachineList(shown, 1000, woken);
-  assert.deepEqual(scaleOut.planScaleIn(woken), []);
+  assert.deepEqual(scaleIn.plan(woken), []);
   for (const [i, w] of [...workers, young].entries()) {
     sendHeartbeat(cluster, w, woken + 100 * i);
-    assert.deepEqual(scaleOut.planScaleIn(woken + 100 * i), []);
+    assert.deepEqual(scaleIn.plan(woken + 100 * i), []);
   }
   // Up within a second or two and heard all the while, but not listed yet.
   joinCluster(cluster, new ScriptedAgent('n-9'), woken + 900);
   cluster.applyMachineList([...workers, young].map(entry), woken + 1000, woken + 1100);
-  assert.deepEqual(scaleOut.planScaleIn(woken + 1200), []);
+  assert.deepEqual(scaleIn.plan(woken + 1200), []);
   assert.ok(cluster.machines.has('n-9'));
 });
 
--- a/test/upstream-lists.test.ts
+++ b/test/upstream-lists.test.ts
@@ -413,11 +413,11 @@
   const node = scene.node();
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
   const lists = new DependencyLists(node.ctx);
-  const { condition, ref } = await lists.write(id(1), named, RequestPriority.users);
+  const { condition, ref } = await lists.write(id(1), named, RequestPriority.submissions);
   const removing = { pages: ref.pages, removing: true };
   scene.store.transact([condition], [{ op: 'put', key: condition.key, value: removing }]);
   const marked = scene.store.entries.get(condition.key);
-  const again = await lists.write(id(1), named, RequestPriority.users);
+  const again = await lists.write(id(1), named, RequestPriority.submissions);
   // Else the removal, which requires its own version, would delete pages that a record is to name.
   assert.ok(marked && again.condition.version > marked.version);
   assert.deepEqual(scene.store.entries.get(condition.key)?.value, { pages: ref.pages });
