--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -5,6 +5,7 @@
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import {
+  clusterWithJob,
   createCluster,
   jobSpec,
   joinCluster,
@@ -14,9 +15,7 @@
 } from './support/scheduler.js';
 
 test('a task starts once, and its loss on the way makes it ready again', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -31,9 +30,7 @@
 });
 
 test("a command's answer does not prove that a start in a report's answer is lost", () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -47,9 +44,7 @@
 });
 
 test('an unanswered direct start stays bound and is repeated with its attempt', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -84,9 +79,7 @@
 });
 
 test('an executed direct start is held until a later report could lack it', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -156,9 +149,7 @@
 });
 
 test('reports out of order and of an earlier session are dropped', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(1);
   const early = w.heartbeat();
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, w, 10);
@@ -172,9 +163,7 @@
 });
 
 test('a finished task is durable before it is forgotten, and the job ends once', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(2);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, w, 10);
@@ -252,9 +241,7 @@
 });
 
 test('a copy of a direct start that was carried out finds the attempt known, or is refused', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(2);
   runPlacementRound(cluster, 1, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -282,9 +269,7 @@
 });
 
 test('a late copy of a bitmap takes no finished task back', () => {
-  const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const job = cluster.addJob(jobSpec({ tasks: 3 }), 5, 0, false);
+  const { cluster, w, job } = clusterWithJob(3);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, w, 10);
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -179,3 +179,11 @@
   w.execute(cluster.term, commands, machine?.fence ?? 0);
   return commands;
 }
+
+/** A cluster with one machine, n-1, that has joined, and a new job of so many tasks. */
+export function clusterWithJob(tasks: number) {
+  const cluster = createCluster();
+  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const job = cluster.addJob(jobSpec({ tasks }), 5, 0, false);
+  return { cluster, w, job };
+}
