--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -1,4 +1,7 @@
-/** Leader election: observes who leads, campaigns when nobody does, and holds a term that was won. */
+/**
+ * Leader election: follows the current leader, campaigns when there is none, and
+ * holds a term that was won.
+ */
 import { decodeLeaderRecord, decodeTerm, type LeaderRecord } from '../../records/leader-record.js';
 import { AbortedError, sleepUntilAborted } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
@@ -6,24 +9,30 @@
 import { LEADER_KEY, readBackElection, requestLeadership, TERM_KEY } from './leader-key.js';
 import { LeaderTerm, type LeaderTermStart } from './leader-term.js';
 
-/** The pause after a failed attempt, in renewal intervals: at least this, and up to the spread on top, by chance. */
-const RETRY_DELAY = 0.3;
-const RETRY_SPREAD = 0.4;
+/**
+ * A failed attempt is retried after this delay plus a random part of the jitter,
+ * in renewal intervals.
+ */
+const RETRY_DELAY_RENEW_INTERVALS = 0.3;
+const RETRY_JITTER_RENEW_INTERVALS = 0.4;
 
 /**
- * The routine that observes who leads, campaigns when nobody does and renews
- * the lease of a term that it won. Safety rests on the state service's fencing
- * (the version of the leader key); clocks only bound how long a leader without
- * answers goes on. At most one term is current at any time.
+ * The routine that follows the current leader, campaigns when there is none and
+ * renews the lease of a term that it won. Safety relies on the state service's
+ * fencing (the version of the leader key); clocks only bound how long a leader
+ * continues without responses. At most one term is current at any time.
  */
 export class LeaderElection {
-  /** The node that leads, as far as is known. */
+  /** Name of the leader as last observed; null when no leader is known. */
   leader: string | null = null;
-  /** The term of that leader. */
+  /** Term of the observed leader; null when no leader is known. */
   observedTerm: number | null = null;
-  /** The highest term known from the state service, a peer or this controller. */
+  /**
+   * The highest term learned from the state service, a peer or an election that
+   * this controller won.
+   */
   highestTerm = 0;
-  /** The term that this controller holds. */
+  /** The term that this controller holds; null while it does not lead. */
   current: LeaderTerm | null = null;
   private outageLogged = false;
 
@@ -33,7 +42,7 @@
     private readonly runLeader: (term: LeaderTerm) => Promise<void>,
   ) {}
 
-  /** Takes part in elections until the signal is aborted; a term that is current ends with it. */
+  /** Takes part in elections until the signal is aborted, which also ends the current term. */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     while (!signal.aborted) {
@@ -46,18 +55,23 @@
         if (!this.outageLogged) ctx.log.info({ err }, 'state service unreachable');
         this.outageLogged = true;
       }
-      const delayMs = ctx.timing.renewMs * (RETRY_DELAY + Math.random() * RETRY_SPREAD);
+      const delayMs =
+        ctx.timing.renewMs *
+        (RETRY_DELAY_RENEW_INTERVALS + Math.random() * RETRY_JITTER_RENEW_INTERVALS);
       await sleepUntilAborted(ctx.clock, delayMs, signal);
     }
   }
 
-  /** Some controller knows of this term: an older one of ours has ended. */
+  /**
+   * Records a term that any controller has observed. Ends the current term if it is
+   * an older one.
+   */
   observeTerm(term: number): void {
     this.highestTerm = Math.max(this.highestTerm, term);
     if (this.current && this.current.number < term) this.current.resign('later term observed');
   }
 
-  /** Reads who leads; waits for a change of that, or campaigns when nobody does. */
+  /** Reads the leader record, then waits for it to change, or campaigns if there is none. */
   private async observeOrCampaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const page = await ctx.state.listPage(LEADER_KEY, null, signal);
@@ -72,10 +86,10 @@
   }
 
   /**
-   * The leader key is of this node while no term of this process is current.
-   * Either it is of the former process, which is dead, so that its lease need
-   * not be waited for; or an election of this process that was taken for lost
-   * went through late.
+   * Reports whether this node wrote the leader record. It is called while no term
+   * of this process is current, so the record is either of the node's previous
+   * process, which is dead and whose lease need not be waited for, or of an
+   * election of this process that was considered lost but was applied late.
    */
   private isOwnRecord(record: LeaderRecord): boolean {
     return record.node === this.ctx.node || record.incarnation === this.ctx.incarnation;
@@ -90,10 +104,10 @@
   }
 
   /**
-   * Campaigns for the term after the last one, and holds it if it is won. Of
-   * several controllers one wins: the leader key must be absent and the term
-   * unchanged. A transaction without an answer is read back before either
-   * outcome is believed.
+   * Campaigns for the term after the last one, and holds it if the election is won.
+   * Only one of several candidates wins, since the leader key must be absent and
+   * the term unchanged. The outcome of a transaction without a response is read
+   * back before it is acted on.
    */
   private async campaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
@@ -119,7 +133,7 @@
     await this.holdTerm({ number, version, leaseRequestedAt }, lease, signal);
   }
 
-  /** Leads for as long as the lease is renewed, then revokes it. */
+  /** Leads until the term ends, then revokes the lease. */
   private async holdTerm(
     start: LeaderTermStart,
     lease: number,
@@ -141,7 +155,7 @@
       this.observedTerm = null;
       await routines;
     }
-    // With its routines ended nothing of this term is under way: the next leader need not wait for the lease.
+    // All routines have ended, so the next leader need not wait for the lease to expire.
     await ctx.state.revoke(lease).catch(() => {});
   }
 
@@ -153,7 +167,7 @@
     this.ctx.log.info({ term: term.number }, 'leader term began');
   }
 
-  /** Never rejects: a fault in the leader's routines ends the term, not the process. */
+  /** Never rejects: an error in the leader's routines ends the term, not the process. */
   private runRoutines(term: LeaderTerm): Promise<void> {
     return this.runLeader(term).catch((err) => {
       if (term.signal.aborted) return;
@@ -167,7 +181,7 @@
     try {
       while (!term.signal.aborted) {
         await clock.sleep(timing.renewMs, term.signal);
-        // None waits for the one before: a single slow answer must not cost the proof, nor two the lease.
+        // Renewals overlap, so that one slow response does not end the proof, nor two the lease.
         void this.renew(term, lease);
       }
     } catch (error) {
@@ -175,17 +189,21 @@
     }
   }
 
-  /** One renewal of the lease: proves leadership as of when it was sent, or ends a term that is of no use. */
+  /**
+   * Renews the lease once. Extends the proof of leadership as of the send time, or
+   * resigns from a term that can no longer be used.
+   */
   private async renew(term: LeaderTerm, lease: number): Promise<void> {
     const { clock, state, log } = this.ctx;
     const sentAt = clock.now();
     try {
       if (await state.touch(lease, term.signal)) term.setProvenAt(sentAt);
       else term.resign('lease ended');
-      if (term.lacksCancellationsForTooLong()) term.resign('cancellations unknown for too long');
+      if (term.areCancellationsUnknownForTooLong())
+        term.resign('cancellations unknown for too long');
     } catch (err) {
       if (term.signal.aborted) return;
-      log.debug({ err }, 'lease renewal not answered');
+      log.debug({ err }, 'lease renewal failed; retrying at the next renewal interval');
       if (term.isUnprovenForTooLong()) term.resign('leadership unproven for too long');
     }
   }
--- a/src/controller/election/leader-key.ts
+++ b/src/controller/election/leader-key.ts
@@ -1,4 +1,7 @@
-/** The keys that an election is about, and the requests that win one through the state service's fencing. */
+/**
+ * Keys of leader elections, and the requests that win an election through the
+ * state service's fencing.
+ */
 import type { TransactionResult } from '../../clients/key-value-store.js';
 import {
   decodeLeaderRecord,
@@ -15,12 +18,13 @@
 /** Key of the number of the last term that was won. */
 export const TERM_KEY = 'term';
 
-/** How long to wait before an unanswered election is read back, in renewal intervals. */
-const READ_BACK_DELAY = 0.2;
+/** Delay before an election without a response is read back, in renewal intervals. */
+const READ_BACK_DELAY_RENEW_INTERVALS = 0.2;
 
 /**
- * Writes the leader key and the term in one transaction, if nobody leads and
- * nobody has led since the term was read with this version (0: it was absent).
+ * Writes the leader key and the term in one transaction. It applies only if the
+ * leader key is absent and the term still has the version `lastTermVersion`,
+ * which is 0 for an absent term.
  */
 export function requestLeadership(
   ctx: ControllerContext,
@@ -43,21 +47,21 @@
 }
 
 /**
- * A transaction without an answer may have been applied, may be applied later
- * or never: neither outcome may be believed before it is read back. Returns
- * the version of the leader key if it is ours. Otherwise the lease is revoked,
- * so that a copy of the transaction that arrives later is refused, and the
- * result is null.
+ * Determines the outcome of an election whose transaction got no response: it may
+ * have been applied, may be applied later, or never. Returns the version of the
+ * leader key if this controller won. Otherwise revokes the lease, so that a
+ * delayed copy of the transaction is refused, and returns null.
  */
 export async function readBackElection(
   ctx: ControllerContext,
   { term, lease }: LeaderRecord,
   signal: AbortSignal,
 ): Promise<number | null> {
-  await ctx.clock.sleep(ctx.timing.renewMs * READ_BACK_DELAY, signal);
+  await ctx.clock.sleep(ctx.timing.renewMs * READ_BACK_DELAY_RENEW_INTERVALS, signal);
   const entry = await ctx.state.get(LEADER_KEY, RequestPriority.leadership, signal);
-  const found = entry ? decodeLeaderRecord(entry.value) : null;
-  if (entry && found?.incarnation === ctx.incarnation && found.term === term) return entry.version;
+  const storedRecord = entry ? decodeLeaderRecord(entry.value) : null;
+  if (entry && storedRecord?.incarnation === ctx.incarnation && storedRecord.term === term)
+    return entry.version;
   await ctx.state.revoke(lease, signal);
   return null;
 }
--- a/src/controller/election/leader-term.ts
+++ b/src/controller/election/leader-term.ts
@@ -1,11 +1,11 @@
 /**
- * One leader term of this controller: for how long its leadership is proven
- * and what may be done on its strength. The invariants are explained in
- * docs/design.md, "Safety" (Proof in time) and "One bound for cancellations".
+ * One leader term of this controller: how long its leadership is proven, and what
+ * that proof permits. The invariants are explained in docs/design.md, "Safety"
+ * (Proof in time) and "One bound for cancellations".
  */
 import type { ControllerContext } from '../context.js';
 
-/** Why a leader term ended before its process did; logged only. */
+/** Why a leader term ended before its process did; used only in the log. */
 export type ResignReason =
   | 'later term observed'
   | 'lease ended'
@@ -17,19 +17,18 @@
   | 'leader routines failed'
   | `leader routine ${string} failed`;
 
-/** What an election gives a term to start from. */
+/** The result of a won election, from which a term starts. */
 export interface LeaderTermStart {
   number: number;
   /** Version of the leader key. */
   version: number;
-  /** When the term's lease was asked for, on the steady clock: the first proof of leadership. */
+  /** When the term's lease was requested, on the monotonic clock: the first proof of leadership. */
   leaseRequestedAt: number;
 }
 
 /**
- * A term that this controller won. It ends once, by `resign` or `end`, and
- * proves nothing from then on. All times are of the steady clock, in
- * milliseconds.
+ * A term that this controller won. It ends once, by `resign` or `end`, and is
+ * unproven from then on. All times are in milliseconds on the monotonic clock.
  */
 export class LeaderTerm {
   readonly number: number;
@@ -37,14 +36,14 @@
   readonly version: number;
   /** Aborted when the term ends; all routines of the leader run under it. */
   readonly signal: AbortSignal;
-  private readonly ended = new AbortController();
+  private readonly abortController = new AbortController();
   private readonly leaseRequestedAt: number;
-  /** When the latest renewal that succeeded was sent. */
+  /** Send time of the latest successful renewal. */
   private provenAt: number;
   /**
-   * Before the jobs have been read no cancellation is known, not even an old
-   * one: several leaders in a row, none of which gets that far, must not renew
-   * the agents' leases for one another.
+   * Until the jobs have been read, no cancellation is known, not even an old one.
+   * Several leaders in a row that all end before they have read the jobs must not
+   * keep renewing the agents' leases.
    */
   private cancellationsKnownAt = Number.NEGATIVE_INFINITY;
 
@@ -56,15 +55,17 @@
     this.version = start.version;
     this.leaseRequestedAt = start.leaseRequestedAt;
     this.provenAt = start.leaseRequestedAt;
-    this.signal = this.ended.signal;
+    this.signal = this.abortController.signal;
   }
 
   /**
-   * Whether leadership is proven now: a renewal that was sent within
-   * `leadershipProofMs`, three quarters of the lease, succeeded. Invariant:
-   * while this holds, the lease has not run out, so no other controller can
-   * have won an election. An arrow property, since clients take it as a guard
-   * that they evaluate when a request leaves.
+   * Reports whether leadership is proven now: a renewal that was sent within
+   * `leadershipProofMs`, three quarters of the lease, succeeded. Invariant: while
+   * this holds, the lease has not expired, so no other controller can have won an
+   * election.
+   *
+   * It is an arrow property because clients take it as a guard that they evaluate
+   * when a request is sent.
    */
   readonly isProven = (): boolean => {
     const { clock, timing } = this.ctx;
@@ -72,11 +73,11 @@
   };
 
   /**
-   * Whether tasks may be started: leadership is proven, and cancellations are
-   * known as of equally recently. Invariant: nothing starts of a job whose
-   * cancellation another controller has confirmed to its user, as that one
-   * announces it first or waits out this time (docs/design.md, "No start after
-   * a confirmed cancellation").
+   * Reports whether tasks may be started: leadership is proven, and cancellations
+   * are known up to an equally recent time. Invariant: no task starts of a job
+   * whose cancellation another controller has confirmed to its user, because that
+   * controller first announces the cancellation to this one or waits until this
+   * period is over (docs/design.md, "No start after a confirmed cancellation").
    */
   mayStartTasks(): boolean {
     const { clock, timing } = this.ctx;
@@ -84,10 +85,10 @@
   }
 
   /**
-   * Whether heartbeats may be answered, which renews the agents' leases. Holds
-   * for longer than the proof, for `agentRenewalMs` after the older of proof
-   * and knowledge of cancellations. Invariant: a lease renewed by the last
-   * answer runs out within `cancel_s` of any cancellation that this leader
+   * Reports whether heartbeats may be answered, which renews the agents' leases.
+   * This holds longer than the proof, for `agentRenewalMs` after the older of the
+   * proof and the knowledge of cancellations. Invariant: a lease renewed by the
+   * last response expires within `cancel_s` of any cancellation that this leader
    * does not know of (docs/design.md, "One bound for cancellations").
    */
   mayRenewAgentLeases(): boolean {
@@ -97,46 +98,53 @@
   }
 
   /**
-   * Every change of jobs, cancellations above all, that was durable at `at`
-   * has been applied. `at` is when the watch or list was requested, not when
-   * it was answered: the answer covers nothing later. Never moves backwards.
+   * Records that all job changes that were durable at `requestedAt`, cancellations
+   * in particular, have been applied. That is when the watch or list was requested,
+   * not when it was answered, because the response covers nothing later. Never
+   * moves backwards.
    */
-  setCancellationsKnownAt(at: number): void {
-    this.cancellationsKnownAt = Math.max(this.cancellationsKnownAt, at);
+  setCancellationsKnownAt(requestedAt: number): void {
+    this.cancellationsKnownAt = Math.max(this.cancellationsKnownAt, requestedAt);
   }
 
-  /** A renewal sent at `sentAt` succeeded. Renewals overlap, so an older one may be answered last. */
+  /**
+   * Records that a renewal sent at `sentAt` succeeded. Renewals overlap, so an
+   * older one may be answered last.
+   */
   setProvenAt(sentAt: number): void {
     this.provenAt = Math.max(this.provenAt, sentAt);
   }
 
-  /** Without proof for as long as agents' leases may be renewed: nothing is left that this term may do. */
+  /**
+   * Reports whether leadership has been unproven for as long as agents' leases may
+   * be renewed, so that the term permits nothing anymore.
+   */
   isUnprovenForTooLong(): boolean {
     const { clock, timing } = this.ctx;
     return clock.now() - this.provenAt >= timing.agentRenewalMs;
   }
 
   /**
-   * Cancellations have been unknown since the term began, or since the last
-   * answer, for as long as agents' leases may be renewed: the state service
-   * answers the renewals of this leader but not its reads, so it serves
-   * nobody, and another controller may.
+   * Reports whether cancellations have been unknown for as long as agents' leases
+   * may be renewed, counted from the start of the term or the last update. The
+   * state service then answers this leader's renewals but not its reads, so it can
+   * serve nobody, while another controller may.
    */
-  lacksCancellationsForTooLong(): boolean {
+  areCancellationsUnknownForTooLong(): boolean {
     const { clock, timing } = this.ctx;
     const since = Math.max(this.leaseRequestedAt, this.cancellationsKnownAt);
     return clock.now() - since >= timing.agentRenewalMs;
   }
 
-  /** Gives leadership up and logs why. Does nothing once the term has ended. */
+  /** Gives up leadership and logs the reason. Does nothing once the term has ended. */
   resign(reason: ResignReason): void {
     if (this.signal.aborted) return;
     this.ctx.log.info({ term: this.number, reason }, 'leader term ended');
-    this.ended.abort();
+    this.abortController.abort();
   }
 
-  /** Ends the term without a word in the log, as when the process stops. */
+  /** Ends the term without logging a reason, as when the process stops. */
   end(): void {
-    this.ended.abort();
+    this.abortController.abort();
   }
 }
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -1,12 +1,13 @@
 /**
  * Commands that a leader sends to its machines directly, without waiting for
  * their next heartbeats: confirmations after failover, urgent starts and stops,
- * and probes of unresponsive machines. Owns the set of machines with a command
- * in flight; writes nothing to the state service.
+ * and probes of unresponsive machines. Owns the set of machines with a command in
+ * flight; writes nothing to the state service.
  *
- * Serves docs/design.md "Safety" 2 (a command leaves only while the term is
- * proven), 3 (confirmed machines), 5 (a direct start stays assigned while
- * unanswered) and 6 (each command goes out under the machine's fence).
+ * Serves docs/design.md "Safety" 2 (a command is sent only while the term is
+ * proven), 3 (confirmed machines), 5 (a task that was started directly stays
+ * assigned while the command is unanswered) and 6 (each command carries the
+ * machine's fence).
  */
 import type { AgentClient, CommandResult } from '../../clients/agent-client.js';
 import { NotAttemptedError, NotSentError } from '../../http/errors.js';
@@ -20,27 +21,39 @@
 import type { ControllerContext } from '../context.js';
 import type { LeaderTerm } from '../election/leader-term.js';
 
-/** A batch of confirmations is followed by this many times its duration for the machines' own heartbeats. */
-const CONFIRMATION_REST_RATIO = 2;
+/**
+ * After a batch of confirmations, this many times its duration is left for the
+ * machines' own heartbeats.
+ */
+const CONFIRMATION_PAUSE_RATIO = 2;
 
-/** Confirmations are sent in growing batches while a batch takes less than this share of the lag threshold. */
-const QUICK_BATCH_SHARE = 0.5;
+/**
+ * The number of concurrent confirmations grows while a batch takes less than this
+ * share of the lag threshold.
+ */
+const QUICK_BATCH_LAG_SHARE = 0.5;
 
-/** With the agent epoch that a refusal reports, a second confirmation is executed. */
+/**
+ * The first attempt may be refused for its agent epoch; the second uses the epoch
+ * that the refusal reports.
+ */
 const CONFIRMATION_ATTEMPTS = 2;
 
-/** An agent begins with this epoch. */
+/** The epoch that an agent starts with. */
 const FIRST_AGENT_EPOCH = 1;
 
-/** The sockets that a leader's commands may take. */
+/** Limits on the sockets that a leader's commands use. */
 export interface CommandSockets {
-  /** Commands in flight at the same time; the connections are kept open for the next ones. */
+  /** Maximum number of commands in flight; the connections are kept open for later commands. */
   commands: number;
-  /** Machines confirmed at the same time after failover: a terminated one occupies its socket until it times out. */
+  /**
+   * Maximum number of machines confirmed concurrently after failover. A terminated
+   * machine occupies its socket until the request times out.
+   */
   confirmations: number;
 }
 
-/** What the commands work on. */
+/** Dependencies of `AgentCommands`. */
 export interface AgentCommandsOptions {
   ctx: ControllerContext;
   term: LeaderTerm;
@@ -49,9 +62,9 @@
   sockets: CommandSockets;
 }
 
-/** Direct commands of one leader term. */
+/** Sends the direct commands of one leader term. */
 export class AgentCommands {
-  /** Ids of machines with a command in flight: at most one each. */
+  /** Ids of the machines with a command in flight, at most one command each. */
   private readonly inFlight = new Set<string>();
   private readonly ctx: ControllerContext;
   private readonly term: LeaderTerm;
@@ -63,92 +76,100 @@
     this.cluster = options.cluster;
   }
 
-  /** Whether a command to this machine has left and is not answered yet. */
-  isInFlight(machineId: string): boolean {
+  /** Reports whether a command to this machine was sent and has no reply yet. */
+  hasCommandInFlight(machineId: string): boolean {
     return this.inFlight.has(machineId);
   }
 
   /**
-   * Sends the inherited machines the new fencing token without waiting for
-   * their heartbeats: a response under it confirms the machine. Returns when
-   * each has been confirmed or asked once; throws `AbortedError` when the
-   * signal is aborted.
+   * Sends the new fencing token to the inherited machines without waiting for their
+   * heartbeats; a response under it confirms the machine. Returns when every
+   * machine has been confirmed or sent a confirmation. Throws `AbortedError` when
+   * the signal is aborted.
    */
   async confirmInheritedMachines(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
-    const waiting = [...this.cluster.machines.values()].filter((machine) => machine.inherited);
+    const unconfirmed = [...this.cluster.machines.values()].filter((machine) => machine.inherited);
     let concurrency = 1;
-    while (waiting.length > 0) {
+    while (unconfirmed.length > 0) {
       await waitWhileLagging(clock, timing.roundMs, timing.agentLeaseMs, signal);
-      const batch = this.startConfirmations(waiting, concurrency, signal);
+      const batch = this.startConfirmations(unconfirmed, concurrency, signal);
       const startedAt = clock.now();
       // A machine that does not answer must not delay the others.
       await Promise.race([Promise.all(batch), clock.sleep(timing.lagThresholdMs, signal)]);
-      const tookMs = clock.now() - startedAt;
-      concurrency = this.nextConcurrency(concurrency, tookMs);
-      // A heartbeat costs less than a confirmation, and has to be answered in any case.
-      await clock.sleep(tookMs * CONFIRMATION_REST_RATIO, signal);
+      const batchDurationMs = clock.now() - startedAt;
+      concurrency = this.nextConcurrency(concurrency, batchDurationMs);
+      // Heartbeats cost less than confirmations and have to be answered in any case.
+      await clock.sleep(batchDurationMs * CONFIRMATION_PAUSE_RATIO, signal);
     }
   }
 
-  /** Takes machines from the end of `waiting`; those that a heartbeat has confirmed meanwhile are skipped. */
+  /**
+   * Removes machines from the end of `unconfirmed` and confirms those that no
+   * heartbeat has confirmed meanwhile.
+   */
   private startConfirmations(
-    waiting: Machine[],
+    unconfirmed: Machine[],
     concurrency: number,
     signal: AbortSignal,
   ): Promise<void>[] {
     const batch: Promise<void>[] = [];
-    while (batch.length < concurrency && waiting.length > 0) {
-      const machine = waiting.pop() as Machine;
-      if (machine.inherited && machine.address !== '') batch.push(this.confirm(machine, signal));
+    while (batch.length < concurrency && unconfirmed.length > 0) {
+      const machine = unconfirmed.pop() as Machine;
+      if (machine.inherited && machine.address !== '')
+        batch.push(this.confirmMachine(machine, signal));
     }
     return batch;
   }
 
-  /** Doubles while the machines answer quickly, and halves when they do not. */
-  private nextConcurrency(concurrency: number, tookMs: number): number {
-    const quick = tookMs < this.ctx.timing.lagThresholdMs * QUICK_BATCH_SHARE;
+  /** Doubles the concurrency after a quick batch and halves it after a slow one. */
+  private nextConcurrency(concurrency: number, batchDurationMs: number): number {
+    const quick = batchDurationMs < this.ctx.timing.lagThresholdMs * QUICK_BATCH_LAG_SHARE;
     if (!quick) return Math.max(1, Math.ceil(concurrency / 2));
     return Math.min(this.options.sockets.confirmations, concurrency * 2);
   }
 
-  /** Sends what should not wait for the machines' next heartbeats, as far as the sockets go. */
+  /**
+   * Sends the commands and probes that should not wait for the next heartbeats, up
+   * to the socket limit.
+   */
   sendPending(): void {
     if (!this.term.mayStartTasks()) return;
-    // A direct command costs several times what its content costs in the response to a heartbeat.
+    // A direct command costs several times as much as the same content in a heartbeat response.
     if (this.cluster.isLagging(this.ctx.clock.now())) return;
     this.sendPendingCommands();
     this.sendPendingProbes();
   }
 
   /**
-   * The same once the current event has been handled: the response to a
-   * heartbeat takes the commands of its machine first, at no cost.
+   * Calls `sendPending` after the current event has been handled, so that the
+   * response to a heartbeat first takes the commands of its machine at no extra
+   * cost.
    */
-  sendPendingSoon(): void {
+  deferSendPending(): void {
     if (this.cluster.pendingCommands.size > 0) setImmediate(() => this.sendPending());
   }
 
   private sendPendingCommands(): void {
     const { pendingCommands } = this.cluster;
     for (const machine of pendingCommands) {
-      // The rest follows as these are answered, unless a heartbeat comes first.
+      // The others follow as these are answered, or earlier with a heartbeat response.
       if (!this.hasFreeSocket()) return;
       if (this.inFlight.has(machine.id)) continue;
       pendingCommands.delete(machine);
       const { commands, starts } = takePendingCommands(machine);
-      if (commands.length > 0) void this.command(machine, commands, starts);
+      if (commands.length > 0) void this.sendCommands(machine, commands, starts);
     }
   }
 
-  /** A command without content: whether it is answered shows whether the machine receives commands. */
+  /** Sends empty commands; a reply shows that the machine receives commands. */
   private sendPendingProbes(): void {
     const { pendingProbes } = this.cluster;
     for (const machine of pendingProbes) {
       if (!this.hasFreeSocket()) return;
       if (this.inFlight.has(machine.id) || machine.address === '') continue;
       pendingProbes.delete(machine);
-      void this.command(machine, [], []);
+      void this.sendCommands(machine, [], []);
     }
   }
 
@@ -157,9 +178,9 @@
   }
 
   /**
-   * Sends under the machine's fencing token. It is asked again whether the
-   * term is proven once there is a connection: the wait for one may outlast the
-   * proof.
+   * Sends commands under the machine's fencing token. The client checks again that
+   * the term is proven once it has a connection, since the wait for one may outlast
+   * the proof.
    */
   private send(
     machine: Machine,
@@ -177,7 +198,7 @@
     );
   }
 
-  private async confirm(machine: Machine, signal: AbortSignal): Promise<void> {
+  private async confirmMachine(machine: Machine, signal: AbortSignal): Promise<void> {
     try {
       // Most agents are in their first epoch; a refusal reports a later one.
       let agentEpoch = Math.max(FIRST_AGENT_EPOCH, machine.agentEpoch);
@@ -191,11 +212,14 @@
       // A request that was not attempted says nothing about the machine.
       machine.confirmationUnanswered = !(err instanceof NotAttemptedError);
       if (!signal.aborted)
-        this.ctx.log.debug({ machine: machine.id, err }, 'machine not confirmed by command');
+        this.ctx.log.debug(
+          { machine: machine.id, err },
+          'confirmation command failed; waiting for a heartbeat of the machine',
+        );
     }
   }
 
-  private async command(
+  private async sendCommands(
     machine: Machine,
     commands: TaskCommand[],
     startedAttempts: TaskAttempt[],
@@ -208,29 +232,36 @@
       cluster.applyCommandResult(startedAttempts, executed, heartbeat.sequence);
       if (executed) cluster.markResponsive(machine);
     } catch (err) {
-      this.recordFailure(machine, startedAttempts, err);
+      this.handleCommandFailure(machine, startedAttempts, err);
     } finally {
       this.inFlight.delete(machine.id);
-      this.sendPendingSoon();
+      this.deferSendPending();
     }
   }
 
-  /** Without an answer the starts may have been executed or be executed yet; they stay assigned. */
-  private recordFailure(machine: Machine, startedAttempts: TaskAttempt[], err: unknown): void {
+  /**
+   * Handles a command without a reply. Its starts may have been executed or may
+   * still be, so they stay assigned.
+   */
+  private handleCommandFailure(
+    machine: Machine,
+    startedAttempts: TaskAttempt[],
+    err: unknown,
+  ): void {
     const { ctx, term, cluster } = this;
-    // What has certainly not left can still go out in the response to a heartbeat.
+    // Starts that were certainly not sent can still go out in the response to a heartbeat.
     if (err instanceof NotSentError)
       for (const attempt of startedAttempts) attempt.directCommandFence = null;
     if (term.signal.aborted) return;
-    // A request that was not attempted says nothing about the machine, and behind a network
-    // partition a machine can't answer.
+    // A request that was not attempted says nothing about the machine, and a machine behind a
+    // network partition can't answer.
     if (!(err instanceof NotAttemptedError) && !machine.relayed)
       cluster.markUnresponsive(machine, ctx.clock.now());
-    ctx.log.debug({ machine: machine.id, err }, 'command not answered');
+    ctx.log.debug({ machine: machine.id, err }, 'agent command failed; its starts stay assigned');
   }
 
   private applyResponse(machine: Machine, heartbeat: Heartbeat): void {
-    // Guards against an address that another machine has now: its tasks are not this machine's.
+    // The address may belong to another machine now, whose tasks are not this machine's.
     if (heartbeat.machineId !== machine.id) return;
     if (heartbeat.term > this.term.number)
       this.term.resign('command reply carries a higher fencing token');
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,11 +1,11 @@
 /**
- * Saves the demand forecast for the next leader, which would provision too
- * little without it, and restores what the last leader saved. Owns the keys
- * `loads` and `loads/<page>`, and the version of the newest job that the
- * forecast counts.
+ * Saves the demand forecast for the next leader, which would provision too few
+ * machines without it, and restores the forecast that the previous leader saved.
+ * Owns the keys `loads` and `loads/<page>`, and the version of the newest job
+ * that the forecast counts.
  *
- * Serves docs/design.md "Safety" 1: the keys are written over the version of
- * this term's leader key, so a former leader can't overwrite them.
+ * Serves docs/design.md "Safety" 1: the writes are conditioned on the version of
+ * this term's leader key, so a former leader can't overwrite the keys.
  */
 import type { DemandForecast } from '../../model/demand-forecast.js';
 import type { Change } from '../../protocol/key-value-protocol.js';
@@ -27,16 +27,16 @@
 
 const DEMAND_KEY = 'loads';
 
-/** Bytes of a page besides its forecasts. */
-const FRAME_BYTES = 100;
+/** Bytes reserved in each page for everything but its forecasts. */
+const PAGE_OVERHEAD_BYTES = 100;
 
 function pageKey(page: number): string {
   return page === 0 ? DEMAND_KEY : `${DEMAND_KEY}/${page}`;
 }
 
-/** The demand forecast of one leader term in the state service. */
+/** Stores the demand forecast of one leader term in the state service. */
 export class DemandStore {
-  /** Jobs up to this version are counted in the forecast. */
+  /** Jobs up to this version are already counted in the forecast. */
   private countedVersion = 0;
 
   constructor(
@@ -45,14 +45,17 @@
     private readonly scaleOut: ScaleOutPlanner,
   ) {}
 
-  /** A job has arrived; one that an earlier leader has counted is not counted again. */
+  /** Counts a new job in the forecast, unless this or an earlier leader has already counted it. */
   recordArrival(spec: DemandForecast['spec'], version: number): void {
     if (version <= this.countedVersion) return;
     this.countedVersion = version;
     this.scaleOut.recordArrival(spec);
   }
 
-  /** Restores the forecast that the last leader saved. Throws `AbortedError` once the term has ended. */
+  /**
+   * Restores the forecast that the previous leader saved. Throws `AbortedError`
+   * once the term has ended.
+   */
   async read(): Promise<void> {
     const first = decodeFirstPage(await this.readPage(0));
     if (!first) return;
@@ -71,13 +74,13 @@
       try {
         await ctx.state.transact(
           [{ key: LEADER_KEY, version: this.term.version }],
-          this.changes(),
+          this.pageChanges(),
           RequestPriority.progress,
           signal,
         );
       } catch (err) {
         if (signal.aborted) return;
-        ctx.log.debug({ err }, 'demand forecast not saved');
+        ctx.log.debug({ err }, 'demand forecast write failed; retrying at the next interval');
       }
     }
   }
@@ -90,8 +93,8 @@
     return entry?.value ?? null;
   }
 
-  private changes(): Change[] {
-    const pages = this.pages();
+  private pageChanges(): Change[] {
+    const pages = this.splitIntoPages();
     return pages.map((forecasts, page) => ({
       op: 'put',
       key: pageKey(page),
@@ -102,17 +105,20 @@
     }));
   }
 
-  /** The forecasts, the largest first, in as many pages as one transaction takes; the rest is left out. */
-  private pages(): StoredForecast[][] {
+  /**
+   * Splits the forecasts, largest first, into as many pages as one transaction
+   * takes; drops the rest.
+   */
+  private splitIntoPages(): StoredForecast[][] {
     const { limits } = this.ctx;
-    const pageBytes = valueCapacityBytes(limits) - FRAME_BYTES;
+    const pageBytes = valueCapacityBytes(limits) - PAGE_OVERHEAD_BYTES;
     const pages: StoredForecast[][] = [[]];
     let freeBytes = pageBytes;
     for (const forecast of this.scaleOut.snapshot().sort((a, b) => b.mean - a.mean)) {
       const stored = encodeForecast(forecast);
-      // With the comma that follows it.
+      // Includes the comma that follows it.
       const bytes = storedBytes(stored) + 1;
-      // One that fits no page must not keep the others from being saved.
+      // A forecast that does not fit on any page must not keep the others from being saved.
       if (bytes > pageBytes) continue;
       if (bytes > freeBytes) {
         if (pages.length === limits.changes) break;
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -1,10 +1,10 @@
 /**
- * Removes stored dependency lists whose job has ended or was never accepted.
- * Owns the times since when a list has had no live job; deletes `lists/` and
- * `needs/` keys, each removal on the condition that its job is not live.
+ * Removes stored dependency lists whose job has ended or was never accepted. Owns
+ * the times at which lists were first found without a live job; deletes `lists/`
+ * and `needs/` keys, each on the condition that the job is not live.
  *
- * A list without a job is left for a while: the submission that wrote it may
- * still be in progress and would have to begin anew.
+ * A list without a live job is kept for a while, because the submission that
+ * wrote it may still be in progress and would have to start over.
  */
 import { readPrefix } from '../../clients/key-ranges.js';
 import type { Entry } from '../../protocol/key-value-protocol.js';
@@ -19,8 +19,11 @@
 /** Cleans up dependency lists for one leader term. */
 export class DependencyListCleaner {
   private readonly lists: DependencyLists;
-  /** Since when a list has had no live job (clock time in ms), by the key of its header. */
-  private readonly orphanSince = new Map<string, number>();
+  /**
+   * Clock time in milliseconds at which a list was first found without a live job,
+   * by the key of its header.
+   */
+  private readonly orphanedSince = new Map<string, number>();
 
   constructor(
     private readonly ctx: ControllerContext,
@@ -29,7 +32,7 @@
     this.lists = new DependencyLists(ctx);
   }
 
-  /** Looks for orphaned lists at regular intervals until the signal is aborted. */
+  /** Removes orphaned lists at regular intervals until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing, log } = this.ctx;
     while (!signal.aborted) {
@@ -38,7 +41,7 @@
         await this.removeOrphans(signal);
       } catch (err) {
         if (signal.aborted) return;
-        log.debug({ err }, 'dependency lists not cleaned');
+        log.debug({ err }, 'dependency list cleanup failed; retrying at the next interval');
       }
     }
   }
@@ -58,20 +61,24 @@
 
   private forgetRemoved(headers: readonly Entry[]): void {
     const existing = new Set(headers.map((entry) => entry.key));
-    for (const key of this.orphanSince.keys()) if (!existing.has(key)) this.orphanSince.delete(key);
+    for (const key of this.orphanedSince.keys())
+      if (!existing.has(key)) this.orphanedSince.delete(key);
   }
 
-  /** Notes since when the list has had no live job; true once that is long enough. */
+  /**
+   * Records when the list was first found without a live job; returns true once
+   * that is at least `orphanListMs` ago.
+   */
   private isDueForRemoval(headerKey: string, jobId: string): boolean {
     const { clock, timing } = this.ctx;
     if (this.liveJobs.has(jobId)) {
-      this.orphanSince.delete(headerKey);
+      this.orphanedSince.delete(headerKey);
       return false;
     }
     const now = clock.now();
-    const since = this.orphanSince.get(headerKey);
+    const since = this.orphanedSince.get(headerKey);
     if (since === undefined) {
-      this.orphanSince.set(headerKey, now);
+      this.orphanedSince.set(headerKey, now);
       return false;
     }
     return now - since >= timing.orphanListMs;
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -1,11 +1,11 @@
 /**
- * Reads for the leader what it has not seen itself about dependencies: how jobs
- * ended that others wait for (before its term, or ended by another controller),
- * and dependency lists that are stored apart from their job's record. Owns no
- * state and writes nothing: what it reads goes into `ClusterState`.
+ * Reads the dependency information that the leader has not observed itself: how
+ * jobs that others depend on ended (before its term, or through another
+ * controller), and dependency lists that are stored apart from their job's
+ * record. Owns no state and writes nothing; the results go into `ClusterState`.
  *
- * A job whose dependencies are not known completely never starts; until this
- * routine has read them, it waits.
+ * A job does not start before all its dependencies are known, so it waits until
+ * this routine has read them.
  */
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
@@ -13,16 +13,19 @@
 import type { JobStore } from '../api/job-store.js';
 import type { ControllerContext } from '../context.js';
 
-/** Dependency lists read at the same time. */
+/** Maximum number of dependency lists read concurrently. */
 const MAX_CONCURRENT_READS = 8;
 
-/** Round intervals between two looks while reads succeed. */
-const POLL_ROUNDS = 2;
+/** Poll interval while reads succeed, in round intervals. */
+const POLL_ROUND_INTERVALS = 2;
 
-/** A dependency has neither a live record nor an end: it was moved between the two reads, or its record is lost. */
+/**
+ * A dependency has neither a live record nor an end record: it was moved between
+ * the two reads, or its record is lost.
+ */
 export class MissingDependencyError extends Error {
   constructor(readonly jobId: string) {
-    super(`job ${jobId} has neither a live record nor an end`);
+    super(`job ${jobId} has neither a live record nor an end record`);
   }
 }
 
@@ -34,16 +37,16 @@
     private readonly store: JobStore,
   ) {}
 
-  /** Reads what is unresolved until the signal is aborted; throws `AbortedError` then. */
+  /** Resolves pending dependencies until the signal is aborted; throws `AbortedError` then. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
     while (!signal.aborted) {
       const failed = await this.resolvePending(signal);
-      await clock.sleep(failed ? timing.renewMs : timing.roundMs * POLL_ROUNDS, signal);
+      await clock.sleep(failed ? timing.renewMs : timing.roundMs * POLL_ROUND_INTERVALS, signal);
     }
   }
 
-  /** True when something could not be read. */
+  /** Returns true when a read failed. */
   private async resolvePending(signal: AbortSignal): Promise<boolean> {
     const { dependencies } = this.cluster;
     const unread = [...dependencies.unreadLists].slice(0, MAX_CONCURRENT_READS);
@@ -53,14 +56,17 @@
     ]);
     const failure = results.find((result) => result.status === 'rejected');
     if (failure && !signal.aborted)
-      this.ctx.log.debug({ err: failure.reason }, 'dependency not read');
+      this.ctx.log.debug(
+        { err: failure.reason },
+        'dependency read failed; retrying after a renewal interval',
+      );
     return failure !== undefined;
   }
 
   private async readList(job: Job, signal: AbortSignal): Promise<void> {
     const { id } = job.spec;
     const stored = await this.store.find(id, RequestPriority.completions, signal);
-    // It has ended meanwhile; the job watch is about to report that.
+    // The job has ended in the meantime; the job watch is about to report it.
     if (!stored?.live) return;
     const ids = await this.store.dependenciesOf(
       id,
@@ -71,7 +77,10 @@
     if (ids) this.cluster.addReadDependencies(job, ids);
   }
 
-  /** All at once: one job may wait for thousands that ended before this term. */
+  /**
+   * Reads all ends together: one job may wait for thousands of jobs that ended
+   * before this term.
+   */
   private async readEnds(ids: readonly string[], signal: AbortSignal): Promise<void> {
     if (ids.length === 0) return;
     const ends = await this.store.findEnds(ids, RequestPriority.completions, signal);
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -1,11 +1,11 @@
 /**
- * The leader's routines towards the cloud: machine list, scale-out, scale-in,
- * and machine types with their prices. Owns the names of provision requests;
- * writes the machine types to the state service, and nothing else.
+ * The leader's cloud routines: machine list, scale-out, scale-in, and machine
+ * types with their prices. Owns the names of provision requests; writes only the
+ * machine types to the state service.
  *
  * Serves docs/design.md "Safety" 2 (machines are provisioned and terminated only
- * while the term is proven) and 7 (a machine is terminated only by proof: the
- * cloud's answer, or the machine list).
+ * while the term is proven) and 7 (a machine counts as terminated only on proof:
+ * the cloud's response, or the machine list).
  */
 import type { AgentClient } from '../../clients/agent-client.js';
 import { type CloudClient, MAX_MACHINES_PER_TERMINATION } from '../../clients/cloud-client.js';
@@ -21,19 +21,22 @@
 
 type MachinePage = Awaited<ReturnType<CloudClient['list']>>;
 
-/** Planning is followed by this many times its duration for heartbeats, rounds and the job API. */
-const SCALING_REST_RATIO = 30;
+/** After planning, this many times its duration is left for heartbeats, rounds and the job API. */
+const SCALING_PAUSE_RATIO = 30;
 
-/** The share of the calls to the cloud that scale-in may take while many machines are to be terminated. */
+/**
+ * Share of the cloud's request rate that scale-in may use while many machines are
+ * to be terminated.
+ */
 const TERMINATION_CALL_SHARE = 0.5;
 
-/** A provision request without an answer is sent again under its name, this often in all. */
+/** Total number of attempts for a provision request, all under the same name. */
 const PROVISION_ATTEMPTS = 3;
 
-/** The pause before a provision request is repeated, in scaling intervals. */
+/** Pause before a provision request is retried, in scaling intervals. */
 const PROVISION_RETRY_INTERVALS = 0.5;
 
-/** What the fleet controller works on. */
+/** Dependencies of `FleetController`. */
 export interface FleetControllerOptions {
   ctx: ControllerContext;
   term: LeaderTerm;
@@ -41,11 +44,11 @@
   scaleOut: ScaleOutPlanner;
   scaleIn: ScaleInPlanner;
   cloud: Pick<CloudClient, 'types' | 'list' | 'provision' | 'terminate'>;
-  /** Its connections to machines that no longer exist are closed after each list. */
+  /** After each machine list, connections to machines that no longer exist are closed. */
   agents: Pick<AgentClient, 'retainOnly'>;
 }
 
-/** The fleet of one leader term. */
+/** Manages the fleet of one leader term. */
 export class FleetController {
   private readonly ctx: ControllerContext;
   private readonly term: LeaderTerm;
@@ -69,14 +72,14 @@
     const { ctx, cluster } = this;
     while (!signal.aborted) {
       try {
-        // The list proves absence only as of the moment when it was asked for.
-        const askedAt = ctx.clock.now();
+        // The list proves absence only as of the time of the request.
+        const requestedAt = ctx.clock.now();
         const machines = await this.listAllMachines(signal);
-        cluster.applyMachineList(machines, askedAt, ctx.clock.now());
+        cluster.applyMachineList(machines, requestedAt, ctx.clock.now());
         this.closeStaleConnections();
       } catch (err) {
         if (signal.aborted) return;
-        ctx.log.debug({ err }, 'machine list not answered');
+        ctx.log.debug({ err }, 'machine list request failed; retrying at the next interval');
       }
       await ctx.clock.sleep(ctx.timing.listMs, signal);
     }
@@ -103,12 +106,12 @@
   async runScaling(signal: AbortSignal): Promise<void> {
     const { ctx, scaleOut, scaleIn } = this;
     const { clock, timing } = ctx;
-    let loggedAt = 0;
+    let statusLoggedAt = 0;
     let planningMs = 0;
-    // The machine list comes first: what an earlier leader provisioned is not provisioned again.
+    // Leaves time for a machine list, so that no machine of an earlier leader is provisioned again.
     await clock.sleep(timing.listMs, signal);
     while (!signal.aborted) {
-      await clock.sleep(Math.max(timing.scalingMs, planningMs * SCALING_REST_RATIO), signal);
+      await clock.sleep(Math.max(timing.scalingMs, planningMs * SCALING_PAUSE_RATIO), signal);
       await waitWhileLagging(clock, timing.roundMs, timing.heartbeatMs, signal);
       if (!this.term.isProven()) continue;
       const now = clock.now();
@@ -119,8 +122,8 @@
       for (let from = 0; from < terminations.length; from += MAX_MACHINES_PER_TERMINATION)
         await this.terminate(terminations.slice(from, from + MAX_MACHINES_PER_TERMINATION), signal);
       for (const plan of provisions) await this.provision(plan, signal);
-      if (now - loggedAt > timing.fleetLogMs) {
-        loggedAt = now;
+      if (now - statusLoggedAt > timing.fleetLogMs) {
+        statusLoggedAt = now;
         this.logFleetStatus(now);
       }
     }
@@ -134,7 +137,10 @@
     );
   }
 
-  /** As many machines as the cloud has calls for until the next look; the others follow then. */
+  /**
+   * Returns how many machines the cloud's request rate allows to be terminated in
+   * one scaling interval; the others follow in later intervals.
+   */
   private maxTerminations(): number {
     const { platform, timing } = this.ctx;
     const calls = (platform.settings.cloud.rps * timing.scalingMs * TERMINATION_CALL_SHARE) / 1000;
@@ -142,9 +148,9 @@
   }
 
   /**
-   * Scale-in. The machines are drained first, so that nothing is assigned to
-   * them while the request is in flight. Without an answer they stay drained and
-   * are in the next plan again.
+   * Scale-in. Drains the machines first, so that nothing is assigned to them while
+   * the request is in flight. If the request fails, they stay drained and are part
+   * of the next plan.
    */
   private async terminate(
     terminations: readonly MachineTermination[],
@@ -160,11 +166,14 @@
         cluster.markTerminated(machine.id, `scale-in: ${reason}`, now);
     } catch (err) {
       if (signal.aborted) return;
-      ctx.log.debug({ err }, 'terminate request not answered');
+      ctx.log.debug({ err }, 'terminate request failed; retrying with the next plan');
     }
   }
 
-  /** Scale-out. Repeated under the same name: had an earlier request been carried out, the answer is the same machines. */
+  /**
+   * Scale-out. Retries use the same name: if an earlier attempt was carried out,
+   * the cloud returns the same machines.
+   */
   private async provision(plan: ScaleOutPlan, signal: AbortSignal): Promise<void> {
     const { ctx, term } = this;
     const request = this.provisionRequest(plan);
@@ -176,19 +185,25 @@
         return;
       } catch (err) {
         if (signal.aborted) return;
-        ctx.log.debug({ name: request.name, err }, 'provision request not answered');
+        ctx.log.debug(
+          { name: request.name, err },
+          'provision request failed; retrying while attempts remain',
+        );
         await ctx.clock.sleep(ctx.timing.scalingMs * PROVISION_RETRY_INTERVALS, signal);
       }
     }
   }
 
   private provisionRequest({ type, zone, spot, count }: ScaleOutPlan): ProvisionRequest {
-    // Idempotent by its name, which is never used again, neither by this process nor by another.
+    // The name makes the request idempotent. It is never reused, by this or any other process.
     const name = `${this.ctx.incarnation}-${this.term.number}-${++this.provisionCount}`;
     return { name, type, zone, spot, count };
   }
 
-  /** `machines`: their ids; null when the cloud has no capacity. */
+  /**
+   * Records the result of a provision request. `machines` has their ids, or is null
+   * when the cloud has no capacity.
+   */
   private recordProvisioned(
     plan: ScaleOutPlan,
     request: ProvisionRequest,
@@ -202,7 +217,7 @@
       ctx.log.info(fields, 'provisioning refused: no capacity');
       return;
     }
-    // Fewer than asked for: the cloud's capacity for this kind of machine is used up.
+    // Fewer than requested: the cloud's capacity for this kind of machine is exhausted.
     if (machines.length < plan.count) scaleOut.recordRefusal(plan, now);
     else scaleOut.recordSuccess(plan);
     ctx.log.info({ ...fields, machines }, 'machines provisioned');
@@ -219,7 +234,7 @@
         await storeMachineTypes(ctx, types, signal);
       } catch (err) {
         if (signal.aborted) return;
-        ctx.log.debug({ err }, 'machine types not answered');
+        ctx.log.debug({ err }, 'machine types refresh failed; retrying at the next interval');
       }
       await ctx.clock.sleep(ctx.timing.typesMs, signal);
     }
--- a/src/controller/leader/heartbeat-processing.ts
+++ b/src/controller/leader/heartbeat-processing.ts
@@ -1,12 +1,12 @@
 /**
  * Handles one heartbeat as the leader: applies it to the cluster state and
- * collects the commands of the response. Owns no state; what it changes belongs
- * to `ClusterState`.
+ * collects the commands of the response. Owns no state; the state that it changes
+ * belongs to `ClusterState`.
  *
- * Serves docs/design.md "Safety" 2 and 3 (starts only while the term is proven,
- * and only on a confirmed machine), 6 (fences), and "One bound for
- * cancellations": each response renews the agent's lease, so it always stops
- * what the heartbeat shows of ended jobs.
+ * Serves docs/design.md "Safety" 2 and 3 (tasks start only while the term is
+ * proven, and only on a confirmed machine), 6 (fences), and "One bound for
+ * cancellations": each response renews the agent's lease, so it always stops the
+ * tasks of ended jobs that the heartbeat lists.
  */
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { SchedulerPolicy } from '../../model/policy.js';
@@ -19,30 +19,37 @@
 import type { LeaderTerm } from '../election/leader-term.js';
 import type { AgentCommands } from './agent-commands.js';
 
-/** For this share of an agent's lease the starts in responses to relayed heartbeats may show no effect. */
-const RELAYED_PROBE_LEASES = 0.5;
+/**
+ * A machine with relayed heartbeats that has been unresponsive for this share of
+ * the agent lease is given starts again.
+ */
+const RELAYED_UNRESPONSIVE_LEASE_SHARE = 0.5;
 
-/** What goes back to the agent. */
+/** The response to an agent's heartbeat. */
 export interface HeartbeatResponse {
   commands: TaskCommand[];
-  /** The machine's fence: the lower part of the fencing token of the response. */
+  /** The machine's fence, which is the lower part of the response's fencing token. */
   fence: number;
 }
 
-/** What the handling of heartbeats works on. */
+/** Dependencies of `HeartbeatProcessor`. */
 export interface HeartbeatProcessorOptions {
   ctx: ControllerContext;
   term: LeaderTerm;
   cluster: ClusterState;
   policy: SchedulerPolicy;
-  commands: Pick<AgentCommands, 'isInFlight' | 'sendPending'>;
+  commands: Pick<AgentCommands, 'hasCommandInFlight' | 'sendPending'>;
 }
 
 /** Answers the agents' heartbeats for one leader term. */
 export class HeartbeatProcessor {
   constructor(private readonly options: HeartbeatProcessorOptions) {}
 
-  /** `relayed`: the heartbeat came by way of another controller, since a network partition keeps the agent away. */
+  /**
+   * Handles a heartbeat and returns the response. `relayed` is true when another
+   * controller forwarded the heartbeat because a network partition separates the
+   * agent from this one.
+   */
   process(heartbeat: Heartbeat, relayed: boolean): HeartbeatResponse {
     const { ctx, term, cluster, policy, commands } = this.options;
     const now = ctx.clock.now();
@@ -55,20 +62,23 @@
     // Without proof, or before the machine's tasks are known, a start could run a task twice.
     if (!machine.confirmed || !term.mayStartTasks())
       return { commands: cluster.stopsOfEndedJobs(heartbeat), fence: machine.fence };
-    // Resources that this heartbeat has freed are filled in its own response.
+    // Resources that this heartbeat frees are assigned in its own response.
     placeOnMachine(cluster, machine, policy.startsPerMachine, now);
     // A command in flight would be refused under the new fencing token.
-    if (!commands.isInFlight(machine.id)) raiseFenceIfDue(machine, cluster.timing, now);
+    if (!commands.hasCommandInFlight(machine.id)) raiseFenceIfDue(machine, cluster.timing, now);
     return { commands: cluster.heartbeatCommands(machine), fence: machine.fence };
   }
 
-  /** A late copy, or a heartbeat of a machine that is not known: it starts nothing. */
+  /**
+   * Responds to a duplicate or outdated heartbeat, or to one from an unknown
+   * machine. Starts no tasks.
+   */
   private respondToUnapplied(
     heartbeat: Heartbeat,
     machine: Machine | undefined,
   ): HeartbeatResponse {
     const { term, cluster } = this.options;
-    // A response under a lower fence than the machine knows would be dropped.
+    // The agent would drop a response under a lower fence than the one it knows.
     const reportedFence = heartbeat.term === term.number ? heartbeat.fence : 0;
     return {
       commands: cluster.stopsOfEndedJobs(heartbeat),
@@ -77,9 +87,9 @@
   }
 
   /**
-   * A machine that reports and on which nothing sent takes effect. A direct
-   * probe shows whether it receives commands; behind a network partition it
-   * can't answer one, and only starts without effect count against it.
+   * Rechecks a machine that sends heartbeats but on which commands have no effect.
+   * A direct probe shows whether it receives commands. Behind a network partition
+   * it can't answer one, and only starts without effect count against it.
    */
   private recheckUnresponsive(machine: Machine, unresponsiveSince: number, now: number): void {
     const { ctx, cluster, commands } = this.options;
@@ -89,7 +99,7 @@
       return;
     }
     const waitedMs = now - unresponsiveSince;
-    const waitedLongEnough = waitedMs > ctx.timing.agentLeaseMs * RELAYED_PROBE_LEASES;
+    const waitedLongEnough = waitedMs > ctx.timing.agentLeaseMs * RELAYED_UNRESPONSIVE_LEASE_SHARE;
     if (machine.missedAcknowledgements === 0 || waitedLongEnough) cluster.markResponsive(machine);
   }
 }
--- a/src/controller/leader/job-watch.ts
+++ b/src/controller/leader/job-watch.ts
@@ -1,12 +1,12 @@
 /**
- * Keeps the leader's jobs in line with the live jobs of the state service.
- * Owns the revision up to which changes have been applied, and is the only
- * routine that moves `LeaderTerm.setCancellationsKnownAt` forward after the
- * restoration. Writes nothing to the state service.
+ * Keeps the leader's jobs in line with the live jobs in the state service. Owns
+ * the revision up to which changes have been applied, and is the only routine
+ * that calls `LeaderTerm.setCancellationsKnownAt` after the restoration. Writes
+ * nothing to the state service.
  *
- * Serves docs/design.md "Safety" 2 (starts require current knowledge of the
- * jobs) and "One bound for cancellations": only an applied answer proves that
- * no cancellation was missed, and only up to the moment when it was asked for.
+ * Serves docs/design.md "Safety" 2 (starts require current knowledge of the jobs)
+ * and "One bound for cancellations": only an applied response proves that no
+ * cancellation was missed, and only up to the time of its request.
  */
 import type { Entry, StoreEvent } from '../../protocol/key-value-protocol.js';
 import { LIVE_JOB_PREFIX } from '../../records/keys.js';
@@ -15,19 +15,19 @@
 import type { LeaderTerm } from '../election/leader-term.js';
 import { retry } from '../retry.js';
 import type { AgentCommands } from './agent-commands.js';
-import { jobIdOf, type LiveJobs } from './live-jobs.js';
+import { jobIdOf, type LiveJobLoader } from './live-jobs.js';
 import { readPrefixSnapshot } from './prefix-snapshot.js';
 
-/** What the watch works on. */
+/** Dependencies of `JobWatch`. */
 export interface JobWatchOptions {
   ctx: ControllerContext;
   term: LeaderTerm;
   cluster: ClusterState;
-  liveJobs: LiveJobs;
-  commands: Pick<AgentCommands, 'sendPendingSoon'>;
+  liveJobLoader: LiveJobLoader;
+  commands: Pick<AgentCommands, 'deferSendPending'>;
 }
 
-/** The watch of live jobs of one leader term. */
+/** Watches the live jobs for one leader term. */
 export class JobWatch {
   constructor(private readonly options: JobWatchOptions) {}
 
@@ -36,7 +36,7 @@
     const { ctx, term, cluster } = this.options;
     let appliedRevision = revision;
     while (!signal.aborted) {
-      let askedAt = ctx.clock.now();
+      let requestedAt = ctx.clock.now();
       const after = appliedRevision;
       const changes = await retry(ctx, signal, (callSignal) =>
         ctx.state.watch(LIVE_JOB_PREFIX, after, ctx.timing.jobWatchMs, callSignal),
@@ -45,32 +45,37 @@
         for (const event of changes.events) this.applyEvent(event);
         appliedRevision = changes.revision;
       } else {
-        // The revision is too old, which by itself says nothing about the jobs: only the reread does.
-        askedAt = ctx.clock.now();
+        // The revision is too old to be watched, which says nothing about the jobs, so all of them
+        // are read again.
+        requestedAt = ctx.clock.now();
         const live = await readPrefixSnapshot(ctx, LIVE_JOB_PREFIX, signal);
         this.applyCompleteList(live.entries);
         appliedRevision = live.revision;
       }
       cluster.markJobsCurrent(appliedRevision);
-      // Guards against starts after a cancellation that was confirmed elsewhere: a watch that waits
-      // while the state service refuses this controller alone proves nothing about the present.
-      term.setCancellationsKnownAt(askedAt);
+      // The request time counts, since a watch that waits while the state service refuses only this
+      // controller proves nothing about the present. A later time would allow starts after a
+      // cancellation that was confirmed elsewhere.
+      term.setCancellationsKnownAt(requestedAt);
     }
   }
 
   private applyEvent(event: StoreEvent): void {
-    const { cluster, liveJobs, commands } = this.options;
-    if (event.op === 'put') liveJobs.add(event);
+    const { cluster, liveJobLoader, commands } = this.options;
+    if (event.op === 'put') liveJobLoader.add(event);
     else cluster.endJob(jobIdOf(event.key), null);
     // Running tasks of an ended job are stopped without waiting for the machines' next heartbeats.
-    commands.sendPendingSoon();
+    commands.deferSendPending();
   }
 
-  /** Jobs that are not in the complete list of live jobs have ended; those not known yet are added. */
+  /**
+   * Ends the jobs that are missing from the complete list of live jobs and adds
+   * those not known yet.
+   */
   private applyCompleteList(entries: readonly Entry[]): void {
-    const { cluster, liveJobs } = this.options;
+    const { cluster, liveJobLoader } = this.options;
     const liveIds = new Set(entries.map((entry) => jobIdOf(entry.key)));
     for (const id of [...cluster.jobs.keys()]) if (!liveIds.has(id)) cluster.endJob(id, null);
-    liveJobs.addAll(entries);
+    liveJobLoader.addAll(entries);
   }
 }
--- a/src/controller/leader/leader-routines.ts
+++ b/src/controller/leader/leader-routines.ts
@@ -10,12 +10,12 @@
 
 /** A routine that runs until the signal of its term is aborted. */
 export interface LeaderRoutine {
-  /** As it stands in the log. */
+  /** The name used in the log. */
   name: string;
   run(signal: AbortSignal): Promise<void>;
 }
 
-/** Resolves when the term has ended and with it all routines. Never rejects. */
+/** Resolves when the term and all routines have ended. Never rejects. */
 export function runUntilTermEnds(
   ctx: ControllerContext,
   term: LeaderTerm,
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -1,10 +1,10 @@
 /**
- * One leader term of this controller: puts the routines of the term together,
- * restores the state of the term's predecessors, and runs the routines until
- * the term ends. Owns the `ClusterState` of the term, which is dropped with it.
+ * One leader term of this controller: assembles the routines of the term,
+ * restores the state left by earlier leaders, and runs the routines until the
+ * term ends. Owns the `ClusterState` of the term, which is dropped with it.
  *
- * Serves docs/design.md "Safety" 1 and 2: whatever is sent or written here goes
- * out under this term's fencing token, or over the version of its leader key.
+ * Serves docs/design.md "Safety" 1 and 2: everything sent or written here carries
+ * this term's fencing token or is conditioned on the version of its leader key.
  */
 import { setMaxListeners } from 'node:events';
 import type { AgentClient } from '../../clients/agent-client.js';
@@ -27,30 +27,30 @@
 import { HeartbeatProcessor, type HeartbeatResponse } from './heartbeat-processing.js';
 import { JobWatch } from './job-watch.js';
 import { type LeaderRoutine, runUntilTermEnds } from './leader-routines.js';
-import { LiveJobs } from './live-jobs.js';
+import { LiveJobLoader } from './live-jobs.js';
 import { ProgressWriter } from './progress-writer.js';
 import { commandSocketsOf, serviceObjectivesOf } from './scheduler-configuration.js';
 import { SchedulingLoop } from './scheduling-loop.js';
 import { StateRestoration } from './state-restoration.js';
 
-/** What a leader term is put together from. */
+/** Dependencies of `Leader`. */
 export interface LeaderOptions {
   ctx: ControllerContext;
   cloud: Pick<CloudClient, 'types' | 'list' | 'provision' | 'terminate'>;
   term: LeaderTerm;
   policy: SchedulerPolicy;
-  /** Closed with the term. */
+  /** Closed when the term ends. */
   agents: Pick<AgentClient, 'command' | 'retainOnly' | 'close'>;
 }
 
-/** Finished and running tasks of a job, for display: the form in which peers are sent them. */
+/** Finished and running tasks of a job for display, in the form that is sent to peers. */
 export type JobTaskCounts = [jobId: string, finished: number, running: number];
 
 /** The leader of one term. Its constructor is the composition root of the term's routines. */
 export class Leader {
   readonly cluster: ClusterState;
   readonly term: LeaderTerm;
-  /** The state has been restored: heartbeats are applied. */
+  /** Whether the state has been restored and heartbeats are applied. */
   ready = false;
   private markReady: () => void = () => {};
   private readonly whenReady = new Promise<void>((resolve) => {
@@ -99,19 +99,26 @@
       sockets: commandSocketsOf(ctx.platform),
     });
     const demandStore = new DemandStore(ctx, term, scaleOut);
-    const liveJobs = new LiveJobs(ctx.log, term, cluster, demandStore);
+    const liveJobLoader = new LiveJobLoader(ctx.log, term, cluster, demandStore);
     this.cluster = cluster;
     this.commands = commands;
     this.demandStore = demandStore;
-    this.restoration = new StateRestoration({ ctx, cloud, term, cluster, liveJobs, demandStore });
-    this.jobWatch = new JobWatch({ ctx, term, cluster, liveJobs, commands });
+    this.restoration = new StateRestoration({
+      ctx,
+      cloud,
+      term,
+      cluster,
+      liveJobLoader,
+      demandStore,
+    });
+    this.jobWatch = new JobWatch({ ctx, term, cluster, liveJobLoader, commands });
     this.schedulingLoop = new SchedulingLoop({ ctx, term, cluster, policy, commands });
     this.heartbeats = new HeartbeatProcessor({ ctx, term, cluster, policy, commands });
     this.progressWriter = new ProgressWriter(ctx, term, cluster);
     this.dependencyResolver = new DependencyResolver(ctx, cluster, new JobStore(ctx));
     this.listCleaner = new DependencyListCleaner(ctx, cluster.jobs);
     this.fleet = new FleetController({ ctx, term, cluster, scaleOut, scaleIn, cloud, agents });
-    // Each request in flight listens to the term's end: far more than Node warns about by default.
+    // Each request in flight adds a listener, far more than the number at which Node.js warns.
     setMaxListeners(0, term.signal);
     term.signal.addEventListener('abort', () => agents.close(), { once: true });
   }
@@ -120,8 +127,8 @@
   async run(): Promise<void> {
     const { ctx, term, cluster } = this;
     const startedAt = ctx.clock.now();
-    const { revision, askedAt } = await this.restoration.run();
-    term.setCancellationsKnownAt(askedAt);
+    const { revision, requestedAt } = await this.restoration.run();
+    term.setCancellationsKnownAt(requestedAt);
     this.ready = true;
     this.markReady();
     ctx.log.info(
@@ -156,17 +163,17 @@
   }
 
   /**
-   * A controller is about to confirm this cancellation to its user; it is
-   * durable at this revision. The watch may be late, or refused to this
-   * controller alone: nothing of the job may start once the user has the
+   * Applies a cancellation that is durable at this revision and that a controller
+   * is about to confirm to its user. The job watch may be late, or refused only to
+   * this controller, but nothing of the job may start once the user has the
    * confirmation.
    */
   announceCancellation(id: string, revision: number): void {
     this.cluster.announceCancellation(id, revision);
-    this.commands.sendPendingSoon();
+    this.commands.deferSendPending();
   }
 
-  /** Waits until the state has been restored, or for as long as the response to a heartbeat may take. */
+  /** Waits until the state has been restored, but no longer than a heartbeat response may take. */
   async untilReady(): Promise<void> {
     if (this.ready) return;
     const timeout = this.ctx.clock.sleep(this.ctx.timing.commandTimeoutMs).catch(() => {});
@@ -174,14 +181,18 @@
   }
 
   /**
-   * Applies an agent's heartbeat and returns what goes back to it: commands and
-   * the machine's fence. `relayed`: it came by way of another controller.
+   * Applies an agent's heartbeat and returns the response: commands and the
+   * machine's fence. `relayed` is true when another controller forwarded the
+   * heartbeat.
    */
   handleHeartbeat(heartbeat: Heartbeat, relayed: boolean): HeartbeatResponse {
     return this.heartbeats.process(heartbeat, relayed);
   }
 
-  /** Finished and running tasks of at most `limit` live jobs that have any, for display. */
+  /**
+   * Returns the finished and running tasks of at most `limit` live jobs that have
+   * any, for display.
+   */
   taskCounts(limit: number): JobTaskCounts[] {
     const counts: JobTaskCounts[] = [];
     for (const job of this.cluster.jobs.values()) {
--- a/src/controller/leader/live-jobs.ts
+++ b/src/controller/leader/live-jobs.ts
@@ -1,7 +1,7 @@
 /**
- * Adds accepted jobs, as their records in the state service describe them, to
- * the leader's cluster state and to the demand forecast. Owns no state and
- * writes nothing to the state service.
+ * Adds accepted jobs, as described by their records in the state service, to the
+ * leader's cluster state and to the demand forecast. Owns no state and writes
+ * nothing to the state service.
  */
 import type { Logger } from 'pino';
 import { isObject } from '../../protocol/json-fields.js';
@@ -13,33 +13,33 @@
 import type { LeaderTerm } from '../election/leader-term.js';
 import type { DemandStore } from './demand-store.js';
 
-/** The job's id in the key of its live record. */
+/** Returns the job id in the key of a live job record. */
 export function jobIdOf(liveJobKey: string): string {
   return liveJobKey.slice(LIVE_JOB_PREFIX.length);
 }
 
-/** Takes records of live jobs into the cluster state of one leader term. */
-export class LiveJobs {
+/** Adds records of live jobs to the cluster state of one leader term. */
+export class LiveJobLoader {
   constructor(
     private readonly log: Logger,
     private readonly term: Pick<LeaderTerm, 'version'>,
     private readonly cluster: ClusterState,
-    private readonly demand: Pick<DemandStore, 'recordArrival'>,
+    private readonly demandStore: Pick<DemandStore, 'recordArrival'>,
   ) {}
 
   /**
-   * Adds all jobs of a list. Keys are listed in the order of their names;
-   * jobs arrived in that of their versions, and priorities, quotas and the
-   * demand forecast depend on that order.
+   * Adds all jobs of a list. The list is sorted by key, but jobs arrived in the
+   * order of their versions, on which priorities, quotas and the demand forecast
+   * depend.
    */
   addAll(entries: readonly Entry[]): void {
     for (const entry of [...entries].sort((a, b) => a.version - b.version)) this.add(entry);
   }
 
   /**
-   * Adds one job; one that is known already, or whose cancellation was
-   * announced, is left as it is. A record that can't be decoded is logged and
-   * skipped: it must not keep the leader from the other jobs.
+   * Adds one job. A job that is already known, or whose cancellation was announced,
+   * is left unchanged. A record that can't be decoded is logged and skipped, since
+   * it must not keep the leader from the other jobs.
    */
   add({ key, value, version }: Entry): void {
     const record = decodeLiveJob(value);
@@ -47,7 +47,7 @@
       this.log.error({ key }, 'live job is not readable');
       return;
     }
-    // Of a job accepted before this term an earlier leader may have started tasks.
+    // An earlier leader may have started tasks of a job that was accepted before this term.
     const inherited = version <= this.term.version;
     const job = this.cluster.addJob(
       record.spec,
@@ -56,11 +56,14 @@
       inherited,
       dependenciesOf(record),
     );
-    if (job) this.demand.recordArrival(record.spec, version);
+    if (job) this.demandStore.recordArrival(record.spec, version);
   }
 }
 
-/** What the record itself says of the job's dependencies; the rest is read by the dependency resolver. */
+/**
+ * Returns the dependencies that the record itself contains; the dependency
+ * resolver reads the others.
+ */
 function dependenciesOf(record: LiveJobRecord) {
   const pages = Array.from({ length: record.dependencyPages ?? 0 }, (_, page) => page);
   return {
--- a/src/controller/leader/prefix-snapshot.ts
+++ b/src/controller/leader/prefix-snapshot.ts
@@ -1,24 +1,27 @@
 /**
- * Reads all keys below a prefix for a leader, page by page, each page until it
- * is answered. Reads only.
+ * Reads all keys below a prefix for a leader, page by page, and retries each page
+ * until it is answered.
  */
 import type { Entry } from '../../protocol/key-value-protocol.js';
 import type { ControllerContext } from '../context.js';
 import { retry } from '../retry.js';
 
-/** All keys below a prefix. */
+/** All entries below a prefix. */
 export interface PrefixSnapshot {
   entries: Entry[];
   /**
-   * Of the first page. Later pages may show later changes already: a watch
-   * from this revision reports these once more, and misses none.
+   * Revision of the first page. Later pages may already show later changes; a watch
+   * from this revision reports these changes again and misses none.
    */
   revision: number;
 }
 
 type Page = Awaited<ReturnType<ControllerContext['state']['listPage']>>;
 
-/** All keys below the prefix, in key order. Throws `AbortedError` once the signal is aborted. */
+/**
+ * Returns all entries below the prefix, in key order. Throws `AbortedError` once
+ * the signal is aborted.
+ */
 export async function readPrefixSnapshot(
   ctx: ControllerContext,
   prefix: string,
@@ -28,9 +31,9 @@
   let after: string | null = null;
   let revision: number | null = null;
   for (;;) {
-    const from: string | null = after;
+    const startAfter: string | null = after;
     const page: Page = await retry(ctx, signal, (callSignal) =>
-      ctx.state.listPage(prefix, from, callSignal),
+      ctx.state.listPage(prefix, startAfter, callSignal),
     );
     revision ??= page.revision;
     entries.push(...page.entries);
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -1,11 +1,11 @@
 /**
  * Makes the leader's progress durable: ends of jobs, bitmaps of finished tasks,
  * the roster, and deletions of obsolete keys. Owns the budget of changes for
- * progress; what is to be written is decided by scheduler/persistence.
+ * progress; scheduler/persistence decides what is written.
  *
  * Serves docs/design.md "Safety" 1 (each transaction is conditioned on the
  * version of this term's leader key), 9 (an exit is forgotten only once it is
- * durable: `DurableWrite.applied`) and 10 (a write without an answer may still
+ * durable: `DurableWrite.applied`) and 10 (a write without a response may still
  * be applied: `DurableWrite.retry(true)`).
  */
 import { RequestRefusedError, RequestRejectedError } from '../../clients/key-value-store.js';
@@ -20,23 +20,33 @@
 import { LEADER_KEY } from '../election/leader-key.js';
 import type { LeaderTerm } from '../election/leader-term.js';
 
-/** The share of the changes a second for progress; the rest stays for submissions, cancellations and ends. */
+/**
+ * Share of the allowed changes per second that progress may use. The rest is left
+ * for submissions, cancellations and ends of jobs.
+ */
 const PROGRESS_SHARE = 0.3;
 
-/** Unused changes for progress are kept for a burst, up to this many seconds of all changes. */
+/**
+ * Unused changes for progress are kept for bursts, up to this many seconds of all
+ * allowed changes.
+ */
 const PROGRESS_BURST_S = 0.5;
 
-/** Write intervals to wait after a transaction that was refused or not answered. */
+/** Pause after a transaction that was refused or got no response, in write intervals. */
 const FAILURE_BACKOFF_INTERVALS = 3;
 
 /**
- * What became of a batch; each of its writes has had the callback for it.
- * - `settled`: applied, in conflict with what is stored, or rejected for good. The next batch may follow.
- * - `postponed`: refused, not answered, or this leader has a successor. The rest waits for the next interval.
+ * Outcome of a batch. The callbacks of its writes have already been called,
+ * except for writes given up.
+ *
+ * - `settled`: applied, in conflict with what is stored, or rejected permanently.
+ *   The next batch may follow.
+ * - `postponed`: refused, without a response, or superseded by another leader. The
+ *   remaining writes wait for the next interval.
  */
 type BatchOutcome = 'settled' | 'postponed';
 
-/** The durable writes of one leader term. */
+/** Performs the durable writes of one leader term. */
 export class ProgressWriter {
   constructor(
     private readonly ctx: ControllerContext,
@@ -44,7 +54,10 @@
     private readonly cluster: ClusterState,
   ) {}
 
-  /** Writes what is pending at regular intervals; throws `AbortedError` when the signal is aborted. */
+  /**
+   * Writes pending changes at regular intervals; throws `AbortedError` when the
+   * signal is aborted.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, cluster } = this;
     const { loweredChangesPerS } = ctx.limits;
@@ -54,7 +67,7 @@
     while (!signal.aborted) {
       await ctx.clock.sleep(intervalMs, signal);
       budget = Math.min(budget + changesPerInterval, loweredChangesPerS * PROGRESS_BURST_S);
-      await this.rereadUnknownChunks(signal);
+      await this.rereadUnknownChunkVersions(signal);
       const writes = pendingWrites(cluster, {
         progressChanges: budget,
         wallNow: ctx.clock.wall(),
@@ -72,7 +85,7 @@
     }
   }
 
-  /** As many of the next writes as one transaction takes, and at least one. */
+  /** Returns as many of the next writes as fit into one transaction, and at least one. */
   private nextBatch(writes: readonly DurableWrite[], from: number): DurableWrite[] {
     const batch: DurableWrite[] = [];
     let changes = 0;
@@ -90,11 +103,11 @@
   }
 
   /**
-   * After a write of a bitmap without an answer its stored version is not
-   * known: it is read before the bitmap is written again, since a write over a
-   * wrong version could only fail.
+   * Reads the versions of bitmap chunks whose last write got no response. The
+   * stored version is unknown then, and a write conditioned on a wrong version
+   * would only fail.
    */
-  private async rereadUnknownChunks(signal: AbortSignal): Promise<void> {
+  private async rereadUnknownChunkVersions(signal: AbortSignal): Promise<void> {
     for (const { job, chunk } of chunksOfUnknownVersion(this.cluster)) {
       try {
         const key = this.cluster.bitmaps.key(job.spec.id, chunk);
@@ -102,7 +115,7 @@
         job.chunkVersions.set(chunk, entry?.version ?? 0);
       } catch (err) {
         if (signal.aborted) throw new AbortedError();
-        this.ctx.log.debug({ err }, 'bitmap not read');
+        this.ctx.log.debug({ err }, 'bitmap read failed; retrying at the next write interval');
         return;
       }
     }
@@ -117,22 +130,26 @@
         RequestPriority.completions,
         term.signal,
       );
-      if (!result.ok) return this.conditionsFailed(batch, result.failed);
+      if (!result.ok) return this.handleFailedConditions(batch, result.failed);
       for (const write of batch) write.applied(result.revision);
       return 'settled';
     } catch (err) {
       if (err instanceof RequestRejectedError) return this.splitOrGiveUp(batch, err);
-      // Refused: certainly not applied. Not answered: it may have been applied, or may be yet.
-      const maybeApplied = !(err instanceof RequestRefusedError);
-      for (const write of batch) write.retry(maybeApplied);
-      if (!term.signal.aborted) ctx.log.debug({ err }, 'progress write refused or not answered');
+      // A refused request was not applied; one without a response may have been, or may still be.
+      const mayBeApplied = !(err instanceof RequestRefusedError);
+      for (const write of batch) write.retry(mayBeApplied);
+      if (!term.signal.aborted)
+        ctx.log.debug({ err }, 'progress write refused or failed; retrying after a pause');
       await ctx.clock.sleep(ctx.timing.progressWriteMs * FAILURE_BACKOFF_INTERVALS, term.signal);
       return 'postponed';
     }
   }
 
-  /** The conditions on these keys failed, so nothing of the batch was applied. */
-  private conditionsFailed(batch: readonly DurableWrite[], failedKeys: string[]): BatchOutcome {
+  /** Handles failed conditions on these keys, because of which nothing of the batch was applied. */
+  private handleFailedConditions(
+    batch: readonly DurableWrite[],
+    failedKeys: string[],
+  ): BatchOutcome {
     if (failedKeys.includes(LEADER_KEY)) {
       this.term.resign('leader key held by another controller');
       for (const write of batch) write.retry(false);
@@ -146,9 +163,10 @@
   }
 
   /**
-   * The state service will never take this transaction as it stands. Each write
-   * is sent by itself, so that the one at fault blocks none of the others; that
-   * one is left until the next leader, which begins with what is stored.
+   * Handles a transaction that the state service will never accept as it is. Each
+   * write is sent separately, so that the rejected one does not block the others.
+   * That one is not retried in this term; the next leader starts from what is
+   * stored.
    */
   private async splitOrGiveUp(
     batch: readonly DurableWrite[],
@@ -166,7 +184,10 @@
   }
 }
 
-/** The changes that count against the budget: bitmaps, roster pages and deletions, but not ends of jobs. */
+/**
+ * Counts the changes charged to the budget: bitmaps, roster pages and deletions,
+ * but not ends of jobs.
+ */
 function progressChangesIn(batch: readonly DurableWrite[]): number {
   return batch.filter((write) => write.changes.length === 1).length;
 }
--- a/src/controller/leader/scheduler-configuration.ts
+++ b/src/controller/leader/scheduler-configuration.ts
@@ -1,20 +1,29 @@
 /**
- * Maps the platform's settings and the operators' properties to what the
- * scheduler and the agent commands of a leader term are configured with. Pure
- * functions: no state is owned here.
+ * Maps the platform's settings and the operators' properties to the configuration
+ * of the scheduler and the agent commands of a leader term. All functions are
+ * pure.
  */
 import type { Policy } from '../../config/policy.js';
 import type { Platform } from '../../config/settings.js';
 import type { ClassObjectives, SchedulerPolicy, ServiceObjectives } from '../../model/policy.js';
 import type { CommandSockets } from './agent-commands.js';
 
-/** The share of all sockets for commands in flight; the connections are kept open for the next ones. */
+/**
+ * Share of all sockets for commands in flight; the connections are kept open for
+ * later commands.
+ */
 const COMMAND_SOCKET_SHARE = 0.07;
 
-/** The share of all sockets for confirmations after failover: a terminated machine occupies one until it times out. */
+/**
+ * Share of all sockets for confirmations after failover. A terminated machine
+ * occupies one until its request times out.
+ */
 const CONFIRMATION_SOCKET_SHARE = 0.03;
 
-/** The scheduler's policy from the operators' properties; docs/operations.md explains each key. */
+/**
+ * Returns the scheduler's policy for the operators' properties;
+ * docs/operations.md explains each key.
+ */
 export function schedulerPolicy(properties: Policy): SchedulerPolicy {
   return {
     weights: {
@@ -36,7 +45,7 @@
   };
 }
 
-/** How many sockets each kind of command of a leader may take. */
+/** Returns how many sockets each kind of a leader's commands may use. */
 export function commandSocketsOf(platform: Platform): CommandSockets {
   return {
     commands: socketsOf(platform, COMMAND_SOCKET_SHARE),
@@ -44,7 +53,7 @@
   };
 }
 
-/** How many sockets all commands of a leader may take together. */
+/** Returns how many sockets all commands of a leader may use together. */
 export function totalCommandSockets(platform: Platform): number {
   const { commands, confirmations } = commandSocketsOf(platform);
   return commands + confirmations;
@@ -57,28 +66,28 @@
 type Objectives = Platform['settings']['objectives'];
 type Objective = NonNullable<Objectives>[number];
 
-/** The service-level objectives of the settings, by job class. */
+/** Returns the service-level objectives of the settings by job class. */
 export function serviceObjectivesOf(objectives: Objectives): ServiceObjectives {
   const result: ServiceObjectives = { classes: new Map(), guaranteedStartS: null };
   for (const objective of objectives ?? []) {
     if (objective.kind === 'guarantee') result.guaranteedStartS = objective.within_s ?? null;
     if (!objective.class) continue;
-    const ofClass = result.classes.get(objective.class) ?? {
+    const classObjectives = result.classes.get(objective.class) ?? {
       startWithinS: [],
       finishWithinS: [],
       deadlineMultiples: [],
     };
-    result.classes.set(objective.class, ofClass);
-    addObjective(ofClass, objective);
+    result.classes.set(objective.class, classObjectives);
+    addObjective(classObjectives, objective);
   }
   return result;
 }
 
 function addObjective(
-  ofClass: ClassObjectives,
+  classObjectives: ClassObjectives,
   { kind, within_s: withinS, times }: Objective,
 ): void {
-  if (kind === 'wait' && withinS) ofClass.startWithinS.push(withinS);
-  else if (kind === 'finished' && withinS) ofClass.finishWithinS.push(withinS);
-  else if (kind === 'deadline') ofClass.deadlineMultiples.push(times ?? 1);
+  if (kind === 'wait' && withinS) classObjectives.startWithinS.push(withinS);
+  else if (kind === 'finished' && withinS) classObjectives.finishWithinS.push(withinS);
+  else if (kind === 'deadline') classObjectives.deadlineMultiples.push(times ?? 1);
 }
--- a/src/controller/leader/state-restoration.ts
+++ b/src/controller/leader/state-restoration.ts
@@ -1,13 +1,14 @@
 /**
  * Failover: rebuilds the cluster state of a new leader term from the state
- * service. Reads only, and owns no state of its own: what it reads becomes part
- * of `ClusterState` and of the demand forecast.
+ * service. Reads only and owns no state; the results become part of
+ * `ClusterState` and of the demand forecast.
  *
  * Serves docs/design.md "Safety" 4: the roster is read before the live jobs, so
  * each machine that may run a task of an inherited job is known before the job
- * is, and the task waits until those machines are confirmed or terminated. And
- * "One bound for cancellations": the moment at which the live jobs were asked
- * for is the first one at which this term knows of all cancellations.
+ * is, and the task waits until those machines are confirmed or terminated.
+ *
+ * Also serves "One bound for cancellations": the time at which the live jobs were
+ * requested is the first one at which this term knows of all cancellations.
  */
 import type { CloudClient } from '../../clients/cloud-client.js';
 import type { Entry } from '../../protocol/key-value-protocol.js';
@@ -25,28 +26,31 @@
 import { readMachineTypes } from '../machine-types.js';
 import { retry } from '../retry.js';
 import type { DemandStore } from './demand-store.js';
-import type { LiveJobs } from './live-jobs.js';
+import type { LiveJobLoader } from './live-jobs.js';
 import { type PrefixSnapshot, readPrefixSnapshot } from './prefix-snapshot.js';
 
-/** How current the restored jobs are. */
+/** Result of a restoration. */
 export interface RestoredState {
-  /** The revision from which the live jobs are to be watched. */
+  /** The revision from which to watch the live jobs. */
   revision: number;
-  /** When the live jobs were asked for (clock time in ms): all cancellations confirmed until then are known. */
-  askedAt: number;
+  /**
+   * When the live jobs were requested, as clock time in milliseconds. All
+   * cancellations confirmed before it are known.
+   */
+  requestedAt: number;
 }
 
-/** What the restoration works on. */
+/** Dependencies of `StateRestoration`. */
 export interface StateRestorationOptions {
   ctx: ControllerContext;
   cloud: Pick<CloudClient, 'types'>;
   term: LeaderTerm;
   cluster: ClusterState;
-  liveJobs: LiveJobs;
+  liveJobLoader: LiveJobLoader;
   demandStore: DemandStore;
 }
 
-/** Restores the state of the term's predecessors. */
+/** Restores the state left by earlier leaders. */
 export class StateRestoration {
   private readonly ctx: ControllerContext;
   private readonly cluster: ClusterState;
@@ -58,12 +62,12 @@
 
   /**
    * Reads, in this order: machine types, roster, live jobs, demand forecast,
-   * bitmaps of finished tasks, pages of dependencies. Each read is repeated
-   * until it is answered. Throws `AbortedError` once the term has ended.
+   * bitmaps of finished tasks, pages of dependencies. Each read is retried until it
+   * succeeds. Throws `AbortedError` once the term has ended.
    */
   async run(): Promise<RestoredState> {
     const { ctx, cluster } = this;
-    const { cloud, term, liveJobs, demandStore } = this.options;
+    const { cloud, term, liveJobLoader, demandStore } = this.options;
     const now = ctx.clock.now();
     cluster.wallClockOffset = ctx.clock.wall() - now;
     if (!ctx.machineTypes)
@@ -73,23 +77,23 @@
     cluster.updateMachineTypes(ctx.machineTypes ?? []);
     const roster = await this.readAll(ROSTER_PREFIX);
     this.restoreRoster(roster.entries);
-    const askedAt = ctx.clock.now();
+    const requestedAt = ctx.clock.now();
     const live = await this.readAll(LIVE_JOB_PREFIX);
-    // Before the jobs are added: those that arrived after the forecast was saved add to it.
+    // Read before the jobs are added: jobs that arrived after the save are added to the forecast.
     await demandStore.read();
-    liveJobs.addAll(live.entries);
+    liveJobLoader.addAll(live.entries);
     const bitmaps = await this.readAll(BITMAP_PREFIX);
     this.restoreFinishedTasks(bitmaps.entries);
     const pages = await this.readAll(DEPENDENCY_PAGE_PREFIX);
     this.markOrphanedDependencyPages(pages.entries, live.revision);
-    return { revision: live.revision, askedAt };
+    return { revision: live.revision, requestedAt };
   }
 
   private readAll(prefix: string): Promise<PrefixSnapshot> {
     return readPrefixSnapshot(this.ctx, prefix, this.options.term.signal);
   }
 
-  /** Machines to which earlier leaders may have assigned tasks. */
+  /** Restores the machines to which earlier leaders may have assigned tasks. */
   private restoreRoster(pages: readonly Entry[]): void {
     for (const page of pages) {
       const key = page.key.slice(ROSTER_PREFIX.length);
@@ -100,7 +104,10 @@
     }
   }
 
-  /** The finished tasks of live jobs; bitmaps of ended jobs, and values that are none, are to be deleted. */
+  /**
+   * Restores the finished tasks of live jobs. Bitmaps of ended jobs and values that
+   * can't be decoded are marked for deletion.
+   */
   private restoreFinishedTasks(entries: readonly Entry[]): void {
     const { cluster } = this;
     for (const { key, value, version } of entries) {
@@ -112,16 +119,16 @@
         continue;
       }
       job.loadBits(chunk.firstTask, finished);
-      // A chunk in the form of an earlier version is never written again, and deleted with its job.
+      // A chunk in the format of an earlier version is never rewritten but deleted with its job.
       if (chunk.chunk === null) job.ownedKeys.push(key);
       else job.chunkVersions.set(chunk.chunk, version);
     }
   }
 
   /**
-   * Pages of dependencies whose job has ended are to be deleted. A page is
-   * written in one transaction with its job: one that is newer than the list of
-   * live jobs belongs to a job that this list does not show yet.
+   * Marks the dependency pages of ended jobs for deletion. A page is written in one
+   * transaction with its job, so a page that is newer than the list of live jobs
+   * belongs to a job that the list does not contain yet.
    */
   private markOrphanedDependencyPages(pages: readonly Entry[], liveRevision: number): void {
     const { cluster } = this;
--- a/test/agent-commands.test.ts
+++ b/test/agent-commands.test.ts
@@ -13,25 +13,25 @@
 interface SentCommand {
   agentEpoch: number;
   commands: TaskCommand[];
-  /** Asked by the client once it has a connection. */
+  /** Called by the client once it has a connection. */
   stillValid: () => boolean;
 }
 
-/** The commands of a leader of term 2, whose agents answer by script. */
-function commandsOf(answer: (sent: SentCommand) => CommandResult) {
+/** Direct commands of a leader in term 2, with scripted replies of its agents. */
+function createAgentCommands(reply: (sent: SentCommand) => CommandResult) {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   const cluster = createCluster({ term: 2 });
   const stop = new AbortController();
   const sent: SentCommand[] = [];
-  const reasons: string[] = [];
-  const proof = { lasts: true };
+  const resignReasons: string[] = [];
+  const proof = { valid: true };
   const term = {
     number: 2,
     signal: stop.signal,
-    isProven: () => proof.lasts,
+    isProven: () => proof.valid,
     mayStartTasks: () => true,
-    resign: (reason: string) => reasons.push(reason),
+    resign: (reason: string) => resignReasons.push(reason),
   } as never;
   const agents = {
     command: async (
@@ -44,16 +44,16 @@
     ) => {
       const command = { agentEpoch, commands, stillValid };
       sent.push(command);
-      return answer(command);
+      return reply(command);
     },
   };
   const sockets = { commands: 9, confirmations: 9 };
   const commands = new AgentCommands({ ctx, term, cluster, agents, sockets });
-  return { clock, ctx, cluster, stop, sent, reasons, commands, proof };
+  return { clock, ctx, cluster, stop, sent, resignReasons, commands, proof };
 }
 
-/** A machine of term 2 with one task assigned, whose start has not been sent. */
-function withAssignedTask(node: ReturnType<typeof commandsOf>) {
+/** A machine with one task assigned in term 2, whose start has not been sent. */
+function withAssignedTask(node: ReturnType<typeof createAgentCommands>) {
   const { cluster, clock } = node;
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), clock.now());
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
@@ -64,10 +64,10 @@
   return { agent, machine, attempt };
 }
 
-test('a confirmation refused for its agent epoch is repeated under the reported one', async () => {
+test('a confirmation refused for its agent epoch is retried with the reported epoch', async () => {
   const agent = new ScriptedAgent('n-1');
   agent.agentEpoch = 3;
-  const node = commandsOf(({ agentEpoch }) => {
+  const node = createAgentCommands(({ agentEpoch }) => {
     const executed = agentEpoch === 3 && agent.execute(2, []);
     return { executed, heartbeat: agent.heartbeat() };
   });
@@ -82,10 +82,10 @@
   assert.equal(node.cluster.machines.get('n-1')?.confirmed, true);
 });
 
-test('the answer of another machine at the same address is not taken for this one’s', async () => {
+test('a reply from another machine at the same address confirms neither machine', async () => {
   const other = new ScriptedAgent('n-2');
   other.term = 2;
-  const node = commandsOf(() => ({ executed: true, heartbeat: other.heartbeat() }));
+  const node = createAgentCommands(() => ({ executed: true, heartbeat: other.heartbeat() }));
   node.cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
   void node.commands.confirmInheritedMachines(node.stop.signal).catch(() => {});
   await node.clock.advance(node.ctx.timing.heartbeatMs);
@@ -95,24 +95,24 @@
   assert.equal(node.cluster.machines.has('n-2'), false);
 });
 
-test('an agent that knows a higher fencing token ends the term', async () => {
+test('a command reply with a higher fencing token ends the term', async () => {
   const agent = new ScriptedAgent('n-1');
   agent.term = 3;
-  const node = commandsOf(() => ({ executed: false, heartbeat: agent.heartbeat() }));
+  const node = createAgentCommands(() => ({ executed: false, heartbeat: agent.heartbeat() }));
   node.cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
   void node.commands.confirmInheritedMachines(node.stop.signal).catch(() => {});
   await node.clock.advance(node.ctx.timing.heartbeatMs);
   node.stop.abort();
-  assert.deepEqual(node.reasons, ['command reply carries a higher fencing token']);
+  assert.deepEqual(node.resignReasons, ['command reply carries a higher fencing token']);
 });
 
-test('only a start that has certainly not left may go out with the next heartbeat as if unsent', async () => {
+test('a start counts as unsent only if its direct command was certainly not sent', async () => {
   for (const [error, fence, unresponsive] of [
     [new NotAttemptedError('every socket is in use'), null, false],
     [new NotSentError('no connection'), null, true],
     [new NoResponseError('timed out'), 0, true],
   ] as const) {
-    const node = commandsOf(() => {
+    const node = createAgentCommands(() => {
       throw error;
     });
     const { machine, attempt } = withAssignedTask(node);
@@ -126,8 +126,8 @@
   }
 });
 
-test('a machine behind a network partition is not unresponsive for a command that it can’t answer', async () => {
-  const node = commandsOf(() => {
+test('an unanswered command does not make a machine behind a network partition unresponsive', async () => {
+  const node = createAgentCommands(() => {
     throw new NoResponseError('timed out');
   });
   const { machine } = withAssignedTask(node);
@@ -140,35 +140,35 @@
 });
 
 test('a machine has one command in flight at a time', async () => {
-  const node = commandsOf(() => {
+  const node = createAgentCommands(() => {
     throw new NoResponseError('timed out');
   });
   const { machine } = withAssignedTask(node);
   node.commands.sendPending();
-  assert.equal(node.commands.isInFlight('n-1'), true);
+  assert.equal(node.commands.hasCommandInFlight('n-1'), true);
   node.cluster.pendingProbes.add(machine);
   node.commands.sendPending();
   assert.equal(node.sent.length, 1);
   await settle();
-  assert.equal(node.commands.isInFlight('n-1'), false);
+  assert.equal(node.commands.hasCommandInFlight('n-1'), false);
   node.stop.abort();
 });
 
-test('a command that waits for its connection until the proof is over does not leave', async () => {
-  const node = commandsOf(() => {
+test('a command is not sent if the proof of leadership expires while it waits for a connection', async () => {
+  const node = createAgentCommands(() => {
     throw new NoResponseError('timed out');
   });
   withAssignedTask(node);
   node.commands.sendPending();
   assert.equal(node.sent[0]?.stillValid(), true);
-  node.proof.lasts = false;
+  node.proof.valid = false;
   assert.equal(node.sent[0]?.stillValid(), false);
   await settle();
   node.stop.abort();
 });
 
-test('a leader that is late itself sends no direct commands', async () => {
-  const node = commandsOf(() => {
+test('a lagging leader sends no direct commands', async () => {
+  const node = createAgentCommands(() => {
     throw new NoResponseError('timed out');
   });
   withAssignedTask(node);
--- a/test/combined-failures-history.test.ts
+++ b/test/combined-failures-history.test.ts
@@ -7,16 +7,19 @@
 import { World } from './support/world.js';
 
 const SEEDS = 12;
-const TROUBLES = 26;
-/** Every other history begins with an upgrade: a controller at each of these troubles, then the limits fall. */
-const UPGRADES = [3, 6, 9];
-const LOWERED = 13;
-const RANGE = 2 ** 24;
-
-/** Troubles by draw, each with its end by draw: several are always under way. */
-class Troubled {
+const FAILURES_PER_HISTORY = 26;
+/**
+ * Every second history begins with a rolling upgrade: one controller before each
+ * of these steps, then lower limits.
+ */
+const UPGRADE_STEPS = [3, 6, 9];
+const LIMITS_LOWERED_STEP = 13;
+const RANDOM_RANGE = 2 ** 24;
+
+/** A history of random failures, each with a random duration, so that several overlap. */
+class FailureHistory {
   readonly world: World;
-  private readonly live: string[] = [];
+  private readonly jobIds: string[] = [];
 
   constructor(
     readonly random: () => number,
@@ -28,65 +31,72 @@
     for (const c of [...this.world.controllers]) this.world.restart(c);
   }
 
-  async play(): Promise<void> {
+  async run(): Promise<void> {
     const { world } = this;
     await world.run(8);
-    for (let i = 0; i < TROUBLES; i++) {
-      if (this.upgrade) this.roll(i);
-      await this.users();
-      this.trouble(world.pick(14));
+    for (let i = 0; i < FAILURES_PER_HISTORY; i++) {
+      if (this.upgrade) this.upgradeAtStep(i);
+      await this.sendUserRequests();
+      this.injectFailure(world.pick(14));
       await world.run(0.5 + world.random() * 5);
     }
-    this.calm();
-    // The longest trouble, a lease for everything, and the work.
+    this.stopFailures();
+    // Longer than the longest failure, the leases and the remaining work together.
     await world.run(260);
-    for (const id of this.live) await world.poll(id);
+    for (const id of this.jobIds) await world.poll(id);
     for (const [id, told] of world.told)
       assert.notEqual(told.standing, 'live', `${id} was accepted and is not over`);
   }
 
-  /** Replaces controllers one at a time; one that ends before its turn comes back as it was. */
-  private roll(trouble: number): void {
+  /**
+   * Upgrades one controller at a time; one that crashes before its turn restarts
+   * with the old version.
+   */
+  private upgradeAtStep(step: number): void {
     const { world } = this;
-    const turn = UPGRADES.indexOf(trouble);
+    const turn = UPGRADE_STEPS.indexOf(step);
     const c = world.controllers[turn];
     if (c) {
       world.upgraded.add(c.name);
       world.restart(c);
     }
-    if (trouble === LOWERED) world.lowerLimits();
+    if (step === LIMITS_LOWERED_STEP) world.lowerLimits();
   }
 
-  /** Jobs of any state that the next one needs: nothing new is asked before all controllers know of it. */
-  private upstream(): string[] {
+  /**
+   * Picks dependencies of a new job, in any state; none until all controllers are
+   * upgraded and support them.
+   */
+  private pickDependencies(): string[] {
     const { world } = this;
     if (world.upgraded.size < world.controllers.length || world.random() < 0.4) return [];
-    const accepted = this.live.filter((id) => world.told.has(id));
+    const accepted = this.jobIds.filter((id) => world.told.has(id));
     return accepted.slice(-8).filter(() => world.random() < 0.3);
   }
 
-  private async users(): Promise<void> {
+  private async sendUserRequests(): Promise<void> {
     const { world } = this;
     for (let i = world.pick(3); i > 0; i--)
-      this.live.push(await world.submit({ awaits: this.upstream() }));
-    const id = this.live[world.pick(Math.max(1, this.live.length))];
-    // Some are called off for jobs that need them, too.
+      this.jobIds.push(await world.submit({ awaits: this.pickDependencies() }));
+    const id = this.jobIds[world.pick(Math.max(1, this.jobIds.length))];
+    // Jobs that others depend on may be cancelled as well.
     if (id && world.random() < 0.3) await world.cancel(id);
     if (id) await world.poll(id);
   }
 
-  private trouble(kind: number): void {
+  private injectFailure(kind: number): void {
     const { world } = this;
     const ms = 300 + world.random() ** 2 * 60_000;
-    const c = world.random() < 0.7 && world.leading ? world.leading : this.one(world.controllers);
-    const m = this.one(world.machines);
+    const c =
+      world.random() < 0.7 && world.leading ? world.leading : this.pickOne(world.controllers);
+    const m = this.pickOne(world.machines);
     switch (kind) {
       case 0:
       case 1:
-        this.refuse(c, ms);
+        this.refuseStateRequests(c, ms);
         break;
       case 2:
-        this.refuse(c, 12_000);
+        this.refuseStateRequests(c, 12_000);
         world.later(300 + world.random() * 2000, () => this.outage(ms));
         break;
       case 3:
@@ -98,7 +108,7 @@
         world.later(100 + world.random() * 5000, () => world.restart(c));
         break;
       case 6:
-        this.refuse(c, ms);
+        this.refuseStateRequests(c, ms);
         c.cutFromPeers = true;
         world.later(ms, () => {
           c.cutFromPeers = false;
@@ -111,10 +121,10 @@
         });
         break;
       case 8:
-        this.machine(m, 'deaf', ms);
+        this.setMachineFault(m, 'deaf', ms);
         break;
       case 9:
-        this.machine(m, 'mute', ms);
+        this.setMachineFault(m, 'mute', ms);
         break;
       case 10:
         m.hangs = true;
@@ -132,17 +142,17 @@
           world.later(100 + world.random() * 30_000, () => world.restart(x));
         }
     }
-    this.carryOut();
+    this.applyLateWrites();
   }
 
-  private machine(m: ScriptedMachine, what: 'deaf' | 'mute', ms: number): void {
-    m[what] = true;
+  private setMachineFault(m: ScriptedMachine, fault: 'deaf' | 'mute', ms: number): void {
+    m[fault] = true;
     this.world.later(ms, () => {
-      m[what] = false;
+      m[fault] = false;
     });
   }
 
-  private refuse(c: ScriptedController, ms: number): void {
+  private refuseStateRequests(c: ScriptedController, ms: number): void {
     if (c.dead) return;
     c.state.fault = 'refuse';
     this.world.later(ms, () => {
@@ -157,24 +167,24 @@
     });
   }
 
-  /** Transactions that had no answer, late and in any order. */
-  private carryOut(): void {
+  /** Applies transactions that got no response, late and in any order. */
+  private applyLateWrites(): void {
     for (const c of this.world.controllers)
       for (const write of c.state.late.splice(0))
         this.world.later(2000 + this.world.random() * 10_000, () => {
           try {
             write();
           } catch {
-            // Refused: its lease has ended.
+            // Refused because its lease has ended.
           }
         });
   }
 
-  private calm(): void {
+  private stopFailures(): void {
     const { world } = this;
     world.lateShare = 0;
     world.copyShare = 0;
-    this.carryOut();
+    this.applyLateWrites();
   }
 
   end(): void {
@@ -182,7 +192,7 @@
     for (const m of this.world.machines) m.gone = true;
   }
 
-  /** What came of the jobs that users were told of. */
+  /** Counts the jobs whose state was reported to users. */
   counts(): { downstream: number; cancelled: number; orphans: number } {
     const { told, needs, calledOff } = this.world;
     const cancelled = [...told].filter(([, { standing }]) => standing === 'cancelled');
@@ -193,32 +203,32 @@
     };
   }
 
-  private one<T>(list: readonly T[]): T {
+  private pickOne<T>(list: readonly T[]): T {
     return list[this.world.pick(list.length)] as T;
   }
 }
 
-test('over random histories of troubles that meet, the rules hold and all accepted work ends', async (t) => {
+test('in random histories of overlapping failures the invariants hold and all accepted jobs end', async (t) => {
   let started = 0;
   let cancelled = 0;
   let downstream = 0;
   let orphans = 0;
   for (let seed = 1; seed <= SEEDS; seed++) {
     const rng = xoroshiro128plus(seed);
-    const random = () => uniformInt(rng, 0, RANGE - 1) / RANGE;
-    // The duties' own jitter, too, is drawn from the seed.
+    const random = () => uniformInt(rng, 0, RANDOM_RANGE - 1) / RANDOM_RANGE;
+    // The jitter of the controllers' routines is drawn from the seed as well.
     const jitter = t.mock.method(Math, 'random', random);
-    const play = new Troubled(random, seed % 2 === 0);
+    const history = new FailureHistory(random, seed % 2 === 0);
     try {
-      await play.play();
+      await history.run();
     } catch (error) {
       throw new Error(`seed ${seed}: ${(error as Error).message}`, { cause: error });
     } finally {
       jitter.mock.restore();
-      play.end();
+      history.end();
     }
-    started += play.world.started;
-    const counts = play.counts();
+    started += history.world.started;
+    const counts = history.counts();
     downstream += counts.downstream;
     cancelled += counts.cancelled;
     orphans += counts.orphans;
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -4,17 +4,17 @@
 import { onWire } from './support/wire.js';
 import { World } from './support/world.js';
 
-/** No luck at all: whatever is drawn is the middle. */
-const even = () => 0.5;
+/** A random source that always returns the middle of its range. */
+const alwaysMiddle = () => 0.5;
 
-/** No answer until the caller gives up. */
-function aborted(signal?: AbortSignal): Promise<never> {
+/** Never resolves; rejects when the caller aborts. */
+function pendingUntilAborted(signal?: AbortSignal): Promise<never> {
   return new Promise((_, reject) => {
     signal?.addEventListener('abort', () => reject(new Error('aborted')), { once: true });
   });
 }
 
-async function busy(world: World, jobs: number): Promise<string[]> {
+async function startJobs(world: World, jobs: number): Promise<string[]> {
   await world.run(8);
   const ids: string[] = [];
   for (let i = 0; i < jobs; i++) ids.push(await world.submit());
@@ -22,56 +22,59 @@
   return ids;
 }
 
-function runningOf(world: World, id: string): number {
+function countRunning(world: World, id: string): number {
   return world.machines.flatMap((m) => m.worker.running()).filter((t) => t.startsWith(id)).length;
 }
 
-test('the gap: refused alone, cancelled elsewhere, then an outage longer than a cancellation', async () => {
-  const w = new World(even, 3, () => 500_000);
-  const ids = await busy(w, 4);
+test('a job cancelled elsewhere stops in time when its leader is isolated and a state service outage follows', async () => {
+  const w = new World(alwaysMiddle, 3, () => 500_000);
+  const ids = await startJobs(w, 4);
   const leader = w.leading;
   assert.ok(leader);
-  assert.ok(ids.every((id) => runningOf(w, id) === 3));
-  // Nobody can tell the leader: its peers don't reach it, its watch waits.
+  assert.ok(ids.every((id) => countRunning(w, id) === 3));
+  // The leader can't learn of the cancellation: its peers don't reach it and its watch waits.
   leader.state.fault = 'refuse';
   leader.cutFromPeers = true;
   await w.run(1);
   assert.ok(await w.cancel(ids[0] as string, w.other));
+  // The outage lasts longer than the cancellation bound.
   w.store.outage = true;
   await w.run(20);
-  // Its workers are still served.
-  assert.equal(runningOf(w, ids[1] as string), 3);
+  // Its agents are still served.
+  assert.equal(countRunning(w, ids[1] as string), 3);
   await w.run(70);
-  assert.equal(runningOf(w, ids[0] as string), 0);
+  assert.equal(countRunning(w, ids[0] as string), 0);
   assert.equal(w.lateStarts, 0);
 });
 
-test('the same while the old leader, refused for longer than its proof, still has the news of its peers', async () => {
-  const w = new World(even, 3, () => 500_000);
-  const ids = await busy(w, 4);
+test('a leader refused by the state service stops jobs when its peers announce their cancellation', async () => {
+  const w = new World(alwaysMiddle, 3, () => 500_000);
+  const ids = await startJobs(w, 4);
   const leader = w.leading;
   assert.ok(leader);
   leader.state.fault = 'refuse';
   const before = w.started;
   for (const id of ids) assert.ok(await w.cancel(id, w.other));
-  // Told over the peers' connection, it stops them at once and starts nothing of them.
+  // Informed by its peers, it stops the tasks at once and starts none of these jobs.
   await w.run(2);
-  for (const id of ids) assert.equal(runningOf(w, id), 0);
+  for (const id of ids) assert.equal(countRunning(w, id), 0);
   assert.deepEqual([w.started, w.lateStarts], [before, 0]);
 });
 
-test('a leader that has not read the jobs renews no lease, however many such leaders follow each other', async () => {
-  const w = new World(even, 3, () => 500_000);
-  const ids = await busy(w, 3);
+test('successive leaders that have not read the jobs renew no agent leases', async () => {
+  const w = new World(alwaysMiddle, 3, () => 500_000);
+  const ids = await startJobs(w, 3);
   const first = w.leading;
   assert.ok(first);
   first.crash();
   assert.ok(await w.cancel(ids[0] as string, w.other));
-  // Each wins an election and is refused before it has read anything.
+  // Each leader wins an election and is refused before it has read anything.
   for (const c of w.controllers) {
     const { listPage } = c.state;
     c.state.listPage = (prefix, after, signal) =>
-      prefix === 'roster/' ? aborted(signal) : listPage.call(c.state, prefix, after, signal);
+      prefix === 'roster/'
+        ? pendingUntilAborted(signal)
+        : listPage.call(c.state, prefix, after, signal);
   }
   const terms = w.terms.length;
   for (let i = 0; i < 8; i++) {
@@ -85,15 +88,15 @@
     c.leadership.current?.resign('lease ended');
   }
   assert.ok(w.terms.length >= terms + 6, `${w.terms.length - terms} terms`);
-  assert.equal(runningOf(w, ids[0] as string), 0);
+  assert.equal(countRunning(w, ids[0] as string), 0);
 });
 
-test('the first answer to a machine that a new leader does not know yet stops what was cancelled', async () => {
-  const w = new World(even, 3, () => 500_000);
-  const ids = await busy(w, 3);
+test('the first response of a new leader to a machine it does not know stops the tasks of cancelled jobs', async () => {
+  const w = new World(alwaysMiddle, 3, () => 500_000);
+  const ids = await startJobs(w, 3);
   const first = w.leading;
   assert.ok(first);
-  // One machine is out of reach while its leader changes and the job is cancelled.
+  // One machine is unreachable while the leader changes and the job is cancelled.
   const m = w.machines.find((x) => x.worker.running().some((t) => t.startsWith(ids[0] as string)));
   assert.ok(m);
   m.hangs = true;
@@ -102,23 +105,23 @@
   for (let i = 0; i < 20 && !w.leading; i++) await w.run(1);
   const leader = w.leading;
   assert.ok(leader);
-  // Its first report goes through, then it is cut off for good: the answer has to do.
+  // Only its first heartbeat arrives, so this one response has to stop the tasks.
   const heartbeat = m.worker.heartbeat();
   assert.ok(heartbeat.term < (leader.leadership.current?.number ?? 0));
   const { commands } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { commands: [] };
   const stops = commands.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
   assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
   assert.ok(stops.length > 0);
-  // Under a later term's own token, without proof, the same.
+  // The response contains nothing else, since the machine is not confirmed in this term yet.
   assert.equal(commands.length, stops.length);
 });
 
-test('after a watch that is too old the leader knows nothing until it has read all jobs again', async () => {
-  const w = new World(even, 3, () => 500_000);
-  const ids = await busy(w, 2);
+test('a leader whose watch revision is too old starts nothing until it has read all jobs again', async () => {
+  const w = new World(alwaysMiddle, 3, () => 500_000);
+  const ids = await startJobs(w, 2);
   const leader = w.leading;
   assert.ok(leader);
-  // Its watch waits, though its renewals are answered; then it is too old, and no reading succeeds.
+  // The watch waits while renewals are answered; then it is too old, and no list request succeeds.
   const { watch, listPage } = leader.state;
   const tooOld = w.clock.now() + 20_000;
   leader.state.watch = async (prefix, after, waitMs, signal) => {
@@ -134,19 +137,19 @@
   await w.run(3);
   assert.ok(await w.cancel(ids[0] as string, w.other));
   await w.run(22);
-  // It leads on, its renewals are answered, and it starts nothing.
+  // It still leads, since its renewals are answered, but starts nothing.
   assert.ok(leader.leadership.current?.isProven());
   assert.equal(leader.leadership.current?.mayStartTasks(), false);
-  // In the end another leads.
+  // Finally another controller leads.
   await w.run(38);
-  assert.equal(runningOf(w, ids[0] as string), 0);
+  assert.equal(countRunning(w, ids[0] as string), 0);
   assert.equal(leader.leader, null);
   assert.ok(w.leading);
 });
 
-test('a leader cut from state service and peers, but not from workers, starts nothing that is cancelled elsewhere', async () => {
-  const w = new World(even, 3, () => 6_000);
-  await busy(w, 2);
+test('a leader cut off from state service and peers, but not from agents, starts no jobs cancelled elsewhere', async () => {
+  const w = new World(alwaysMiddle, 3, () => 6_000);
+  await startJobs(w, 2);
   const old = w.leading;
   assert.ok(old);
   const ids: string[] = [];
@@ -158,12 +161,12 @@
   for (const id of ids) await w.cancel(id, w.leading as never);
   await w.run(40);
   assert.equal(w.lateStarts, 0);
-  for (const id of ids) assert.equal(runningOf(w, id), 0);
+  for (const id of ids) assert.equal(countRunning(w, id), 0);
 });
 
-test('machines that reach nobody get no more work than their lease lets them finish, and go on when they are back', async () => {
-  const w = new World(even, 4, () => 12_000);
-  await busy(w, 2);
+test('all accepted jobs finish while the heartbeats of one machine are lost', async () => {
+  const w = new World(alwaysMiddle, 4, () => 12_000);
+  await startJobs(w, 2);
   const mute = w.machines[0];
   assert.ok(mute);
   mute.mute = true;
--- a/test/fleet-controller.test.ts
+++ b/test/fleet-controller.test.ts
@@ -10,10 +10,10 @@
 import { createCluster, jobSpec } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-type Answer = (request: ProvisionRequest, call: number) => string[] | null;
+type ProvisionResponder = (request: ProvisionRequest, call: number) => string[] | null;
 
-/** A leader with work for a few machines, whose cloud answers by script. */
-function withWork(answer: Answer) {
+/** A fleet controller with work for a few machines, and a cloud with scripted responses. */
+function createFleetController(respond: ProvisionResponder) {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   const cluster = createCluster();
@@ -21,9 +21,9 @@
   const scaleOut = new ScaleOutPlanner(cluster);
   const scaleIn = new ScaleInPlanner(cluster);
   const requests: ProvisionRequest[] = [];
-  const checks: (() => boolean)[] = [];
+  const validityChecks: (() => boolean)[] = [];
   const stop = new AbortController();
-  const proof = { lasts: true };
+  const proof = { valid: true };
   const cloud = {
     types: async () => [],
     list: async () => ({ machines: [], more: false }),
@@ -34,27 +34,27 @@
       stillValid: () => boolean,
     ) => {
       requests.push(request);
-      checks.push(stillValid);
-      return answer(request, requests.length);
+      validityChecks.push(stillValid);
+      return respond(request, requests.length);
     },
   };
-  const term = { number: 4, signal: stop.signal, isProven: () => proof.lasts } as never;
+  const term = { number: 4, signal: stop.signal, isProven: () => proof.valid } as never;
   const agents = { retainOnly: () => {} };
   const fleet = new FleetController({ ctx, term, cluster, scaleOut, scaleIn, cloud, agents });
   const run = () => void fleet.runScaling(stop.signal).catch(() => {});
-  const firstLook = ctx.timing.listMs + ctx.timing.scalingMs + ctx.timing.roundMs;
-  return { clock, ctx, cluster, requests, checks, stop, proof, run, firstLook };
+  const firstPlanMs = ctx.timing.listMs + ctx.timing.scalingMs + ctx.timing.roundMs;
+  return { clock, ctx, cluster, requests, validityChecks, stop, proof, run, firstPlanMs };
 }
 
 const machineIds = (count: number) => Array.from({ length: count }, (_, i) => `n-${i + 1}`);
 
-test('a provision request without an answer is repeated under its name, so that machines are provisioned once', async () => {
-  const node = withWork((request, call) => {
+test('an unanswered provision request is retried under the same name, so machines are provisioned only once', async () => {
+  const node = createFleetController((request, call) => {
     if (call < 3) throw new NoResponseError('timed out');
     return machineIds(request.count);
   });
   node.run();
-  await node.clock.advance(node.firstLook + node.ctx.timing.scalingMs * 1.5);
+  await node.clock.advance(node.firstPlanMs + node.ctx.timing.scalingMs * 1.5);
   node.stop.abort();
   assert.equal(node.requests.length, 3);
   assert.deepEqual(
@@ -64,28 +64,28 @@
   assert.equal(node.cluster.machines.size, node.requests[0]?.count);
 });
 
-test('a leader without proof provisions nothing, and a request that waits asks again', async () => {
-  const node = withWork(() => {
-    node.proof.lasts = false;
+test('a leader without proof of leadership provisions nothing, and its requests are rechecked before they are sent', async () => {
+  const node = createFleetController(() => {
+    node.proof.valid = false;
     throw new NoResponseError('timed out');
   });
-  node.proof.lasts = false;
+  node.proof.valid = false;
   node.run();
-  await node.clock.advance(node.firstLook * 2);
+  await node.clock.advance(node.firstPlanMs * 2);
   assert.equal(node.requests.length, 0);
-  node.proof.lasts = true;
-  await node.clock.advance(node.firstLook);
-  // The proof ended with the first request: it is not repeated, and would not leave either.
+  node.proof.valid = true;
+  await node.clock.advance(node.firstPlanMs);
+  // The proof expired with the first request, so it is not retried and would not be sent either.
   assert.equal(node.requests.length, 1);
-  assert.equal(node.checks[0]?.(), false);
+  assert.equal(node.validityChecks[0]?.(), false);
   node.stop.abort();
 });
 
-test('with fewer machines than asked for, or none, the kind of machine is left for a while', async () => {
+test('a kind of machine is not requested for a while after the cloud provided fewer than requested or none', async () => {
   for (const given of [0, 1]) {
-    const node = withWork(() => (given === 0 ? null : machineIds(given)));
+    const node = createFleetController(() => (given === 0 ? null : machineIds(given)));
     node.run();
-    await node.clock.advance(node.firstLook);
+    await node.clock.advance(node.firstPlanMs);
     const first = node.requests.length;
     assert.ok(first > 0);
     assert.ok((node.requests[0]?.count ?? 0) > 1);
@@ -95,12 +95,12 @@
   }
 });
 
-test('the machine list comes before the first plan', async () => {
-  const node = withWork(() => null);
+test('no machines are provisioned in the first machine list interval', async () => {
+  const node = createFleetController(() => null);
   node.run();
   await node.clock.advance(node.ctx.timing.listMs);
   assert.equal(node.requests.length, 0);
-  await node.clock.advance(node.firstLook);
+  await node.clock.advance(node.firstPlanMs);
   assert.ok(node.requests.length > 0);
   node.stop.abort();
 });
--- a/test/heartbeat-processing.test.ts
+++ b/test/heartbeat-processing.test.ts
@@ -7,7 +7,7 @@
 import { createCluster, jobSpec, joinCluster, ScriptedAgent } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-/** Heartbeats as a leader of term 2 handles them, with one confirmed machine. */
+/** A heartbeat processor of a leader in term 2, with one confirmed machine. */
 function leaderOfTerm2() {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
@@ -15,28 +15,28 @@
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), clock.now());
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
-  const can = { start: true, inFlight: false };
+  const flags = { mayStartTasks: true, commandInFlight: false };
   const probes: number[] = [];
   const processor = new HeartbeatProcessor({
     ctx,
     cluster,
     policy: cluster.policy,
-    term: { number: 2, mayStartTasks: () => can.start } as never,
+    term: { number: 2, mayStartTasks: () => flags.mayStartTasks } as never,
     commands: {
-      isInFlight: () => can.inFlight,
+      hasCommandInFlight: () => flags.commandInFlight,
       sendPending: () => probes.push(clock.now()),
     },
   });
-  return { clock, ctx, cluster, agent, machine, can, probes, processor };
+  return { clock, ctx, cluster, agent, machine, flags, probes, processor };
 }
 
-test('a response starts tasks only while the term may, and on a confirmed machine', () => {
-  const { clock, cluster, agent, machine, can, processor } = leaderOfTerm2();
+test('a response starts tasks only while the term may start tasks and only on a confirmed machine', () => {
+  const { clock, cluster, agent, machine, flags, processor } = leaderOfTerm2();
   cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
   runPlacementRound(cluster, 32, clock.now());
-  can.start = false;
+  flags.mayStartTasks = false;
   assert.deepEqual(processor.process(agent.heartbeat(), false).commands, []);
-  can.start = true;
+  flags.mayStartTasks = true;
   machine.confirmed = false;
   agent.term = 1;
   assert.deepEqual(processor.process(agent.heartbeat(), false).commands, []);
@@ -48,8 +48,8 @@
   );
 });
 
-test('each response stops what runs of ended jobs: a late copy, without proof, unconfirmed', () => {
-  const { agent, machine, can, processor } = leaderOfTerm2();
+test('each response stops tasks of ended jobs, also for a duplicate, an unproven term or an unconfirmed machine', () => {
+  const { agent, machine, flags, processor } = leaderOfTerm2();
   agent.tasks.set('req-000009/0/1', {
     jobId: 'req-000009',
     index: 0,
@@ -60,44 +60,44 @@
   const stops = (heartbeat: ReturnType<ScriptedAgent['heartbeat']>) =>
     processor.process(heartbeat, false).commands.map((command) => [command.op, command.jobId]);
   const expected = [['stop', 'req-000009']];
-  can.start = false;
+  flags.mayStartTasks = false;
   const heartbeat = agent.heartbeat();
   assert.deepEqual(stops(heartbeat), expected);
   assert.deepEqual(stops(heartbeat), expected);
-  can.start = true;
+  flags.mayStartTasks = true;
   machine.confirmed = false;
   agent.term = 1;
   assert.deepEqual(stops(agent.heartbeat()), expected);
 });
 
-test('a late copy is answered under the highest fence that is known, so that the agent takes it', () => {
+test('the response to a duplicate heartbeat carries the highest known fence, so the agent accepts it', () => {
   const { agent, machine, processor } = leaderOfTerm2();
   const copy = agent.heartbeat();
   processor.process(copy, false);
   machine.fence = 3;
   assert.equal(processor.process({ ...copy, fence: 5 }, false).fence, 5);
   assert.equal(processor.process({ ...copy, fence: 1 }, false).fence, 3);
-  // Of another term the fence says nothing.
+  // A fence of another term is not comparable.
   assert.equal(processor.process({ ...copy, term: 1, fence: 5 }, false).fence, 3);
 });
 
-test('the fence is not raised past a command in flight, which would be refused', () => {
-  const { clock, cluster, agent, machine, can, processor } = leaderOfTerm2();
+test('the fence is not raised while a command is in flight, which the agent would then refuse', () => {
+  const { clock, cluster, agent, machine, flags, processor } = leaderOfTerm2();
   cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
   runPlacementRound(cluster, 32, clock.now());
   const [attempt] = machine.attempts.values();
   assert.ok(attempt);
-  // Sent directly, and without an answer for long.
+  // Sent by a direct command that has been unanswered for a long time.
   attempt.directCommandFence = 0;
   attempt.assignedAt = clock.now() - cluster.timing.heartbeatMs * 2;
   machine.fenceRaiseDueSince = clock.now() - cluster.timing.agentLeaseMs;
-  can.inFlight = true;
+  flags.commandInFlight = true;
   assert.equal(processor.process(agent.heartbeat(), false).fence, 0);
-  can.inFlight = false;
+  flags.commandInFlight = false;
   assert.equal(processor.process(agent.heartbeat(), false).fence, 1);
 });
 
-test('an unresponsive machine is probed directly; behind a network partition its starts decide', async () => {
+test('an unresponsive machine is probed directly, or judged by its starts behind a network partition', async () => {
   const { clock, ctx, cluster, agent, machine, probes, processor } = leaderOfTerm2();
   cluster.markUnresponsive(machine, clock.now());
   processor.process(agent.heartbeat(), false);
@@ -105,7 +105,7 @@
   await settle();
   assert.equal(probes.length, 1);
   assert.notEqual(machine.unresponsiveSince, null);
-  // Starts without effect count, until half of the agent's lease is over.
+  // Starts without effect keep the machine unresponsive until half of the agent lease is over.
   machine.missedAcknowledgements = 2;
   processor.process(agent.heartbeat(), true);
   assert.notEqual(machine.unresponsiveSince, null);
@@ -113,16 +113,16 @@
   machine.missedAcknowledgements = 2;
   processor.process(agent.heartbeat(), true);
   assert.equal(machine.unresponsiveSince, null);
-  // None without effect: it is trusted at once.
+  // Without such starts it is responsive at once.
   cluster.markUnresponsive(machine, clock.now());
   machine.missedAcknowledgements = 0;
   processor.process(agent.heartbeat(), true);
   assert.equal(machine.unresponsiveSince, null);
 });
 
-test('what a heartbeat frees is filled in its own response', () => {
+test('resources that a heartbeat frees are assigned in its own response', () => {
   const { clock, cluster, agent, processor } = leaderOfTerm2();
-  // Four of them fill the machine.
+  // Four tasks fill the machine.
   cluster.addJob(jobSpec({ tasks: 5 }), 1, 0, false);
   runPlacementRound(cluster, 32, clock.now());
   const exchange = () => {
--- a/test/leader-election.test.ts
+++ b/test/leader-election.test.ts
@@ -8,7 +8,7 @@
 import { createContext } from './support/context.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-function world() {
+function createElections() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
@@ -16,76 +16,76 @@
   const node = (name: string, incarnation = `${name}-1`) => {
     const state = new FakeStateService(store);
     const ctx = { ...createContext(name, state, clock), incarnation };
-    const own = new AbortController();
-    stop.signal.addEventListener('abort', () => own.abort());
-    const leadership = new LeaderElection(ctx, (term) => {
+    const nodeStop = new AbortController();
+    stop.signal.addEventListener('abort', () => nodeStop.abort());
+    const election = new LeaderElection(ctx, (term) => {
       terms.push(term);
-      // The stand-in of a leader has read all jobs at once.
+      // The simulated leader has read all jobs immediately.
       term.setCancellationsKnownAt(clock.now());
       return new Promise((resolve) => {
         term.signal.addEventListener('abort', () => resolve(), { once: true });
       });
     });
-    const done = leadership.run(own.signal);
-    return { ctx, state, leadership, crash: () => own.abort(), done };
+    const done = election.run(nodeStop.signal);
+    return { ctx, state, election, crash: () => nodeStop.abort(), done };
   };
   return { clock, store, stop, terms, node };
 }
 
-test('one of several nodes leads, and the others name it', async () => {
-  const w = world();
+test('exactly one of several nodes leads, and all nodes report the same leader', async () => {
+  const w = createElections();
   const nodes = ['n-0', 'n-1', 'n-2'].map((n) => w.node(n));
   await w.clock.advance(5000);
   assert.equal(w.terms.length, 1);
-  const leaders = new Set(nodes.map((n) => n.leadership.leader));
+  const leaders = new Set(nodes.map((n) => n.election.leader));
   assert.equal(leaders.size, 1);
-  assert.equal(nodes.filter((n) => n.leadership.current).length, 1);
+  assert.equal(nodes.filter((n) => n.election.current).length, 1);
   w.stop.abort();
 });
 
-test('proof of leadership ends before another node can lead, and the term rises', async () => {
-  const w = world();
+test('proof of leadership ends before another node can lead, and the new leader has the next term', async () => {
+  const w = createElections();
   const first = w.node('n-0');
   await w.clock.advance(3000);
   const second = w.node('n-1');
   await w.clock.advance(3000);
-  const old = first.leadership.current;
+  const old = first.election.current;
   assert.ok(old);
   assert.ok(old.isProven());
-  // The node loses the state service alone; its lease runs out there.
+  // Only this node loses the state service; its lease expires there.
   first.state.fault = 'refuse';
-  for (let i = 0; i < 200 && !second.leadership.current; i++) {
+  for (let i = 0; i < 200 && !second.election.current; i++) {
     await w.clock.advance(50);
-    assert.ok(!(old.isProven() && second.leadership.current));
+    assert.ok(!(old.isProven() && second.election.current));
   }
-  assert.equal(second.leadership.current?.number, old.number + 1);
+  assert.equal(second.election.current?.number, old.number + 1);
   assert.ok(old.mayRenewAgentLeases());
-  // A peer tells of the later term.
-  first.leadership.observeTerm(old.number + 1);
+  // A peer reports the later term.
+  first.election.observeTerm(old.number + 1);
   assert.equal(old.mayRenewAgentLeases(), false);
   w.stop.abort();
 });
 
-test('a restarted process ends its predecessor’s lease and leads at once', async () => {
-  const w = world();
+test('a restarted process revokes the lease of its predecessor and leads at once', async () => {
+  const w = createElections();
   const dead = w.node('n-0', 'n-0-1');
   await w.clock.advance(3000);
   assert.equal(w.terms.length, 1);
   dead.crash();
-  // Killed without a word: the key is still there.
+  // The process was killed, so the leader key still exists.
   w.store.grant(1);
   const again = w.node('n-0', 'n-0-2');
   await w.clock.advance(500);
-  assert.equal(again.leadership.current?.number, 2);
+  assert.equal(again.election.current?.number, 2);
   w.stop.abort();
 });
 
-test('a process back in the middle of its own election never takes the dead one’s key for its own', async () => {
-  const w = world();
+test('a process restarted during its own election does not treat the leader key of its predecessor as its own', async () => {
+  const w = createElections();
   const first = w.node('n-0');
   await w.clock.advance(50);
   assert.equal(w.terms.length, 1);
-  // All end; the next election of n-0 is on its way when it ends once more.
+  // The first process of n-0 ends. The second one is killed while its election is pending.
   first.crash();
   await w.clock.advance(10_000);
   const second = w.node('n-0', 'n-0-2');
@@ -105,23 +105,23 @@
   await w.clock.advance(8000);
   const record = w.store.entries.get(LEADER_KEY)?.value as { incarnation: string; term: number };
   assert.ok(['n-0-3', 'n-1-1'].includes(record.incarnation), record.incarnation);
-  assert.equal([third, other].filter((n) => n.leadership.current).length, 1);
+  assert.equal([third, other].filter((n) => n.election.current).length, 1);
   assert.equal(w.terms.at(-1)?.number, record.term);
   assert.equal(new Set(w.terms.map((term) => term.number)).size, w.terms.length);
   w.stop.abort();
 });
 
-test('a renewal that hangs costs neither the proof nor the lease', async () => {
-  const w = world();
+test('delayed renewals end neither the proof of leadership nor the lease', async () => {
+  const w = createElections();
   const node = w.node('n-0');
   await w.clock.advance(1000);
   const [term] = w.terms;
   assert.ok(term);
-  // Every other renewal is answered only after more than the proven time.
+  // Every other renewal is answered only after the proof has expired.
   const { touch } = node.state;
-  let n = 0;
+  let renewals = 0;
   node.state.touch = async (lease) => {
-    if (n++ % 2 === 0) await w.clock.sleep(node.ctx.timing.leadershipProofMs * 1.2);
+    if (renewals++ % 2 === 0) await w.clock.sleep(node.ctx.timing.leadershipProofMs * 1.2);
     return touch.call(node.state, lease);
   };
   for (let i = 0; i < 40; i++) {
@@ -132,32 +132,32 @@
   w.stop.abort();
 });
 
-test('an election whose answer is lost is read back; one whose request was late never applies', async () => {
-  const w = world();
+test('an election without a response is read back, and its delayed request is not applied later', async () => {
+  const w = createElections();
   const a = w.node('n-0');
   a.state.fault = 'lose request';
   await w.clock.advance(3000);
   a.state.fault = null;
   await w.clock.advance(4000);
-  const term = a.leadership.current?.number;
+  const term = a.election.current?.number;
   assert.ok(term);
   const held = w.store.entries.get(LEADER_KEY)?.version;
   for (const late of a.state.late) {
     try {
       late();
     } catch {
-      // Refused: its lease has ended.
+      // Refused because its lease has ended.
     }
   }
   assert.equal(w.store.entries.get(LEADER_KEY)?.version, held);
   w.stop.abort();
 });
 
-test('in an outage of the state service the leader goes on answering, but not for longer than cancellations allow', async () => {
-  const w = world();
+test('in a state service outage the leader renews agent leases only as long as the cancellation bound allows', async () => {
+  const w = createElections();
   const a = w.node('n-0');
   await w.clock.advance(3000);
-  const term = a.leadership.current;
+  const term = a.election.current;
   assert.ok(term);
   a.state.fault = 'refuse';
   await w.clock.advance(a.ctx.timing.leadershipProofMs);
@@ -168,8 +168,8 @@
   w.stop.abort();
 });
 
-test('work of our own choosing waits while timers are late', async () => {
-  // Each wait takes this much longer than asked for: the processor is behind with reports.
+test('waitWhileLagging waits until timers fire on time, up to its limit', async () => {
+  // Each wait takes this much longer than requested, because the event loop lags.
   const behind = [400, 0, 90, 0, 10];
   const waits: number[] = [];
   let now = 0;
@@ -184,7 +184,7 @@
   const { signal } = new AbortController();
   await waitWhileLagging(clock, 100, 60_000, signal);
   assert.deepEqual(waits, [10, 800, 10, 180, 10]);
-  // Late without end: it is put off no longer than asked for.
+  // If the lag does not end, the work is delayed by no more than the given limit.
   waits.length = 0;
   behind.push(...Array(9).fill(100));
   await waitWhileLagging(clock, 100, 500, signal);
--- a/test/leader-routines.test.ts
+++ b/test/leader-routines.test.ts
@@ -40,7 +40,7 @@
   return { lines, reasons };
 }
 
-test('a routine that fails ends the term, since nobody else could do its work meanwhile', async () => {
+test('a failing routine ends the term, so that another controller can do its work', async () => {
   const { lines, reasons } = await runRoutine(() => Promise.reject(new Error('no plan')));
   assert.deepEqual(reasons, ['leader routine scaling failed']);
   assert.deepEqual(
@@ -49,7 +49,7 @@
   );
 });
 
-test('a routine that ends with its term, by whatever error, is no failure', async () => {
+test('an aborted routine, or any error after the term has ended, is not logged as a failure', async () => {
   for (const error of [new AbortedError(), new Error('connection closed')]) {
     const { lines, reasons } = await runRoutine(() => Promise.reject(error), true);
     assert.deepEqual([lines, reasons], [[], []]);
--- a/test/leader-term.test.ts
+++ b/test/leader-term.test.ts
@@ -32,7 +32,7 @@
   assert.equal(term.mayRenewAgentLeases(), false);
 });
 
-test('proof alone starts nothing, and the older of proof and cancellations bounds renewals', async () => {
+test('proof alone allows no starts, and the older of proof and known cancellations bounds renewals', async () => {
   const { clock, term, timing } = createTerm();
   const beganAt = clock.now();
   term.setCancellationsKnownAt(beganAt);
@@ -43,18 +43,18 @@
     [true, false, true],
   );
   assert.deepEqual(
-    [term.lacksCancellationsForTooLong(), term.isUnprovenForTooLong()],
+    [term.areCancellationsUnknownForTooLong(), term.isUnprovenForTooLong()],
     [false, false],
   );
   await clock.advance(1);
   assert.deepEqual([term.isProven(), term.mayRenewAgentLeases()], [true, false]);
   assert.deepEqual(
-    [term.lacksCancellationsForTooLong(), term.isUnprovenForTooLong()],
+    [term.areCancellationsUnknownForTooLong(), term.isUnprovenForTooLong()],
     [true, false],
   );
 });
 
-test('answers that arrive out of order move neither proof nor cancellations backwards', async () => {
+test('responses out of order move neither the proof nor the known cancellations backwards', async () => {
   const { clock, term, timing } = createTerm();
   const early = clock.now();
   await clock.advance(timing.leadershipProofMs - 1);
@@ -69,7 +69,7 @@
   assert.deepEqual([term.isProven(), term.mayStartTasks()], [false, false]);
 });
 
-test('a term ends once, logs one reason and proves nothing from then on, also as a plain function', () => {
+test('a term ends once, logs one reason and is unproven from then on, also through an unbound isProven', () => {
   const { clock, logged, term } = createTerm();
   term.setCancellationsKnownAt(clock.now());
   const { isProven } = term;
--- a/test/progress-writer.test.ts
+++ b/test/progress-writer.test.ts
@@ -13,7 +13,7 @@
 } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-/** A leader whose only job is complete, with its end still to be written. */
+/** A leader whose only job is complete but whose end is not written yet. */
 function withCompleteJob() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
@@ -28,36 +28,36 @@
   for (const key of [...agent.tasks.keys()]) agent.exit(key, 'done');
   sendHeartbeat(cluster, agent, 20);
   const stop = new AbortController();
-  const reasons: string[] = [];
+  const resignReasons: string[] = [];
   const term = {
     number: 1,
     version: 0,
     signal: stop.signal,
-    resign: (reason: string) => reasons.push(reason),
+    resign: (reason: string) => resignReasons.push(reason),
   } as never;
   const run = () => void new ProgressWriter(ctx, term, cluster).run(stop.signal).catch(() => {});
-  return { clock, store, state, ctx, cluster, stop, reasons, run };
+  return { clock, store, state, ctx, cluster, stop, resignReasons, run };
 }
 
-test('a leader whose key is another’s writes nothing and ends its term', async () => {
+test('a leader whose key is held by another controller writes nothing and ends its term', async () => {
   const node = withCompleteJob();
   node.store.transact([], [{ op: 'put', key: 'leader', value: {} }]);
   node.run();
   await node.clock.advance(node.ctx.timing.progressWriteMs * 1.5);
   node.stop.abort();
-  assert.deepEqual(node.reasons, ['leader key held by another controller']);
+  assert.deepEqual(node.resignReasons, ['leader key held by another controller']);
   assert.equal(node.store.entries.has('over/req-000001'), false);
   assert.equal(node.cluster.jobs.size, 1);
 });
 
-test('a refused write is written again after a pause, as often as it takes', async () => {
+test('a refused write is retried after a pause until it succeeds', async () => {
   const node = withCompleteJob();
   node.state.fault = 'refuse';
   node.run();
   const { progressWriteMs } = node.ctx.timing;
   await node.clock.advance(progressWriteMs * 1.5);
   const { requests } = node.state;
-  // The pause is longer than an interval.
+  // The pause is longer than one write interval.
   await node.clock.advance(progressWriteMs * 2);
   assert.equal(node.state.requests, requests);
   node.state.fault = null;
@@ -65,5 +65,5 @@
   node.stop.abort();
   assert.equal(node.store.entries.has('over/req-000001'), true);
   assert.equal(node.cluster.jobs.size, 0);
-  assert.deepEqual(node.reasons, []);
+  assert.deepEqual(node.resignReasons, []);
 });
