--- a/src/scheduler/placement/assignment.ts
+++ b/src/scheduler/placement/assignment.ts
@@ -1,4 +1,4 @@
-/** The assign step: ready tasks become attempts on a machine. */
+/** The assign step: assigns ready tasks to a machine. */
 import type { ResourceUsage } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -6,42 +6,57 @@
 import { remainingQuotaSlots, remainingZoneSlots } from './remaining-slots.js';
 import { consumeReservation } from './reservations.js';
 
-/** What bounds the starts of one placement, and the attempts that it has started so far. */
-export interface Placement {
+/** The limits of one placement pass, and the attempts that it has started so far. */
+export interface PlacementContext {
   readonly cluster: ClusterState;
+  /** Milliseconds on the leader's clock. */
   readonly now: number;
-  /** The most attempts that may be started. */
-  readonly limit: number;
-  /** What tasks on unconfirmed machines may use of every quota. */
-  readonly unconfirmed: ResourceUsage;
+  /** Maximum number of attempts to start. */
+  readonly maxStarts: number;
+  /**
+   * Resources that tasks on unconfirmed machines may use. They count against every
+   * team's quota.
+   */
+  readonly unconfirmedUsage: ResourceUsage;
   readonly started: TaskAttempt[];
 }
 
-/** How many of `wanted` tasks of the batch may start, by the team's quota and the limit on starts. */
-export function allowedStarts(placement: Placement, batch: Batch, wanted: number): number {
-  const { cluster, limit, unconfirmed, started } = placement;
-  return Math.min(remainingQuotaSlots(cluster, batch, unconfirmed), wanted, limit - started.length);
+/**
+ * Returns how many of `wanted` tasks of the batch the team's quota and the limit on
+ * starts allow.
+ */
+export function allowedStarts(context: PlacementContext, batch: Batch, wanted: number): number {
+  const { cluster, maxStarts, unconfirmedUsage, started } = context;
+  return Math.min(
+    remainingQuotaSlots(cluster, batch, unconfirmedUsage),
+    wanted,
+    maxStarts - started.length,
+  );
 }
 
-/** Assigns up to `most` tasks of the batch's `jobs` to the machine, in their order; returns how many. */
+/**
+ * Assigns up to `maxTasks` ready tasks of `jobs`, in order, to the machine. Returns
+ * the number assigned.
+ */
 export function assignTasks(
-  placement: Placement,
+  context: PlacementContext,
   batch: Batch,
   jobs: Job[],
   machine: Machine,
-  most: number,
+  maxTasks: number,
 ): number {
-  const { cluster, now, started } = placement;
+  const { cluster, now, started } = context;
   let assigned = 0;
   for (const job of jobs) {
-    // A job that failed here goes elsewhere while there is an elsewhere.
+    // A job that failed on this machine is retried on others until it has failed on
+    // `failingJobMachines` machines.
     if (
       job.failedMachines.has(machine.id) &&
       job.failedMachines.size < cluster.policy.failingJobMachines
     )
       continue;
     let slots = Math.min(
-      most - assigned,
+      maxTasks - assigned,
       machine.freeSlots(job.spec),
       remainingZoneSlots(job, machine.zone),
     );
@@ -55,7 +70,7 @@
       assigned++;
       slots--;
     }
-    if (assigned >= most) break;
+    if (assigned >= maxTasks) break;
   }
   return assigned;
 }
--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -1,17 +1,24 @@
-/** The filter step: which machines may take tasks at all, and which of them tasks of a batch. */
+/**
+ * The filter step: decides which machines accept tasks, and which of them accept tasks
+ * of a batch.
+ */
 
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { satisfiesConstraints } from '../state/constraints.js';
 import type { Machine } from '../state/task-attempt.js';
 
-/** A machine whose latest heartbeat is older than this many intervals gets no new tasks. */
-const RECENT_HEARTBEATS = 2;
+/**
+ * A machine whose latest heartbeat is older than this many heartbeat intervals gets no
+ * new tasks.
+ */
+const MAX_HEARTBEAT_AGE_INTERVALS = 2;
 
 /**
- * Whether the machine takes new tasks at all: this leader has confirmed it, the
- * durable roster names it, its heartbeats are recent, it obeys commands, runs
- * nothing unknown, and is neither draining nor backed off.
+ * Reports whether the machine accepts new tasks: its type is known, this leader
+ * has confirmed it, the durable roster lists it, its heartbeats are recent, its
+ * agent responds to commands, it runs no unknown tasks, and it is neither
+ * draining nor backed off.
  */
 export function acceptsTasks(cluster: ClusterState, machine: Machine, now: number): boolean {
   return (
@@ -22,15 +29,17 @@
     machine.unresponsiveSince === null &&
     !machine.hasUnknownTasks &&
     machine.admissionBackoffUntil <= now &&
-    now - machine.lastHeartbeatAt < cluster.timing.heartbeatMs * RECENT_HEARTBEATS
+    now - machine.lastHeartbeatAt < cluster.timing.heartbeatMs * MAX_HEARTBEAT_AGE_INTERVALS
   );
 }
 
 /**
- * Whether no reservation on the machine bars the batch. Preempted tasks end one
- * after the other, and what they free piece by piece is enough for small tasks
- * long before it is enough for a large one: the preempted work would take it
- * again and be preempted again, for as long as the large task waits.
+ * Reports whether the machine has no reservation that excludes the batch.
+ *
+ * Preempted tasks end one at a time, so the capacity they free suffices for small
+ * tasks before it suffices for a large one. Without the reservation, the
+ * preempted work would be placed there again and preempted again while the large
+ * task waits.
  */
 export function respectsReservation(machine: Machine, batch: Batch): boolean {
   const { reservation } = machine;
@@ -42,9 +51,9 @@
 }
 
 /**
- * Whether the batch may be placed on the machine as far as its constraints and
- * reservations go. Free slots, quota and zone rules change with each start and
- * are looked at later.
+ * Reports whether the constraints of the batch and the reservation on the machine
+ * allow a placement. Free slots, quota and zone rules change with each start and
+ * are checked when tasks are assigned.
  */
 export function isFeasible(machine: Machine, batch: Batch): boolean {
   return satisfiesConstraints(machine, batch.spec) && respectsReservation(machine, batch);
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -1,13 +1,14 @@
 /**
- * The placement of ready tasks on machines, in the steps ready queue, filter,
- * score, assign and, for what found no machine, reserve and preempt. A round
- * looks at all machines; between rounds a machine is filled on its heartbeat.
+ * Places ready tasks on machines in these steps: ready queue, filter, score and
+ * assign, then reserve and preempt for tasks that found no machine. A round
+ * considers all machines. Between rounds, each heartbeat may place tasks on the
+ * machine that sent it.
  */
 
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Machine, TaskAttempt } from '../state/task-attempt.js';
-import { allowedStarts, assignTasks, type Placement } from './assignment.js';
+import { allowedStarts, assignTasks, type PlacementContext } from './assignment.js';
 import { acceptsTasks, isFeasible } from './feasibility.js';
 import { applyPreemption, PreemptionPlanner } from './preemption.js';
 import { isReady, readyBatches } from './ready-queue.js';
@@ -16,53 +17,57 @@
 import { highestPrice, MachineScorer } from './scoring.js';
 
 /**
- * At most about this share of the machines is reserved for starving jobs at a
+ * Share of the machines, rounded up, that may be reserved for starving jobs at a
  * time (docs/design.md, "Late, one-way, isolated, quick").
  */
 const RESERVED_MACHINES_SHARE = 0.1;
 
-/** What a round has decided. */
+/** The result of a placement round. */
 export interface PlacementResult {
   started: TaskAttempt[];
-  /** Tasks that found no machine. */
+  /** Number of tasks that were not placed. */
   unplaced: number;
 }
 
-/** The state of a round. */
-interface PlacementRound extends Placement {
-  /** Machines that take new tasks at all. */
+/** The state of a placement round. */
+interface PlacementRound extends PlacementContext {
+  /** Machines that accept new tasks. */
   readonly machines: Machine[];
-  /** Those of them with free capacity: most are full under load and need not be scored for each batch. */
+  /**
+   * Those of `machines` with free capacity. Under load most machines are full and are
+   * not scored.
+   */
   readonly candidates: Machine[];
   readonly scorer: MachineScorer;
   readonly preemption: PreemptionPlanner;
-  /** How often a machine was to be reserved for a starving job. */
+  /** Number of attempts in this round to reserve a machine for a starving job. */
   machineReservations: number;
 }
 
 /**
- * One round of decisions: batches in order, each to the feasible machine with
- * the highest score until it is placed or nothing takes it. `limit` bounds the
- * starts; the caller widens it with the load.
+ * Runs one placement round: places the batches in the order of the ready queue,
+ * each on the feasible machines with the highest scores, until all its tasks are
+ * placed or no machine accepts more. Starts at most `maxStarts` attempts; the
+ * caller raises this limit with the load.
  */
 export function runPlacementRound(
   cluster: ClusterState,
-  limit: number,
+  maxStarts: number,
   now: number,
 ): PlacementResult {
   const batches = readyBatches(cluster, now);
-  const round = beginRound(cluster, limit, now);
+  const round = beginRound(cluster, maxStarts, now);
   let unplaced = 0;
   for (const batch of batches) {
     const remaining = placeBatch(round, batch);
     unplaced += remaining;
-    if (remaining > 0) makeWay(round, batch, remaining);
+    if (remaining > 0) reserveAndPreempt(round, batch, remaining);
   }
   return { started: round.started, unplaced };
 }
 
-function beginRound(cluster: ClusterState, limit: number, now: number): PlacementRound {
-  const unconfirmed = cluster.unconfirmedUsage();
+function beginRound(cluster: ClusterState, maxStarts: number, now: number): PlacementRound {
+  const unconfirmedUsage = cluster.unconfirmedUsage();
   const machines = [...cluster.machines.values()].filter((machine) =>
     acceptsTasks(cluster, machine, now),
   );
@@ -73,8 +78,8 @@
   return {
     cluster,
     now,
-    limit,
-    unconfirmed,
+    maxStarts,
+    unconfirmedUsage,
     started: [],
     machines,
     candidates,
@@ -84,7 +89,10 @@
   };
 }
 
-/** Filter, score and assign: starts what it can of the batch; returns how many tasks found no machine. */
+/**
+ * Filters, scores and assigns: places as many tasks of the batch as possible. Returns
+ * the number not placed.
+ */
 function placeBatch(round: PlacementRound, batch: Batch): number {
   let unplaced = batch.count;
   const feasible = round.candidates.filter((machine) => isFeasible(machine, batch));
@@ -95,27 +103,28 @@
     if (!machine) break;
     const assigned = assignTasks(round, batch, batch.jobs, machine, allowed);
     unplaced -= assigned;
-    // The zone rules or earlier failures kept every job of the batch off this machine.
+    // Zone rules or earlier failures exclude every job of the batch from this machine.
     if (assigned === 0) feasible.splice(feasible.indexOf(machine), 1);
   }
   return unplaced;
 }
 
 /**
- * Reserve and preempt for a batch of which `unplaced` tasks found no machine,
- * unless it is the quota or the limit on starts that holds it up.
+ * Reserves and preempts for a batch with `unplaced` tasks that found no machine,
+ * unless they are unplaced because of the quota or the limit on starts.
  */
-function makeWay(round: PlacementRound, batch: Batch, unplaced: number): void {
-  const { cluster, limit, unconfirmed, started } = round;
+function reserveAndPreempt(round: PlacementRound, batch: Batch, unplaced: number): void {
+  const { cluster, maxStarts, unconfirmedUsage, started } = round;
   cluster.unplacedBatches.push(batch);
-  // What smaller tasks of the team free piece by piece would go to the next small ones for ever.
+  // Otherwise the quota that smaller tasks of the team free would always go to other small tasks.
   reserveQuota(cluster, batch);
-  if (started.length >= limit || remainingQuotaSlots(cluster, batch, unconfirmed) === 0) return;
+  if (started.length >= maxStarts || remainingQuotaSlots(cluster, batch, unconfirmedUsage) === 0)
+    return;
   if (batch.starving) reserveForStarving(round, batch);
   applyPreemption(cluster, batch, round.preemption.plan(batch, unplaced));
 }
 
-/** Reserves a machine, which takes no other work in this round. */
+/** Reserves a machine for the batch and excludes it from the rest of this round. */
 function reserveForStarving(round: PlacementRound, batch: Batch): void {
   const { machines, candidates } = round;
   if (round.machineReservations >= machines.length * RESERVED_MACHINES_SHARE) return;
@@ -126,14 +135,14 @@
 }
 
 /**
- * Fills what a machine's own heartbeat has freed with the batches that the last
- * round left unplaced, in that round's order: between rounds nothing is sorted
- * or scored, and the starts leave with the heartbeat's reply.
+ * Places the batches that the last round left unplaced, in that round's order, on
+ * a machine that has just sent a heartbeat, so that the reply to the heartbeat
+ * carries the starts. Between rounds nothing is sorted or scored.
  */
 export function placeOnMachine(
   cluster: ClusterState,
   machine: Machine,
-  limit: number,
+  maxStarts: number,
   now: number,
 ): TaskAttempt[] {
   const started: TaskAttempt[] = [];
@@ -143,22 +152,28 @@
     !acceptsTasks(cluster, machine, now)
   )
     return started;
-  const placement = { cluster, now, limit, unconfirmed: cluster.unconfirmedUsage(), started };
+  const context = {
+    cluster,
+    now,
+    maxStarts,
+    unconfirmedUsage: cluster.unconfirmedUsage(),
+    started,
+  };
   for (const batch of cluster.unplacedBatches) {
-    if (started.length >= limit || !machine.hasFreeCapacity) break;
-    if (!mayFill(machine, batch)) continue;
-    const allowed = allowedStarts(placement, batch, batch.starving ? 1 : limit);
+    if (started.length >= maxStarts || !machine.hasFreeCapacity) break;
+    if (!mayUseFreeCapacity(machine, batch)) continue;
+    const allowed = allowedStarts(context, batch, batch.starving ? 1 : maxStarts);
     if (allowed <= 0) continue;
     const jobs = batch.jobs.filter((job) => isReady(cluster, job, now));
-    if (jobs.length > 0) assignTasks(placement, batch, jobs, machine, allowed);
+    if (jobs.length > 0) assignTasks(context, batch, jobs, machine, allowed);
   }
   return started;
 }
 
-/** Whether the batch may take what has become free on the machine without a round. */
-function mayFill(machine: Machine, batch: Batch): boolean {
-  const first = batch.jobs[0];
+/** Reports whether the batch may use free capacity of the machine between rounds. */
+function mayUseFreeCapacity(machine: Machine, batch: Batch): boolean {
+  const firstJob = batch.jobs[0];
   if (!isFeasible(machine, batch) || machine.freeSlots(batch.spec) === 0) return false;
-  if (machine.reservedForJob !== null && machine.reservedForJob !== first?.spec.id) return false;
-  return !(batch.starving && first?.started);
+  if (machine.reservedForJob !== null && machine.reservedForJob !== firstJob?.spec.id) return false;
+  return !(batch.starving && firstJob?.started);
 }
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -1,6 +1,7 @@
 /**
- * The preempt step: which tasks are stopped for a batch that found no machine.
- * A plan is data; applying it stops its victims and reserves what they free.
+ * The preempt step: selects tasks to stop for a batch that found no machine.
+ * Planning changes nothing. Applying a plan stops its victims and reserves the
+ * capacity that they free.
  */
 import type { JobSpec } from '../../model/job.js';
 import type { MachineType } from '../../model/machine.js';
@@ -12,17 +13,26 @@
 import { addReservation } from './reservations.js';
 
 /**
- * The shares of the objective on waiting, and of that on guaranteed work, that
- * pass before others are preempted (docs/design.md, "What was changed, and why").
+ * Share of the start objective of its class that a batch waits before it preempts
+ * work of lower priority (docs/design.md, "What was changed, and why").
  */
-const PRIORITY_PATIENCE = 0.2;
-const GUARANTEE_PATIENCE = 0.6;
-/** Heartbeat intervals that pass before others are preempted for a class without an objective on waiting. */
-const DEFAULT_PATIENCE_HEARTBEATS = 2;
+const PRIORITY_PREEMPTION_DELAY_SHARE = 0.2;
 /**
- * Heartbeat intervals, beside the time to checkpoint, within which preempted
- * tasks have ended and the tasks that they were stopped for are placed
- * (docs/design.md, "Job dependencies"; docs/limits-history.md, "Chains and the upgrade").
+ * Share of the start objective for guaranteed work that a batch within its team's
+ * guarantee waits before it preempts work of the same priority (docs/design.md,
+ * "What was changed, and why"). It waits longer than for lower priorities, because
+ * only the guarantee justifies the preemption.
+ */
+const GUARANTEE_PREEMPTION_DELAY_SHARE = 0.6;
+/**
+ * Heartbeat intervals that a batch of a class without a start objective waits before
+ * it preempts.
+ */
+const DEFAULT_PREEMPTION_DELAY_HEARTBEATS = 2;
+/**
+ * Heartbeat intervals, in addition to the checkpoint time, in which preempted
+ * tasks end and the tasks that they were stopped for are placed. Heartbeats carry
+ * the stop, the exit and the new start (docs/design.md, "Job dependencies").
  */
 const RESERVATION_HEARTBEATS = 3;
 
@@ -33,46 +43,47 @@
   memoryGb: number;
 }
 
-/** A task that may be stopped. */
+/** A task that may be preempted. */
 interface Victim {
   attempt: TaskAttempt;
-  /** CPU seconds of work that would be lost. */
-  loss: number;
+  /** CPU seconds of work that its preemption would lose. */
+  lostCpuSeconds: number;
 }
 
-/** What may be preempted on a machine. */
+/** A machine with tasks that may be preempted. */
 interface PreemptionCandidate {
   machine: Machine;
-  /** What is free without it. */
+  /** Capacity that is free, or is being freed, without further preemption. */
   free: Capacity;
-  /** The least loss first. */
+  /** In ascending order of the work lost. */
   victims: Victim[];
 }
 
-/** Which work a batch may preempt by now. */
+/** The kinds of work that a batch may preempt now. */
 interface PreemptionScope {
   /** Work of lower priority. */
   lowerPriority: boolean;
-  /** Work of the same priority that other teams run beyond their guaranteed quota. */
+  /** Work of the same priority that other teams run in excess of their guaranteed quota. */
   samePriority: boolean;
 }
 
-/** Victims on one machine that together free slots for whole tasks of the batch. */
+/** Victims on one machine that together free capacity for one or more whole tasks of the batch. */
 export interface Preemption {
   machine: Machine;
   victims: Victim[];
-  /** Tasks of the batch that get what the victims free. */
+  /** Number of tasks of the batch that the freed capacity is reserved for. */
   slots: number;
-  /** Until when the slots stay reserved, on the leader's clock. */
+  /** When the reservation expires, in milliseconds on the leader's clock. */
   reservedUntil: number;
 }
 
 /**
- * Plans the preemptions of one round. Keeps what the round has nominated of
- * each machine for batches that wait, so that no two of them count on the same.
+ * Plans the preemptions of one round. Tracks the capacity of each machine that
+ * the round has claimed for waiting batches, so that no two batches claim the
+ * same capacity.
  */
 export class PreemptionPlanner {
-  private readonly nominated = new Map<Machine, Capacity>();
+  private readonly claimedByMachine = new Map<Machine, Capacity>();
 
   constructor(
     private readonly cluster: ClusterState,
@@ -81,10 +92,11 @@
   ) {}
 
   /**
-   * What to preempt for `unplaced` tasks of the batch: work of lower priority
-   * or, for a team within its guarantee, what another team runs beyond its own.
-   * What is being freed already is counted first, then come the machines where
-   * the least work is lost.
+   * Plans the preemptions for `unplaced` tasks of the batch. Candidates are work
+   * of lower priority and, for a batch within its team's guarantee, work that
+   * another team runs in excess of its own guarantee. Capacity that is already
+   * being freed is claimed first. Machines whose victims lose the least work
+   * follow.
    */
   plan(batch: Batch, unplaced: number): Preemption[] {
     const scope = this.scopeOf(batch);
@@ -94,40 +106,46 @@
     let needed = unplaced;
     for (const machine of this.machines) {
       if (!machine.type || !satisfiesConstraints(machine, batch.spec)) continue;
-      const nominated = this.nominatedOn(machine);
-      const free = freeCapacity(machine, machine.type, nominated);
-      const victims = this.victimsOn(batch, machine, free, scope);
-      needed -= nominateFree(batch.spec, free, nominated, needed);
+      const claimed = this.claimedOn(machine);
+      const free = freeCapacity(machine, machine.type, claimed);
+      const victims = this.collectVictims(batch, machine, free, scope);
+      needed -= claimFreeCapacity(batch.spec, free, claimed, needed);
       if (victims.length === 0) continue;
-      victims.sort((a, b) => a.loss - b.loss);
+      victims.sort((a, b) => a.lostCpuSeconds - b.lostCpuSeconds);
       candidates.push({ machine, free, victims });
     }
-    candidates.sort((a, b) => (a.victims[0]?.loss ?? 0) - (b.victims[0]?.loss ?? 0));
+    candidates.sort(
+      (a, b) => (a.victims[0]?.lostCpuSeconds ?? 0) - (b.victims[0]?.lostCpuSeconds ?? 0),
+    );
     for (const candidate of candidates) {
       if (needed <= 0) break;
-      needed -= this.planOn(batch, candidate, needed, plan);
+      needed -= this.planOnMachine(batch, candidate, needed, plan);
     }
     return plan;
   }
 
-  /** Others are preempted only once the batch has waited for a while: most capacity comes free by itself. */
+  /** A batch preempts only after a delay, because most capacity becomes free without preemption. */
   private scopeOf(batch: Batch): PreemptionScope {
     const { cluster, now } = this;
-    const age = batch.jobs[0] ? cluster.ageMs(batch.jobs[0], now) : 0;
+    const ageMs = batch.jobs[0] ? cluster.ageMs(batch.jobs[0], now) : 0;
     return {
-      lowerPriority: age >= priorityPatienceMs(cluster, batch.spec),
-      samePriority: batch.withinGuarantee && age >= guaranteePatienceMs(cluster, batch.spec),
+      lowerPriority: ageMs >= priorityPreemptionDelayMs(cluster, batch.spec),
+      samePriority:
+        batch.withinGuarantee && ageMs >= guaranteePreemptionDelayMs(cluster, batch.spec),
     };
   }
 
-  private nominatedOn(machine: Machine): Capacity {
-    const nominated = this.nominated.get(machine) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    this.nominated.set(machine, nominated);
-    return nominated;
+  private claimedOn(machine: Machine): Capacity {
+    const claimed = this.claimedByMachine.get(machine) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
+    this.claimedByMachine.set(machine, claimed);
+    return claimed;
   }
 
-  /** The tasks on the machine that may be stopped for the batch; what is being stopped already is added to `free`. */
-  private victimsOn(
+  /**
+   * Returns the tasks on the machine that the batch may preempt. Adds the capacity of
+   * tasks already being stopped to `free`.
+   */
+  private collectVictims(
     batch: Batch,
     machine: Machine,
     free: Capacity,
@@ -141,19 +159,19 @@
       else if (isPreemptible(this.cluster, batch, attempt, scope))
         victims.push({
           attempt,
-          loss: lostWorkS(attempt, this.now) * Math.max(spec.cpus, EPSILON),
+          lostCpuSeconds: lostWorkS(attempt, this.now) * Math.max(spec.cpus, EPSILON),
         });
     }
     return victims;
   }
 
   /**
-   * Plans preemptions on one machine for up to `needed` tasks of the batch;
-   * returns for how many. Nothing is stopped unless a whole task fits by it:
-   * other work would only take what it frees, and the victim would have been
-   * stopped for nothing.
+   * Adds preemptions on one machine for up to `needed` tasks of the batch to
+   * `plan`, and returns for how many. Stops victims only when a whole task then
+   * fits. Otherwise other work would take the freed capacity, and the preemption
+   * would be useless.
    */
-  private planOn(
+  private planOnMachine(
     batch: Batch,
     candidate: PreemptionCandidate,
     needed: number,
@@ -161,7 +179,7 @@
   ): number {
     const { spec } = batch;
     const { machine, free } = candidate;
-    const nominated = this.nominatedOn(machine);
+    const claimed = this.claimedOn(machine);
     let freed = 0;
     let victims: Victim[] = [];
     for (const victim of candidate.victims) {
@@ -169,7 +187,7 @@
       victims.push(victim);
       addCapacity(free, victim.attempt.job.spec, 1);
       if (!covers(free, spec)) continue;
-      const slots = nominateFree(spec, free, nominated, needed - freed);
+      const slots = claimFreeCapacity(spec, free, claimed, needed - freed);
       plan.push({ machine, victims, slots, reservedUntil: this.reservedUntil(victims) });
       freed += slots;
       victims = [];
@@ -177,7 +195,7 @@
     return freed;
   }
 
-  /** When the victims have ended and what they free should have been used. */
+  /** Returns the time by which the victims have ended and the freed capacity should be in use. */
   private reservedUntil(victims: Victim[]): number {
     let longestGraceS = 0;
     for (const { attempt } of victims)
@@ -187,7 +205,7 @@
   }
 }
 
-/** Stops the victims of the plan and reserves what they free for the batch. */
+/** Stops the victims of the plan and reserves the capacity that they free for the batch. */
 export function applyPreemption(cluster: ClusterState, batch: Batch, plan: Preemption[]): void {
   for (const { machine, victims, slots, reservedUntil } of plan) {
     for (const victim of victims) stopVictim(cluster, batch, machine, victim);
@@ -196,31 +214,34 @@
 }
 
 function stopVictim(cluster: ClusterState, batch: Batch, machine: Machine, victim: Victim): void {
-  const { attempt, loss } = victim;
+  const { attempt, lostCpuSeconds } = victim;
   cluster.stop(attempt, checkpointGraceS(attempt.job.spec));
   cluster.logDecision('task preempted', {
     job: attempt.job.spec.id,
     task: attempt.index,
     machine: machine.id,
     for: batch.jobs[0]?.spec.id,
-    lostCpuSeconds: Math.round(loss),
+    lostCpuSeconds: Math.round(lostCpuSeconds),
   });
 }
 
-/** How long a batch waits before work of lower priority is preempted for it: a share of its objective. */
-function priorityPatienceMs(cluster: ClusterState, spec: JobSpec): number {
+/** Returns how long a batch waits before it preempts work of lower priority. */
+function priorityPreemptionDelayMs(cluster: ClusterState, spec: JobSpec): number {
   const objectiveS = cluster.estimates.startObjectiveS(spec.jobClass);
   return objectiveS !== null
-    ? objectiveS * 1000 * PRIORITY_PATIENCE
-    : cluster.timing.heartbeatMs * DEFAULT_PATIENCE_HEARTBEATS;
+    ? objectiveS * 1000 * PRIORITY_PREEMPTION_DELAY_SHARE
+    : cluster.timing.heartbeatMs * DEFAULT_PREEMPTION_DELAY_HEARTBEATS;
 }
 
-/** The same for work of its own priority, which only a guarantee may preempt: it is given longer. */
-function guaranteePatienceMs(cluster: ClusterState, spec: JobSpec): number {
+/**
+ * Returns how long a batch within its team's guarantee waits before it preempts
+ * work of the same priority.
+ */
+function guaranteePreemptionDelayMs(cluster: ClusterState, spec: JobSpec): number {
   const { guaranteedStartS } = cluster.objectives;
   return guaranteedStartS !== null
-    ? guaranteedStartS * 1000 * GUARANTEE_PATIENCE
-    : priorityPatienceMs(cluster, spec);
+    ? guaranteedStartS * 1000 * GUARANTEE_PREEMPTION_DELAY_SHARE
+    : priorityPreemptionDelayMs(cluster, spec);
 }
 
 function covers(capacity: Capacity, spec: JobSpec): boolean {
@@ -231,29 +252,37 @@
   );
 }
 
-/** Adds what one task takes (`sign` 1), or subtracts it (-1). */
+/** Adds (`sign` 1) or subtracts (`sign` -1) the resource request of one task. */
 function addCapacity(capacity: Capacity, spec: JobSpec, sign: 1 | -1): void {
   capacity.cpus += sign * spec.cpus;
   capacity.gpus += sign * spec.gpus;
   capacity.memoryGb += sign * spec.memoryGb;
 }
 
-/** What no task uses and is not nominated yet. */
-function freeCapacity(machine: Machine, type: MachineType, nominated: Capacity): Capacity {
+/** Returns the capacity that is neither used by a task nor claimed. */
+function freeCapacity(machine: Machine, type: MachineType, claimed: Capacity): Capacity {
   return {
-    cpus: type.cpus - machine.usedCpus - nominated.cpus,
-    gpus: type.gpus - machine.usedGpus - nominated.gpus,
-    memoryGb: type.memoryGb - machine.usedMemoryGb - nominated.memoryGb,
+    cpus: type.cpus - machine.usedCpus - claimed.cpus,
+    gpus: type.gpus - machine.usedGpus - claimed.gpus,
+    memoryGb: type.memoryGb - machine.usedMemoryGb - claimed.memoryGb,
   };
 }
 
-/** Nominates free capacity for up to `most` tasks; returns for how many there was enough. */
-function nominateFree(spec: JobSpec, free: Capacity, nominated: Capacity, most: number): number {
+/**
+ * Claims free capacity for up to `maxTasks` tasks. Returns the number of tasks that it
+ * sufficed for.
+ */
+function claimFreeCapacity(
+  spec: JobSpec,
+  free: Capacity,
+  claimed: Capacity,
+  maxTasks: number,
+): number {
   let slots = 0;
-  while (slots < most && covers(free, spec)) {
+  while (slots < maxTasks && covers(free, spec)) {
     slots++;
     addCapacity(free, spec, -1);
-    addCapacity(nominated, spec, 1);
+    addCapacity(claimed, spec, 1);
   }
   return slots;
 }
@@ -270,7 +299,10 @@
   return !attempt.job.withinGuarantee && isBeyondGuarantee(cluster, attempt);
 }
 
-/** Whether the attempt's team would still use all of its guaranteed quota without it. */
+/**
+ * Reports whether the attempt's team would still use all of its guaranteed CPUs or
+ * GPUs without the attempt.
+ */
 function isBeyondGuarantee(cluster: ClusterState, attempt: TaskAttempt): boolean {
   const { spec } = attempt.job;
   const quota = cluster.quotas.get(spec.team);
@@ -283,14 +315,17 @@
   );
 }
 
-/** Seconds of work that stopping the task now would lose. */
+/** Returns the seconds of work that stopping the task now would lose. */
 function lostWorkS(attempt: TaskAttempt, now: number): number {
   if (attempt.runningSince === null) return 0;
   const { checkpointIntervalS, checkpointCostS } = attempt.job.spec;
   return checkpointIntervalS > 0 ? checkpointCostS : (now - attempt.runningSince) / 1000;
 }
 
-/** How long the task may take to checkpoint before it ends, in seconds; 0 when it takes none. */
+/**
+ * Returns the seconds that a task of the job gets to save a checkpoint before it ends,
+ * 0 if it saves none.
+ */
 function checkpointGraceS(spec: JobSpec): number {
   return spec.checkpointIntervalS > 0 ? spec.checkpointCostS : 0;
 }
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -1,24 +1,33 @@
-/** The ready queue: all tasks that may be placed, in the order in which they are. */
+/** The ready queue: all tasks that may be placed, in the order of placement. */
 
 import { EPSILON, type ResourceUsage } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/task-attempt.js';
 
-/** Every accepted job, however large, starts within this, whatever fresher work could still meet (protocol). */
+/**
+ * Limit that the protocol sets on the wait of an accepted job for its first start,
+ * whatever its size and even when newer work could still meet its objectives.
+ */
 const MAX_START_DELAY_MS = 240_000;
 /**
- * From this share of it on a job that has not started is starving and goes
- * first with one task (docs/design.md, "What was changed, and why").
+ * Share of `MAX_START_DELAY_MS` after which a job that has not started counts as
+ * starving. One of its tasks then precedes all other work (docs/design.md, "What
+ * was changed, and why").
+ */
+const STARVING_DELAY_SHARE = 0.5;
+/**
+ * Lowest step (base-2 logarithm) of the waiting cost. Below it no objective is close
+ * enough to matter.
  */
-const STARVING_SHARE = 0.5;
-/** Below this step of the waiting cost no objective is near enough to matter. */
 const MIN_COST_STEP = -50;
 
 /**
- * Ready: accepted, not ended, not backed off, and every dependency durably
- * done. A task of an inherited job that shows on no confirmed machine may run
- * on an unconfirmed one, so it waits for the last of those that its job allows.
+ * Reports whether the job has tasks to place, has not ended, is not backed off,
+ * and has only dependencies that are durably done. A task of an inherited job
+ * that no confirmed machine lists may be running on an unconfirmed machine, so
+ * the job waits until every machine that its constraints allow is confirmed or
+ * terminated.
  */
 export function isReady(cluster: ClusterState, job: Job, now: number): boolean {
   return (
@@ -26,19 +35,26 @@
   );
 }
 
-/** The same without regard to unconfirmed machines: the job needs capacity in either case. */
+/**
+ * Like `isReady`, but ignores unconfirmed machines, because the job needs capacity in
+ * either case.
+ */
 export function hasPlaceableTasks(job: Job, now: number): boolean {
   if (job.backedOffCount > 0) job.releaseBackedOff(now);
   return job.readyCount > 0 && !job.ended && !job.awaitsDependencies && job.backoffUntil <= now;
 }
 
 /**
- * Marks new jobs that fit their team's guaranteed quota together with the
- * team's earlier unfinished ones. A job is judged once, on its arrival
- * (docs/limits-history.md, "What helped, in the order of its size"). How an earlier
- * leader judged an inherited job is not known: past the objective on guaranteed
- * work it counts as not having fitted. A job that waits for dependencies uses
- * no guaranteed quota until it may run.
+ * Marks the new jobs that fit their team's guaranteed quota together with the
+ * team's earlier unfinished jobs. A job that waits for dependencies uses no
+ * guaranteed quota until it may run.
+ *
+ * Each job is checked once, on arrival. If jobs were checked again, each would
+ * come to fit as earlier ones end, and the oldest work of all teams would precede
+ * and preempt work that can still meet its objectives.
+ *
+ * The result of an earlier leader's check is not stored. An inherited job that
+ * has waited past the start objective for guaranteed work counts as not fitting.
  */
 function markGuaranteed(cluster: ClusterState, byArrival: Job[], now: number): void {
   const usageByTeam = new Map<string, ResourceUsage>();
@@ -52,51 +68,58 @@
     if (job.withinGuarantee !== null) continue;
     const quota = cluster.quotas.get(team);
     job.withinGuarantee =
-      !isInheritedLate(cluster, job, now) &&
+      !isInheritedPastObjective(cluster, job, now) &&
       quota !== undefined &&
       usage.cpus <= quota.guaranteedCpus + EPSILON &&
       usage.gpus <= quota.guaranteedGpus + EPSILON;
   }
 }
 
-/** Whether the job is inherited and has waited past the objective on guaranteed work. */
-function isInheritedLate(cluster: ClusterState, job: Job, now: number): boolean {
+/**
+ * Reports whether the job is inherited and has waited past the start objective for
+ * guaranteed work.
+ */
+function isInheritedPastObjective(cluster: ClusterState, job: Job, now: number): boolean {
   const { guaranteedStartS } = cluster.objectives;
   return (
     job.inherited && guaranteedStartS !== null && cluster.ageMs(job, now) > guaranteedStartS * 1000
   );
 }
 
-/** A ready job that is not starving, and what it is ordered by. */
+/** A ready job that is not starving, with its sort keys. */
 interface ReadyJob {
   job: Job;
+  /** Objectives that waiting is about to miss, per CPU second. */
   waitingCost: number;
-  /** CPU seconds of its ready tasks. */
-  work: number;
+  /** CPU seconds that its ready tasks are expected to take. */
+  remainingCpuSeconds: number;
 }
 
-/** The ready jobs in the order of their arrival. */
+/** The ready jobs in order of arrival. */
 interface ReadyJobs {
-  /** One batch of one task for each starving job. */
+  /** One batch with a single task for each starving job. */
   starving: Batch[];
   others: ReadyJob[];
 }
 
 /**
- * The ready queue: priority first, then work within its team's guarantee, then
- * what waiting is about to cost. When more is asked than can be done, strict
- * arrival would make everybody late, and so would letting only what has missed
- * nothing pass: work that waited a little would miss every later objective as
- * well. Jobs that can't meet any objective any more come last, the one with the
- * least left first. Nothing starves by that: a job that has not started for
- * long goes before everything with one task.
+ * Returns the ready queue, ordered by priority, then by whether the work is
+ * within its team's guarantee, then by the cost of waiting.
+ *
+ * Under overload, order of arrival would make all jobs late. Preferring only jobs
+ * that have missed no objective fails as well: a job that missed its first
+ * objective would then miss all later ones. Jobs that can't meet any objective
+ * come last, those with the least remaining work first. They don't starve,
+ * because one task of each starving job precedes all other work.
  */
 export function readyBatches(cluster: ClusterState, now: number): Batch[] {
   const byArrival = [...cluster.jobs.values()].sort((a, b) => a.version - b.version);
   markGuaranteed(cluster, byArrival, now);
   const { starving, others } = collectReadyJobs(cluster, byArrival, now);
-  others.sort((a, b) => b.waitingCost - a.waitingCost || a.work - b.work);
-  // The sort is stable: beyond this, the order of the jobs decides.
+  others.sort(
+    (a, b) => b.waitingCost - a.waitingCost || a.remainingCpuSeconds - b.remainingCpuSeconds,
+  );
+  // The sort is stable: batches with equal keys keep the order of their jobs.
   const batches = groupIntoBatches(others).sort(
     (a, b) =>
       a.priority - b.priority ||
@@ -111,13 +134,13 @@
   const others: ReadyJob[] = [];
   for (const job of byArrival) {
     if (!isReady(cluster, job, now)) continue;
-    if (!job.started && cluster.ageMs(job, now) > MAX_START_DELAY_MS * STARVING_SHARE)
+    if (!job.started && cluster.ageMs(job, now) > MAX_START_DELAY_MS * STARVING_DELAY_SHARE)
       starving.push(batchOf(job, MIN_COST_STEP, true));
     else
       others.push({
         job,
         waitingCost: cluster.estimates.waitingCost(job, now + cluster.wallClockOffset),
-        work: job.readyCount * job.spec.cpus * cluster.estimates.estimateS(job.spec),
+        remainingCpuSeconds: job.readyCount * job.spec.cpus * cluster.estimates.estimateS(job.spec),
       });
   }
   return { starving, others };
@@ -137,7 +160,10 @@
   return [...batches.values()];
 }
 
-/** Tasks with equal keys are interchangeable; a job with zone rules is a batch of its own. */
+/**
+ * Returns a key that is equal for interchangeable tasks. A job with zone rules gets
+ * its own batch.
+ */
 function batchKey(job: Job, costStep: number): string {
   const spec = job.spec;
   return `${costStep}|${job.priority}|${job.withinGuarantee}|${spec.team}|${spec.image}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|${spec.machineTypes}|${spec.zone}|${spec.allowsSpot}|${spec.singleZone || spec.zoneAntiAffinity ? spec.id : ''}`;
--- a/src/scheduler/placement/remaining-slots.ts
+++ b/src/scheduler/placement/remaining-slots.ts
@@ -1,4 +1,4 @@
-/** How many more tasks a team's quota and a job's zone rules allow. */
+/** Limits that a team's quota and a job's zone rules set on further tasks. */
 import { EPSILON, type ResourceUsage } from '../../model/resources.js';
 import type { Batch } from '../state/batch.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -6,13 +6,13 @@
 
 const NO_USAGE: ResourceUsage = { cpus: 0, gpus: 0 };
 
-/** More tasks than any batch has: a quota without a maximum bounds nothing. */
+/** Returned for a quota without a maximum. Larger than any batch. */
 const UNBOUNDED_SLOTS = 1e9;
 
 /**
- * How many more of the job's tasks may be placed in the zone beside those on
- * machines now: with zone affinity all tasks run in one zone, with zone
- * anti-affinity no zone has more than half of them.
+ * Returns how many more tasks of the job may be placed in the zone, given those
+ * on machines now. With zone affinity all tasks run in one zone. With zone
+ * anti-affinity no zone runs more than half of the tasks, rounded up.
  */
 export function remainingZoneSlots(job: Job, zone: string): number {
   const { singleZone, zoneAntiAffinity, tasks } = job.spec;
@@ -24,9 +24,10 @@
 }
 
 /**
- * How many more tasks of the batch the team's maximum allows. `unconfirmed`,
- * what tasks on unconfirmed machines may use, counts as used, and so does the
- * quota that is reserved for a starving job of the team.
+ * Returns how many more tasks of the batch the team's maximum quota allows.
+ * `unconfirmed`, the resources that tasks on unconfirmed machines may use, counts
+ * as used. So does the quota reserved for a starving job of the team, unless the
+ * batch is starving.
  */
 export function remainingQuotaSlots(
   cluster: ClusterState,
@@ -46,7 +47,10 @@
   return Math.max(0, slots);
 }
 
-/** Reserves the quota of one task of a starving batch, so that smaller tasks of its team leave it free. */
+/**
+ * Reserves quota for one task of a starving batch, so that smaller tasks of its
+ * team don't use it. A team has at most one such reservation.
+ */
 export function reserveQuota(cluster: ClusterState, batch: Batch): void {
   const { team, cpus, gpus } = batch.spec;
   if (batch.starving && !cluster.reservedQuota.has(team))
--- a/src/scheduler/placement/reservations.ts
+++ b/src/scheduler/placement/reservations.ts
@@ -1,7 +1,7 @@
 /**
- * The reserve step: resources of a machine that only certain work may take.
- * `Machine.reservation` keeps what preemption frees for the tasks it was done
- * for; `Machine.reservedForJob` keeps a whole machine for a starving job.
+ * The reserve step: reserves resources of a machine for certain work.
+ * `Machine.reservation` keeps capacity that a preemption frees for the batch that
+ * preempted. `Machine.reservedForJob` reserves a whole machine for a starving job.
  */
 
 import type { Batch } from '../state/batch.js';
@@ -10,17 +10,20 @@
 import type { Machine } from '../state/task-attempt.js';
 import { respectsReservation } from './feasibility.js';
 
-/** Reserves resources that are being freed on the machine for one more task of the batch. */
+/** Reserves capacity that is being freed on the machine for one more task of the batch. */
 export function addReservation(machine: Machine, batch: Batch, expiresAt: number): void {
   const { priority, withinGuarantee } = batch;
-  const present = machine.reservation;
-  if (present && present.priority === priority && present.withinGuarantee === withinGuarantee) {
-    present.remainingTasks++;
-    present.expiresAt = expiresAt;
+  const existing = machine.reservation;
+  if (existing && existing.priority === priority && existing.withinGuarantee === withinGuarantee) {
+    existing.remainingTasks++;
+    existing.expiresAt = expiresAt;
   } else machine.reservation = { priority, withinGuarantee, remainingTasks: 1, expiresAt };
 }
 
-/** A task of the batch was placed on the machine: one of the same priority uses up the reservation. */
+/**
+ * Called when a task of the batch was placed on the machine. A task of the reserved
+ * priority uses up one reserved task.
+ */
 export function consumeReservation(machine: Machine, batch: Batch): void {
   const { reservation } = machine;
   if (
@@ -33,8 +36,9 @@
 }
 
 /**
- * Begins a round: machines reserved for starving jobs are chosen anew in each
- * round, and reservations of preempting batches last until they expire.
+ * Called at the start of a round. Releases all machines reserved for starving
+ * jobs, which each round selects again, and the expired reservations of
+ * preempting batches.
  */
 export function releaseExpiredReservations(machines: Machine[], now: number): void {
   for (const machine of machines) {
@@ -44,9 +48,10 @@
 }
 
 /**
- * Reserves the least utilized machine that could ever take a task of the batch.
- * A task too large for the gaps that smaller ones leave would wait for ever:
- * this machine takes nothing else until it has enough free. Null: there is none.
+ * Reserves the least utilized machine that is large enough for a task of the
+ * batch. Without it, a task too large for the gaps that smaller tasks leave would
+ * wait forever: the machine accepts no other work until the task fits. Returns
+ * null if no machine is large enough.
  */
 export function reserveMachine(batch: Batch, machines: Machine[]): Machine | null {
   let reserved: Machine | null = null;
--- a/src/scheduler/scaling/capacity-backoff.ts
+++ b/src/scheduler/scaling/capacity-backoff.ts
@@ -1,14 +1,14 @@
-/** Pools of which the cloud had no capacity, and for how long they are not asked for. */
+/** Back-off from pools for which the cloud had no capacity. */
 import { machinePoolKey } from '../../model/machine.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Machine } from '../state/task-attempt.js';
 
-/** The pause after a refusal doubles this often at most. */
+/** The delay after a refusal doubles at most this many times. */
 const MAX_BACKOFF_DOUBLINGS = 2;
-/** The boot time that the pause rests on when the type is no longer known, in seconds. */
+/** Boot time, in seconds, from which the delay is derived when the type is no longer known. */
 const UNKNOWN_TYPE_BOOT_S = 30;
 
-/** A pool of the cloud: machines of one type in one zone, ordinary or spot. */
+/** A pool of the cloud: the ordinary or the spot machines of one type in one zone. */
 export interface MachinePool {
   type: string;
   zone: string;
@@ -16,48 +16,55 @@
 }
 
 interface Backoff {
+  /** End of the delay, in milliseconds on the leader's clock. */
   until: number;
   doublings: number;
 }
 
-/** Owns the back-offs of this term, by pool. */
+/** Tracks the back-offs of this leader term, by pool. */
 export class CapacityBackoff {
   private readonly byPool = new Map<string, Backoff>();
 
   constructor(private readonly cluster: ClusterState) {}
 
-  /** Whether the pool was refused a short while ago. */
+  /** Reports whether the delay after the latest refusal for the pool is still running. */
   isBackedOff(poolKey: string, now: number): boolean {
     const backoff = this.byPool.get(poolKey);
     return backoff !== undefined && backoff.until > now;
   }
 
-  /** The cloud provisioned fewer machines than asked for, or none: the pause doubles each time. */
+  /**
+   * Called when the cloud provisioned fewer machines than requested, or none. Each
+   * further refusal doubles the delay, up to `MAX_BACKOFF_DOUBLINGS` times.
+   */
   recordRefusal(pool: MachinePool, now: number): void {
     const key = machinePoolKey(pool.type, pool.zone, pool.spot);
-    const earlier = this.byPool.get(key);
-    const doublings = earlier ? Math.min(earlier.doublings + 1, MAX_BACKOFF_DOUBLINGS) : 0;
+    const previous = this.byPool.get(key);
+    const doublings = previous ? Math.min(previous.doublings + 1, MAX_BACKOFF_DOUBLINGS) : 0;
     const bootS = this.cluster.machineTypes.get(pool.type)?.bootS ?? UNKNOWN_TYPE_BOOT_S;
     this.byPool.set(key, {
-      until: now + this.pauseMs(bootS) * 2 ** doublings,
+      until: now + this.initialDelayMs(bootS) * 2 ** doublings,
       doublings,
     });
   }
 
-  /** The cloud provisioned all that was asked for. */
+  /** Called when the cloud provisioned all requested machines. Ends the back-off. */
   recordSuccess(pool: MachinePool): void {
     this.byPool.delete(machinePoolKey(pool.type, pool.zone, pool.spot));
   }
 
-  /** A machine of the pool has terminated, so there may be capacity again: it is worth a try soon. */
+  /**
+   * Called when a machine has terminated. Its pool may have capacity again, so a
+   * back-off of the pool is shortened to the initial delay.
+   */
   recordTermination(machine: Machine, now: number): void {
     const backoff = this.byPool.get(machinePoolKey(machine.typeName, machine.zone, machine.spot));
     if (!backoff || !machine.type) return;
     backoff.doublings = 0;
-    backoff.until = Math.min(backoff.until, now + this.pauseMs(machine.type.bootS));
+    backoff.until = Math.min(backoff.until, now + this.initialDelayMs(machine.type.bootS));
   }
 
-  private pauseMs(bootS: number): number {
+  private initialDelayMs(bootS: number): number {
     return bootS * 1000 * this.cluster.policy.backoffBoots;
   }
 }
--- a/src/scheduler/scaling/capacity.ts
+++ b/src/scheduler/scaling/capacity.ts
@@ -1,4 +1,4 @@
-/** The capacity: machines that are up, booting or planned, and the allocation of demand to them. */
+/** The capacity of machines that are up, booting or planned, and the allocation of demand to it. */
 import type { JobSpec } from '../../model/job.js';
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
 import type { ResourceRequest } from '../../model/resources.js';
@@ -8,38 +8,49 @@
 import type { Machine } from '../state/task-attempt.js';
 import type { Demand } from './demand.js';
 
-/** Beyond this many times its usual boot time a machine may never come up: boots take up to one and a half times. */
+/**
+ * A machine that has been booting for more than this many times its usual boot
+ * time may never come up. Regular boots take up to 1.5 times the usual time.
+ */
 const LATE_BOOT_RATIO = 2;
-/** Slots and shares up to this are rounding errors. */
+/** Slots and shares up to this size are rounding errors. */
 const NEGLIGIBLE = 1e-9;
-/** Bounds on the mean slots of a machine: a task larger than the machine, and one that takes nothing. */
+/**
+ * Bounds on the mean slots of a machine, for tasks larger than the machine and tasks
+ * that request nothing.
+ */
 const MIN_MEAN_SLOTS = 0.1;
 const MAX_MEAN_SLOTS = 1e5;
 
 /** A machine that demand is allocated to. */
 export interface AvailableCapacity {
-  /** Null: planned only. */
+  /** Null if the machine is only planned. */
   machine: Machine | null;
   type: MachineType;
   typeName: string;
   zone: string;
   spot: boolean;
-  /** The machine's, kept here: a sort that asked for it at each comparison took most of a plan's time. */
+  /**
+   * Utilization of the machine, 0 to 1. Cached, because computing it in each
+   * comparison of the sort took most of a plan's time.
+   */
   utilization: number;
-  /** The share of the machine that no demand is allocated to yet. */
+  /** Share of the machine to which no demand is allocated yet, 0 to 1. */
   freeShare: number;
 }
 
 /**
- * The machines that are up or booting. What is in use comes first, so that what
- * is left empty can be terminated; what was left empty before is left again.
+ * Returns the machines that are up or booting, in the order in which demand is
+ * allocated to them. Utilized machines come first, so that machines without
+ * demand become empty and can be terminated. Scale-in candidates come last, so
+ * that the same machines are left without demand in each plan.
  */
 export function availableCapacity(cluster: ClusterState, now: number): AvailableCapacity[] {
   const capacity: AvailableCapacity[] = [];
   for (const machine of cluster.machines.values()) {
     const { type, zone, spot } = machine;
     if (type === null || machine.drainReason !== null) continue;
-    if (isUnreachable(machine, cluster, now) || isBootLate(machine, type, now)) continue;
+    if (isUnreachable(machine, cluster, now) || isBootOverdue(machine, type, now)) continue;
     capacity.push({
       machine,
       type,
@@ -57,12 +68,18 @@
   return machine.upAt !== null && now - machine.lastHeartbeatAt > cluster.timing.unreachableAfterMs;
 }
 
-/** Far beyond its time to boot it may never come up: another is provisioned meanwhile. */
-function isBootLate(machine: Machine, type: MachineType, now: number): boolean {
+/**
+ * Reports whether the machine is so late to boot that it may never come up. It
+ * then no longer counts as capacity, so that a replacement is provisioned.
+ */
+function isBootOverdue(machine: Machine, type: MachineType, now: number): boolean {
   return machine.upAt === null && now - machine.provisionedAt > type.bootS * 1000 * LATE_BOOT_RATIO;
 }
 
-/** Spot before ordinary, scale-in candidates last, the most utilized first, then by id. */
+/**
+ * Orders spot before ordinary, then scale-in candidates last, then by descending
+ * utilization, then by id.
+ */
 function byAllocationOrder(a: AvailableCapacity, b: AvailableCapacity): number {
   if (a.spot !== b.spot) return a.spot ? -1 : 1;
   const candidateA = a.machine?.scaleInCandidate ?? false;
@@ -76,8 +93,8 @@
 }
 
 /**
- * Allocates the demand to the capacity; returns the slots that are not covered.
- * Adds the machines that some of it was allocated to to `used`.
+ * Allocates the demand to the capacity and returns the number of slots that are
+ * not covered. Adds each machine that received a part of the demand to `used`.
  */
 export function allocate(
   demand: Demand,
@@ -89,15 +106,15 @@
     if (uncovered <= NEGLIGIBLE) break;
     if (available.freeShare <= NEGLIGIBLE || !canEverRun(available, demand.spec)) continue;
     const slots = meanSlots(available.type, demand.meanRequest);
-    const taken = Math.min(uncovered, available.freeShare * slots);
-    available.freeShare -= taken / slots;
-    uncovered -= taken;
+    const allocated = Math.min(uncovered, available.freeShare * slots);
+    available.freeShare -= allocated / slots;
+    uncovered -= allocated;
     if (available.machine) used.add(available.machine);
   }
   return Math.max(0, uncovered);
 }
 
-/** Whether any machine that is there or planned could ever take a task of the job. */
+/** Reports whether any existing or planned machine, when empty, could run a task of the job. */
 export function anyCanEverRun(capacity: AvailableCapacity[], spec: JobSpec): boolean {
   return capacity.some((available) => canEverRun(available, spec));
 }
@@ -106,7 +123,10 @@
   return satisfiesConstraints(available, spec) && slotsOnType(available.type, spec) > 0;
 }
 
-/** How many tasks of the mean request a machine runs at once: a part of one may be left over. */
+/**
+ * Returns how many tasks of the mean request a machine runs at once. The result may be
+ * fractional.
+ */
 export function meanSlots(type: MachineType, request: ResourceRequest): number {
   return Math.max(
     MIN_MEAN_SLOTS,
@@ -119,7 +139,7 @@
   );
 }
 
-/** Counts all machines by pool, drained and unreachable ones, too. */
+/** Counts all machines by pool, including draining and unreachable ones. */
 export function countMachinesPerPool(cluster: ClusterState): Map<string, number> {
   const counts = new Map<string, number>();
   for (const machine of cluster.machines.values()) {
--- a/src/scheduler/scaling/demand.ts
+++ b/src/scheduler/scaling/demand.ts
@@ -1,4 +1,4 @@
-/** The demand: forecasts and the work at hand become tasks to be run at once, by kind of work. */
+/** Estimates the demand, in concurrent tasks by kind of work, from forecasts and live jobs. */
 import type { DemandForecast } from '../../model/demand-forecast.js';
 import type { JobSpec } from '../../model/job.js';
 import type { ResourceRequest } from '../../model/resources.js';
@@ -8,61 +8,64 @@
 import type { DemandForecasts } from './demand-forecasts.js';
 import { occupancyS, weightedMean, workKindKey } from './work-kinds.js';
 
-/** What one kind of work asks of the machines. */
+/** The demand of one kind of work for machine capacity. */
 export interface Demand {
   /** A job of this kind. */
   spec: JobSpec;
+  /** Mean resource request of a task. */
   meanRequest: ResourceRequest;
-  /** Tasks to be run at once. */
+  /** Number of tasks to run concurrently. May be fractional. */
   slots: number;
-  /** Tasks that are ready now. */
+  /** Number of tasks that are ready now. */
   backlog: number;
-  /** The mean of the forecast, 0 without one; for the log. */
+  /** Mean of the forecast, 0 if there is none. Only logged. */
   forecastMean: number;
 }
 
-/** The work of one kind that live jobs have. */
+/** The remaining work of one kind in live jobs. */
 interface LiveWork {
   spec: JobSpec;
   meanRequest: ResourceRequest;
-  /** Tasks that may be started now. */
+  /** Number of tasks that may be started now. */
   ready: number;
-  /** For how long all of its tasks together occupy their slots. */
-  seconds: number;
+  /** Total time for which the tasks occupy their slots, in seconds. */
+  slotSeconds: number;
 }
 
 /**
- * The demands, highest priority first. For each kind of work they are the mean
- * of what arrives, a safety margin for arrays arriving whole, and what it takes
- * to work off a backlog beyond the usual.
+ * Returns the demands, highest priority first. The demand of each kind of work is
+ * the forecast mean plus the larger of two amounts: a safety margin for job
+ * arrays, whose tasks all arrive at once, and the slots that work off the excess
+ * backlog in time.
  */
 export function estimateDemands(
   cluster: ClusterState,
   forecasts: DemandForecasts,
   now: number,
 ): Demand[] {
-  // docs/limits-history.md, "Tried without help", has a trial with one boot in all.
-  const drainS = longestBootS(cluster.machineTypes) * (1 + cluster.policy.backlogBoots);
+  // Machines provisioned now are up after one boot time. The backlog should be worked off
+  // within `backlogBoots` boot times after that.
+  const backlogTargetS = longestBootS(cluster.machineTypes) * (1 + cluster.policy.backlogBoots);
   const work = liveWorkByKind(cluster, now);
   const demands: Demand[] = [];
   for (const kind of new Set([...work.keys(), ...forecasts.kinds()])) {
-    const demand = demandOf(cluster, forecasts, kind, work.get(kind), drainS);
+    const demand = demandOf(cluster, forecasts, kind, work.get(kind), backlogTargetS);
     if (demand) demands.push(demand);
   }
-  // What may run on ordinary machines only chooses first among them.
+  // Work that is restricted to ordinary machines is allocated to them first.
   return demands.sort(
     (a, b) =>
       a.spec.priority - b.spec.priority || Number(a.spec.allowsSpot) - Number(b.spec.allowsSpot),
   );
 }
 
-/** The work of live jobs that is ready, will be ready next, or is under way. */
+/** Returns the work of live jobs that is ready, about to be ready, or running. */
 function liveWorkByKind(cluster: ClusterState, now: number): Map<string, LiveWork> {
   const work = new Map<string, LiveWork>();
   for (const job of cluster.jobs.values()) {
     if (hasPlaceableTasks(job, now))
       addWork(work, job.spec, job.readyCount, occupancyS(cluster, job.spec), true);
-    // Its dependencies are running: a machine provisioned now is up by the time that it is ready.
+    // All its dependencies are running. A machine provisioned now is up when the job becomes ready.
     else if (cluster.dependencies.isAboutToBeReady(job))
       addWork(work, job.spec, job.readyCount, occupancyS(cluster, job.spec), false);
     if (job.activeAttempts.size === 0) continue;
@@ -82,55 +85,67 @@
   ready: boolean,
 ): void {
   const kind = workKindKey(spec);
-  const known = work.get(kind) ?? { spec, meanRequest: spec, ready: 0, seconds: 0 };
-  const seconds = tasks * secondsPerTask;
-  known.meanRequest = weightedMean(known.meanRequest, known.seconds, spec, seconds);
-  known.seconds += seconds;
-  if (ready) known.ready += tasks;
-  work.set(kind, known);
+  const liveWork = work.get(kind) ?? { spec, meanRequest: spec, ready: 0, slotSeconds: 0 };
+  const slotSeconds = tasks * secondsPerTask;
+  liveWork.meanRequest = weightedMean(
+    liveWork.meanRequest,
+    liveWork.slotSeconds,
+    spec,
+    slotSeconds,
+  );
+  liveWork.slotSeconds += slotSeconds;
+  if (ready) liveWork.ready += tasks;
+  work.set(kind, liveWork);
 }
 
-/** The demand of one kind of work, whose backlog is to be worked off in `drainS` seconds. */
+/**
+ * Returns the demand of one kind of work, with enough slots to work off an excess
+ * backlog in `backlogTargetS` seconds. Returns null if the kind has neither work nor a
+ * forecast.
+ */
 function demandOf(
   cluster: ClusterState,
   forecasts: DemandForecasts,
   kind: string,
   work: LiveWork | undefined,
-  drainS: number,
+  backlogTargetS: number,
 ): Demand | null {
   const forecast = forecasts.get(kind);
   const spec = (work ?? forecast)?.spec;
   if (!spec) return null;
-  const active = forecast ? forecasts.activeProbability(forecast) : 0;
-  const mean = (forecast?.mean ?? 0) * active;
-  const margin = Math.sqrt(forecast?.variance ?? 0) * active * safetyMargin(cluster, spec);
-  const excess = Math.max(0, (work?.seconds ?? 0) - usualWorkS(mean, forecast)) / drainS;
+  const activeProbability = forecast ? forecasts.activeProbability(forecast) : 0;
+  const mean = (forecast?.mean ?? 0) * activeProbability;
+  const marginSlots =
+    Math.sqrt(forecast?.variance ?? 0) * activeProbability * safetyMargin(cluster, spec);
+  const excessSlots =
+    Math.max(0, (work?.slotSeconds ?? 0) - expectedRemainingS(mean, forecast)) / backlogTargetS;
   const meanRequest = weightedMean(
     forecast?.meanRequest ?? spec,
-    mean + margin,
+    mean + marginSlots,
     work?.meanRequest ?? spec,
-    Math.max(0, excess - margin),
+    Math.max(0, excessSlots - marginSlots),
   );
   return {
     spec,
     meanRequest,
-    slots: mean + Math.max(margin, excess),
+    slots: mean + Math.max(marginSlots, excessSlots),
     backlog: work?.ready ?? 0,
     forecastMean: forecast?.mean ?? 0,
   };
 }
 
 /**
- * What is usually left of the work under way, in seconds: half of each task on
- * average (docs/limits-history.md, "What helped, in the order of its size"). One job's
- * length must not stand for all: the oldest live job is often the longest, and
- * would hide a backlog for as long as it lives.
+ * Returns the slot time that the mean number of running tasks has left, in
+ * seconds: on average half of each task's occupancy. Work in excess of it is
+ * backlog. The occupancy is a mean over many jobs, because the length of a single
+ * job is not representative: the oldest live job is often the longest, and would
+ * hide a backlog for its whole lifetime.
  */
-function usualWorkS(mean: number, forecast: DemandForecast | undefined): number {
+function expectedRemainingS(mean: number, forecast: DemandForecast | undefined): number {
   return (mean * (forecast?.occupancyS ?? 0)) / 2;
 }
 
-/** How many standard deviations of slots the objectives of the job's class are worth. */
+/** Returns the safety margin for the job's class, in standard deviations of its demand. */
 function safetyMargin(cluster: ClusterState, spec: JobSpec): number {
   const hasStartObjective = cluster.estimates.startObjectiveS(spec.jobClass) !== null;
   return hasStartObjective ? cluster.policy.waitSafetyMargin : cluster.policy.safetyMargin;
--- a/src/scheduler/scaling/fleet-conditions.ts
+++ b/src/scheduler/scaling/fleet-conditions.ts
@@ -1,4 +1,4 @@
-/** What the machines as a whole show, which the judgement of one of them rests on. */
+/** Conditions of the whole fleet that decide how a single failing machine is treated. */
 import { machinePoolKey } from '../../model/machine.js';
 import { hasPlaceableTasks } from '../placement/ready-queue.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -6,58 +6,63 @@
 import type { Machine } from '../state/task-attempt.js';
 
 /**
- * When more than this share of the machines, or of a zone, seems unresponsive or
- * unreachable at once, it is the network that is at fault (docs/design.md,
- * "Network partitions" and "Late, one-way, isolated, quick").
+ * When more than this share of all machines, or of those in a zone, seems
+ * unresponsive or unreachable at once, the cause is assumed to be the network
+ * (docs/design.md, "Network partitions" and "Late, one-way, isolated, quick").
  */
 const MASS_OUTAGE_SHARE = 0.2;
 /**
- * Heartbeat intervals after a failover within which a reachable agent has sent a
- * heartbeat under the new fencing token (docs/limits-history.md, "Where the time goes").
+ * Heartbeat intervals after a failover within which a reachable agent sends a
+ * heartbeat with the new fencing token: one to receive the token in a reply, and
+ * one to send the next heartbeat.
  */
 const CONFIRM_HEARTBEATS = 2;
 /**
- * The same for one that gave no answer to a direct command either: an interval
- * with its jitter, and a redirection (docs/limits-history.md, "Two troubles at once").
+ * Limit that replaces `CONFIRM_HEARTBEATS` for an agent that also did not answer
+ * a direct command: one interval with its jitter, and a redirection.
  */
-const UNANSWERED_HEARTBEATS = 1.4;
+const UNANSWERED_CONFIRM_HEARTBEATS = 1.4;
 
-/** The conditions at one time. */
+/** The conditions of the fleet at one time. */
 export interface FleetConditions {
-  /** Unresponsive machines are few enough to be at fault themselves. */
+  /** True if the unresponsive machines are few enough that each is assumed to be faulty itself. */
   unresponsiveAreFew: boolean;
-  /** Zones of which many machines are unreachable. */
+  /** Zones in which many machines are unreachable. */
   zonesWithManyUnreachable: ReadonlySet<string>;
-  /** Machines whose confirmation inherited work has waited for long enough. */
-  blockingInherited: ReadonlySet<Machine>;
+  /** Unconfirmed machines that have blocked inherited work for too long. */
+  blockingInheritedWork: ReadonlySet<Machine>;
 }
 
-/** Machines of a zone that are up, and those of them that are in question. */
+/** The number of machines of a zone that are up, and how many of those are unreachable. */
 interface ZoneCounts {
   up: number;
   unreachable: number;
 }
 
+/** The number of machines of a zone that are up, and those of them that are not confirmed. */
 interface ZoneMachines {
   up: number;
   unconfirmed: Machine[];
 }
 
-/** Looks at all machines once. */
+/** Evaluates the conditions from the current state of all machines. */
 export function fleetConditions(cluster: ClusterState, now: number): FleetConditions {
   return {
     unresponsiveAreFew: unresponsiveAreFew(cluster),
     zonesWithManyUnreachable: zonesWithManyUnreachable(cluster, now),
-    blockingInherited: blockingInherited(cluster, now),
+    blockingInheritedWork: machinesBlockingInheritedWork(cluster, now),
   };
 }
 
-/** Whether `affected` machines of `up` are too many to have failed one by one. */
+/** Reports whether `affected` of `up` machines are too many to have failed independently. */
 function isMassOutage(affected: number, up: number): boolean {
   return affected > Math.max(1, up * MASS_OUTAGE_SHARE);
 }
 
-/** When many are unresponsive at once, it is this leader that can't reach them: none of them is to blame. */
+/**
+ * When many machines are unresponsive at once, this leader probably can't reach them,
+ * and none of them is faulty.
+ */
 function unresponsiveAreFew(cluster: ClusterState): boolean {
   let up = 0;
   let unresponsive = 0;
@@ -86,13 +91,15 @@
 }
 
 /**
- * After a failover: the last few machines that neither confirm by a command nor
- * send a heartbeat under the new fencing token, while inherited work that they
- * may run waits for them. Waiting longer costs more than what they run, so they
- * are fenced. While many of a zone are unconfirmed, a partition keeps them away,
- * and their tasks live on.
+ * Returns the machines to fence after a failover because they block inherited
+ * work that they may be running: they neither confirmed by a direct command nor
+ * sent a heartbeat with the new fencing token in time. Waiting longer would cost
+ * more than the tasks they run.
+ *
+ * While many machines of a zone are unconfirmed, the cause is probably a network
+ * partition and their tasks are still running, so none of them is returned.
  */
-function blockingInherited(cluster: ClusterState, now: number): Set<Machine> {
+function machinesBlockingInheritedWork(cluster: ClusterState, now: number): Set<Machine> {
   const blocking = new Set<Machine>();
   const blockedCpusByPool = new Map<string, number>();
   for (const { up, unconfirmed } of unconfirmedByZone(cluster).values()) {
@@ -121,14 +128,16 @@
 }
 
 function shouldHaveConfirmed(cluster: ClusterState, machine: Machine, now: number): boolean {
-  const patience = machine.confirmationUnanswered ? UNANSWERED_HEARTBEATS : CONFIRM_HEARTBEATS;
-  return now - cluster.silentSince(machine) > cluster.timing.heartbeatMs * patience;
+  const limitHeartbeats = machine.confirmationUnanswered
+    ? UNANSWERED_CONFIRM_HEARTBEATS
+    : CONFIRM_HEARTBEATS;
+  return now - cluster.silentSince(machine) > cluster.timing.heartbeatMs * limitHeartbeats;
 }
 
 /**
- * CPUs of the inherited work that a machine of this pool may run. A machine is
- * waited for only while that work, were it free to start elsewhere, would not
- * fill it.
+ * Returns the CPUs requested by the inherited work that may be running on a
+ * machine of this pool. An unconfirmed machine is fenced only if that work
+ * requests at least as many CPUs as the machine has.
  */
 function blockedInheritedCpus(cluster: ClusterState, machine: Machine, now: number): number {
   let cpus = 0;
--- a/src/scheduler/scaling/fleet-overview.ts
+++ b/src/scheduler/scaling/fleet-overview.ts
@@ -1,23 +1,23 @@
-/** The machines and the demand in short, for the log. */
+/** A summary of machines and demand for the log. */
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Demand } from './demand.js';
 
-/** Counts of machines of one kind. */
+/** Counts of ordinary or spot machines. */
 interface MachineCounts {
   up: number;
   booting: number;
-  /** The sum of the utilizations of those that are up. */
+  /** Sum of the utilizations (0 to 1) of the machines that are up. */
   utilization: number;
 }
 
-/** One kind of work. */
+/** The demand of one kind of work. */
 interface DemandOverview {
   class: string;
-  /** Tasks at once on average by the forecast. */
+  /** Mean number of concurrent tasks by the forecast. */
   mean: number;
-  /** Tasks to be run at once. */
+  /** Number of tasks to run concurrently. */
   slots: number;
-  /** Tasks that are ready now. */
+  /** Number of tasks that are ready now. */
   ready: number;
 }
 
@@ -28,7 +28,10 @@
   demands: DemandOverview[];
 }
 
-/** Sums up the machines and demands, rounded to one decimal. */
+/**
+ * Summarizes the machines and demands. Utilizations, means and slots are rounded to
+ * one decimal.
+ */
 export function fleetOverview(cluster: ClusterState, demands: Demand[]): FleetOverview {
   const ordinary: MachineCounts = { up: 0, booting: 0, utilization: 0 };
   const spot: MachineCounts = { up: 0, booting: 0, utilization: 0 };
--- a/src/scheduler/scaling/pool-options.ts
+++ b/src/scheduler/scaling/pool-options.ts
@@ -1,4 +1,4 @@
-/** The pools that machines may be provisioned from for a job. */
+/** The pools from which machines may be provisioned for a job. */
 import type { JobSpec } from '../../model/job.js';
 import { canRunOnType } from '../../model/job-feasibility.js';
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
@@ -6,38 +6,41 @@
 import { slotsOnType } from '../state/machine-state.js';
 import type { CapacityBackoff } from './capacity-backoff.js';
 
-/** A pool that machines may be provisioned from. */
+/** A pool from which machines may be provisioned. */
 export interface PoolOption {
   type: MachineType;
   typeName: string;
   zone: string;
   spot: boolean;
-  /** The price of a machine, divided by the tasks that it runs at once. */
+  /** Price of a machine divided by the number of tasks that it runs concurrently. */
   pricePerTask: number;
-  /** Machines that the pool has. */
-  machines: number;
+  /** Number of machines in the pool. */
+  machineCount: number;
 }
 
-/** What the choice of pools rests on; the same throughout a plan. */
+/** The inputs for the choice of pools. Constant during a plan. */
 export interface PoolContext {
   types: ReadonlyMap<string, MachineType>;
-  /** Machines of each pool when the plan was begun. */
+  /** Number of machines in each pool at the start of the plan, by pool key. */
   machinesPerPool: ReadonlyMap<string, number>;
   backoff: CapacityBackoff;
   now: number;
 }
 
-/** The pools that the job may run in, the lowest price per task first, then the one with the fewest machines. */
+/**
+ * Returns the pools that the job may run in, by ascending price per task, then by
+ * ascending number of machines.
+ */
 export function poolOptions(context: PoolContext, spec: JobSpec): PoolOption[] {
   const options: PoolOption[] = [];
   for (const type of context.types.values()) {
     const slots = slotsOnType(type, spec);
     if (slots > 0 && canRunOnType(spec, type)) addOptionsOf(type, slots, context, spec, options);
   }
-  return options.sort((a, b) => a.pricePerTask - b.pricePerTask || a.machines - b.machines);
+  return options.sort((a, b) => a.pricePerTask - b.pricePerTask || a.machineCount - b.machineCount);
 }
 
-/** Adds the pools of one type, which runs `slots` tasks of the job on a machine. */
+/** Adds the pools of a type. A machine of the type runs `slots` tasks of the job concurrently. */
 function addOptionsOf(
   type: MachineType,
   slots: number,
@@ -53,7 +56,7 @@
     }
 }
 
-/** Null: the cloud had no capacity of the pool a short while ago. */
+/** Returns null while the pool is backed off because the cloud had no capacity for it. */
 function poolOption(
   context: PoolContext,
   type: MachineType,
@@ -64,6 +67,6 @@
   const key = machinePoolKey(type.name, zone, spot);
   if (context.backoff.isBackedOff(key, context.now)) return null;
   const pricePerTask = (spot ? type.spotPrice : type.price) / slots;
-  const machines = context.machinesPerPool.get(key) ?? 0;
-  return { type, typeName: type.name, zone, spot, pricePerTask, machines };
+  const machineCount = context.machinesPerPool.get(key) ?? 0;
+  return { type, typeName: type.name, zone, spot, pricePerTask, machineCount };
 }
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -1,8 +1,8 @@
-/** Scale-in: which machines are to be terminated, and why. */
+/** Scale-in: selects the machines to terminate, with the reasons. */
 import type { ClusterState } from '../state/cluster-state.js';
 import type { DrainReason } from '../state/machine-state.js';
 import type { Machine } from '../state/task-attempt.js';
-import { usualBootMs } from './boot-time.js';
+import { expectedBootMs } from './boot-time.js';
 import { type FleetConditions, fleetConditions } from './fleet-conditions.js';
 
 /** A machine to be terminated. */
@@ -12,29 +12,37 @@
 }
 
 /**
- * Missed heartbeats, with their jitter, that show that a spot machine was taken
- * after its preemption notice ran out (docs/limits-history.md, "Where the time goes").
+ * A spot machine whose preemption notice has expired counts as preempted when it
+ * sends no heartbeat for this many intervals: one interval and its jitter.
  */
 const PREEMPTED_AFTER_HEARTBEATS = 1.5;
-/** A zone is live while the latest heartbeat of any of its machines is no older than this many intervals. */
+/**
+ * A zone is live while the latest heartbeat from any of its machines is at most this
+ * many intervals old.
+ */
 const LIVE_ZONE_HEARTBEATS = 1.5;
 /**
- * A zone that is live again is given this many times the unreachable time for
- * its agents to come back one after the other (docs/design.md, "Paused processes").
+ * After a zone becomes live again, its agents get this many times
+ * `unreachableAfterMs` to reconnect, since they do so one after the other
+ * (docs/design.md, "Paused processes").
  */
 const ZONE_RECOVERY_RATIO = 1.5;
-/** Agent leases that a machine is given while its whole zone is unreachable. */
+/**
+ * Minimum time, in agent leases, before a machine is terminated while its whole zone
+ * is unreachable.
+ */
 const UNREACHABLE_ZONE_LEASES = 2;
 
 /**
- * Terminates idle machines that no demand is allocated to, and those that are
- * unreachable, unresponsive, quarantined or never booted. Termination is also
- * the way to prove that what an unreachable machine ran has ended.
+ * Plans the termination of idle machines without allocated demand, and of
+ * machines that are unreachable, unresponsive, quarantined, preempted or failed
+ * to boot. The termination of an unreachable machine also proves that its tasks
+ * have ended.
  */
 export class ScaleInPlanner {
   constructor(private readonly cluster: ClusterState) {}
 
-  /** Machines to be terminated now, with the reason. */
+  /** Returns the machines to terminate now, with the reasons. */
   plan(now: number): MachineTermination[] {
     const terminations: MachineTermination[] = [];
     const conditions = fleetConditions(this.cluster, now);
@@ -52,9 +60,9 @@
   ): DrainReason | null {
     if (machine.upAt === null) return this.hasBootTimedOut(machine, now) ? 'boot timeout' : null;
     if (machine.missingFromList || this.wasPreempted(machine, now)) return 'missing from list';
-    if (conditions.blockingInherited.has(machine)) return 'unreachable';
+    if (conditions.blockingInheritedWork.has(machine)) return 'unreachable';
     if (this.isUnreachable(machine, now))
-      return this.isUnreachableForGood(machine, conditions, now) ? 'unreachable' : null;
+      return this.isUnreachableTooLong(machine, conditions, now) ? 'unreachable' : null;
     return this.reasonForReachable(machine, conditions, now);
   }
 
@@ -71,10 +79,13 @@
   }
 
   private hasBootTimedOut(machine: Machine, now: number): boolean {
-    return now - machine.provisionedAt > usualBootMs(machine) * this.cluster.policy.bootPatience;
+    return now - machine.provisionedAt > expectedBootMs(machine) * this.cluster.policy.bootPatience;
   }
 
-  /** Its preemption notice has run out and its heartbeats have stopped. */
+  /**
+   * Reports whether the machine's preemption notice has expired and its heartbeats
+   * have stopped.
+   */
   private wasPreempted(machine: Machine, now: number): boolean {
     return (
       machine.preemptionNoticeUntil !== null &&
@@ -88,16 +99,20 @@
   }
 
   /**
-   * An unreachable machine is fenced by its termination while the rest of its
-   * zone is live. When many of the zone become unreachable at once, a partition
-   * is likelier than their failure: each is given an agent lease to find its way
-   * round, after which its tasks have ended in any case. While the whole zone is
-   * unreachable, nobody can have found a way yet: its machines are given as long
-   * as new ones would take. When it is live again, its agents come back one
-   * after the other. docs/limits-history.md, "Tried without help", has a trial with more
-   * patience for a zone of which many are unreachable.
+   * Reports whether an unreachable machine should be terminated, which fences it.
+   *
+   * - While the rest of its zone is live, the machine is terminated at once.
+   * - While many machines of a live zone are unreachable, a network partition is
+   *   more likely than independent failures. Each gets an agent lease to reconnect
+   *   through another controller, after which its tasks have ended in any case. A
+   *   longer wait delays the replacement of lost machines, and their jobs miss
+   *   deadlines.
+   * - While a whole zone is unreachable, no agent can reconnect. Its machines get
+   *   as long as replacements would take to boot.
+   * - After a zone becomes live again, its agents reconnect one after the other
+   *   and get time to do so.
    */
-  private isUnreachableForGood(
+  private isUnreachableTooLong(
     machine: Machine,
     conditions: FleetConditions,
     now: number,
@@ -106,9 +121,9 @@
     const silentMs = now - this.cluster.silentSince(machine);
     if (silentMs <= unreachableAfterMs) return false;
     const zone = this.cluster.zoneLiveness.get(machine.zone);
-    const liveMs = heartbeatMs * LIVE_ZONE_HEARTBEATS;
-    const isLiveSince = zone && zone.last > machine.lastHeartbeatAt + liveMs;
-    if (isLiveSince && now - zone.last <= liveMs) {
+    const liveWindowMs = heartbeatMs * LIVE_ZONE_HEARTBEATS;
+    const hasLaterZoneHeartbeat = zone && zone.last > machine.lastHeartbeatAt + liveWindowMs;
+    if (hasLaterZoneHeartbeat && now - zone.last <= liveWindowMs) {
       const isZoneRecovering =
         zone.since > machine.lastHeartbeatAt &&
         now - zone.since <= unreachableAfterMs * ZONE_RECOVERY_RATIO;
@@ -122,7 +137,10 @@
     return silentMs > Math.max(agentLeaseMs * UNREACHABLE_ZONE_LEASES, bootMs + agentLeaseMs);
   }
 
-  /** Nothing sent to it has an effect although its heartbeats arrive: only its termination frees what it runs. */
+  /**
+   * Reports whether the machine has sent heartbeats without acting on commands for
+   * longer than an agent lease. Only its termination then ends its tasks.
+   */
   private isUnresponsiveTooLong(machine: Machine, now: number): boolean {
     return (
       machine.unresponsiveSince !== null &&
@@ -131,15 +149,19 @@
     );
   }
 
-  /** docs/limits-history.md, "Tried without help", has trials with less patience than the default. */
+  /**
+   * Reports whether the machine has been idle for longer than `idleBoots` boot
+   * times. A shorter limit saves little cost and delays the start of the work that
+   * arrives next.
+   */
   private isIdleTooLong(machine: Machine, now: number): boolean {
     const idleMs = now - machine.idleSince;
-    const patienceMs = usualBootMs(machine) * this.cluster.policy.idleBoots;
-    return machine.confirmed && machine.scaleInCandidate && idleMs > patienceMs;
+    const idleLimitMs = expectedBootMs(machine) * this.cluster.policy.idleBoots;
+    return machine.confirmed && machine.scaleInCandidate && idleMs > idleLimitMs;
   }
 }
 
-/** It runs tasks, or it is not known yet whether it does. */
+/** Reports whether the machine runs tasks or may run tasks that this leader does not know. */
 function mayRunTasks(machine: Machine): boolean {
   return machine.attempts.size > 0 || machine.inherited || machine.hasUnknownTasks;
 }
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out: from demand and available capacity to machines to be provisioned. */
+/** Scale-out: plans the machines to provision from demand and available capacity. */
 import type { DemandForecast } from '../../model/demand-forecast.js';
 import type { JobSpec } from '../../model/job.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -17,33 +17,30 @@
 import { type FleetOverview, fleetOverview } from './fleet-overview.js';
 import { type PoolContext, type PoolOption, poolOptions } from './pool-options.js';
 
-/**
- * The most machines of one request (protocol; docs/limits-history.md, "What helped, in
- * the order of its size").
- */
+/** Maximum number of machines in one request, by the cloud protocol. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** A demand for no more machines than this is not worth dividing between zones. */
+/** A request for up to this many machines is not divided between zones. */
 const MIN_MACHINES_PER_ZONE = 4;
 
-/** What a plan was made for, as it is logged. */
+/** The demand that a plan was made for, as logged. */
 export interface ScaleOutReason {
   class: string;
-  /** Tasks of the kind of work to be run at once. */
+  /** Number of tasks of the kind of work to run concurrently. */
   slots: number;
-  /** Those of them that no capacity covered yet. */
+  /** Number of those tasks that existing and planned machines did not cover. */
   short: number;
-  /** Tasks that are ready now. */
+  /** Number of tasks that are ready now. */
   ready: number;
 }
 
-/** Machines to be provisioned with one request. */
+/** Machines to provision with one request. */
 export interface ScaleOutPlan extends MachinePool {
   count: number;
   reason: ScaleOutReason;
 }
 
-/** A plan under way. */
-interface Planning {
+/** The state of one planning pass. */
+interface PlanningState {
   readonly pools: PoolContext;
   /** Existing and planned machines. */
   readonly capacity: AvailableCapacity[];
@@ -51,10 +48,9 @@
 }
 
 /**
- * Scales out by demand. The demand of each kind of work is allocated to the
- * machines that are up or booting; machines are provisioned for what is not
- * covered, and a machine to which nothing was allocated becomes a scale-in
- * candidate.
+ * Plans scale-out by demand. Allocates the demand of each kind of work to the
+ * machines that are up or booting and plans further machines for the uncovered
+ * part. Machines that receive no demand become scale-in candidates.
  */
 export class ScaleOutPlanner {
   private readonly forecasts: DemandForecasts;
@@ -65,37 +61,40 @@
     this.backoff = new CapacityBackoff(cluster);
   }
 
-  /** A job has arrived: its work counts towards the demand that is expected. */
+  /** Adds the work of an arrived job to the demand forecasts. */
   recordArrival(spec: JobSpec): void {
     this.forecasts.recordArrival(spec);
   }
 
-  /** The forecasts, for the state service: a failover must not forget what to expect. */
+  /** Returns all forecasts. They are stored in the state service, so that a failover keeps them. */
   snapshot(): DemandForecast[] {
     return this.forecasts.snapshot();
   }
 
-  /** Takes over the forecasts of an earlier leader. */
+  /** Replaces all forecasts with those of an earlier leader. */
   restore(forecasts: DemandForecast[]): void {
     this.forecasts.restore(forecasts);
   }
 
-  /** The cloud had too little capacity for the plan: its pool is left alone for a while. */
+  /** Called when the cloud had too little capacity for the plan. Backs off from its pool. */
   recordRefusal(plan: ScaleOutPlan, now: number): void {
     this.backoff.recordRefusal(plan, now);
   }
 
-  /** The plan was carried out in full. */
+  /** Called when all machines of the plan were provisioned. */
   recordSuccess(plan: ScaleOutPlan): void {
     this.backoff.recordSuccess(plan);
   }
 
-  /** A machine has terminated, so its pool may have capacity again: it is worth a try soon. */
+  /**
+   * Called when a machine has terminated. Its pool may have capacity again, so a
+   * back-off is shortened.
+   */
   capacityFreed(machine: Machine, now: number): void {
     this.backoff.recordTermination(machine, now);
   }
 
-  /** What to provision now. Marks the scale-in candidates, which `ScaleInPlanner` rests on. */
+  /** Plans the machines to provision now. Marks the scale-in candidates for `ScaleInPlanner`. */
   plan(now: number): ScaleOutPlan[] {
     const { cluster, backoff } = this;
     this.forecasts.decay(now);
@@ -103,7 +102,7 @@
     const capacity = availableCapacity(cluster, now);
     const machinesPerPool = countMachinesPerPool(cluster);
     const pools = { types: cluster.machineTypes, machinesPerPool, backoff, now };
-    const planning: Planning = { pools, capacity, plans: [] };
+    const planning: PlanningState = { pools, capacity, plans: [] };
     const used = new Set<Machine>();
     for (const demand of estimateDemands(cluster, this.forecasts, now)) {
       const uncovered = allocate(demand, capacity, used);
@@ -113,13 +112,13 @@
     return planning.plans;
   }
 
-  /** The machines and the demand in short, for the log. */
+  /** Returns a summary of machines and demand for the log. */
   overview(now: number): FleetOverview {
     return fleetOverview(this.cluster, estimateDemands(this.cluster, this.forecasts, now));
   }
 }
 
-/** Machines that demand could be allocated to, and to which none was, may go. */
+/** Marks the available machines to which no demand was allocated. */
 function markScaleInCandidates(
   cluster: ClusterState,
   capacity: AvailableCapacity[],
@@ -129,14 +128,14 @@
   for (const { machine } of capacity) if (machine) machine.scaleInCandidate = !used.has(machine);
 }
 
-/** Plans machines for the uncovered slots of the demand, pool by pool. */
-function planProvisioning(planning: Planning, demand: Demand, uncovered: number): void {
+/** Plans machines for the uncovered slots of a demand, one pool after the other. */
+function planProvisioning(planning: PlanningState, demand: Demand, uncovered: number): void {
   const { pools, capacity, plans } = planning;
   const options = poolOptions(pools, demand.spec);
   let remaining = uncovered;
   for (const [index, option] of options.entries()) {
     const slotsPerMachine = meanSlots(option.type, demand.meanRequest);
-    const wanted = machinesFor(demand, remaining, slotsPerMachine, capacity);
+    const wanted = machineCountFor(demand, remaining, slotsPerMachine, capacity);
     if (wanted === 0) return;
     const count = limitPerRequest(wanted, countZones(options.slice(index), option));
     plans.push(scaleOutPlan(demand, option, count, remaining));
@@ -149,8 +148,12 @@
   }
 }
 
-/** A small rest is left to the machines there are, unless none of them could ever take it. */
-function machinesFor(
+/**
+ * Returns the number of machines to plan, rounded to the nearest integer. A small
+ * remainder waits for existing machines, unless tasks are ready and no machine
+ * could ever run them.
+ */
+function machineCountFor(
   demand: Demand,
   slots: number,
   slotsPerMachine: number,
@@ -161,7 +164,10 @@
   return count;
 }
 
-/** A large demand is spread over the zones, so that the loss of one of them leaves the rest. */
+/**
+ * Returns the number of machines to request from one pool. A large demand is spread
+ * over the zones to limit the loss when a zone fails.
+ */
 function limitPerRequest(machines: number, zones: number): number {
   return Math.min(
     machines,
@@ -170,7 +176,7 @@
   );
 }
 
-/** In how many zones machines like the option's are to be had. */
+/** Counts the zones that offer the option's type, ordinary or spot like the option. */
 function countZones(options: PoolOption[], { type, spot }: PoolOption): number {
   return options.filter((option) => option.type === type && option.spot === spot).length;
 }
--- a/src/scheduler/scaling/work-kinds.ts
+++ b/src/scheduler/scaling/work-kinds.ts
@@ -1,25 +1,32 @@
-/** Kinds of work, for which demand is estimated, and what a task of a kind takes. */
+/** Kinds of work, for which demand is estimated, and the slot time and resources of their tasks. */
 import type { JobSpec } from '../../model/job.js';
 import type { ResourceRequest } from '../../model/resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** The share of starts that fetch their image: the others find it in the machine's cache. */
+/** Share of task starts that pull the image. All others find it in the machine's cache. */
 const IMAGE_PULL_SHARE = 0.3;
 
-/** Names the job's kind of work: jobs of a class that may run on the same machines at the same priority. */
+/**
+ * Returns the key of the job's kind of work: jobs of one class and priority that may
+ * run on the same machines.
+ */
 export function workKindKey(spec: JobSpec): string {
   return `${spec.jobClass}|${spec.priority}|${spec.allowsSpot}|${spec.machineTypes}|${spec.zone}`;
 }
 
-/** How long a task occupies its slot, in seconds: its run and, now and then, the fetch of its image. */
+/**
+ * Returns the mean time for which a task occupies its slot, in seconds, including its
+ * share of image pulls.
+ */
 export function occupancyS(cluster: ClusterState, spec: JobSpec): number {
-  let rate = 0;
-  for (const type of cluster.machineTypes.values()) rate = Math.max(rate, type.imagePullGbPerS);
-  const pullS = rate > 0 ? (spec.imageGb / rate) * IMAGE_PULL_SHARE : 0;
+  let maxPullGbPerS = 0;
+  for (const type of cluster.machineTypes.values())
+    maxPullGbPerS = Math.max(maxPullGbPerS, type.imagePullGbPerS);
+  const pullS = maxPullGbPerS > 0 ? (spec.imageGb / maxPullGbPerS) * IMAGE_PULL_SHARE : 0;
   return cluster.estimates.estimateS(spec) + pullS;
 }
 
-/** The mean of two requests by weight; the second when neither weighs anything. */
+/** Returns the weighted mean of two requests, or `second` if both weights are 0. */
 export function weightedMean(
   first: ResourceRequest,
   firstWeight: number,
