--- a/test/fleet-scaling.test.ts
+++ b/test/fleet-scaling.test.ts
@@ -11,35 +11,35 @@
   sendHeartbeat,
 } from './support/scheduler.js';
 
-const sum = (plans: { count: number }[]) => plans.reduce((n, p) => n + p.count, 0);
+const totalCount = (plans: { count: number }[]) => plans.reduce((n, plan) => n + plan.count, 0);
 
-test('unplaced work is rented for, cheapest kind first, and what boots counts', () => {
+test('unplaced work leads to machines of the cheapest pool, and booting machines count as capacity', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
   cluster.addJob(jobSpec({ tasks: 24, estimatedDurationS: 60 }), 1, 0, false);
   const plans = scaleOut.plan(0);
-  assert.ok(sum(plans) >= 5 && sum(plans) <= 7);
-  assert.ok(plans.every((p) => p.spot));
+  assert.ok(totalCount(plans) >= 5 && totalCount(plans) <= 7);
+  assert.ok(plans.every((plan) => plan.spot));
   let n = 0;
-  for (const p of plans)
-    for (let i = 0; i < p.count; i++)
-      cluster.ensureMachine(`n-${++n}`, p.type, p.zone, p.spot, 0, 0);
-  assert.equal(sum(scaleOut.plan(1000)), 0);
+  for (const plan of plans)
+    for (let i = 0; i < plan.count; i++)
+      cluster.ensureMachine(`n-${++n}`, plan.type, plan.zone, plan.spot, 0, 0);
+  assert.equal(totalCount(scaleOut.plan(1000)), 0);
 });
 
-test('a large need is rented for at once, over all zones, within the bound of one rental', () => {
+test('a large demand is provisioned at once over all zones, with at most 50 machines per request', () => {
   const cluster = createCluster();
   const plans = () => {
     const scaleOut = new ScaleOutPlanner(cluster);
     return scaleOut.plan(0);
   };
   cluster.addJob(jobSpec({ tasks: 200, estimatedDurationS: 60 }), 1, 0, false);
-  const some = plans();
-  assert.deepEqual(new Set(some.map((p) => p.zone)), new Set(['a', 'b']));
-  assert.ok(some.every((p) => p.spot));
-  assert.ok(Math.abs((some[0]?.count ?? 0) - (some[1]?.count ?? 0)) <= 1);
+  const initialPlans = plans();
+  assert.deepEqual(new Set(initialPlans.map((plan) => plan.zone)), new Set(['a', 'b']));
+  assert.ok(initialPlans.every((plan) => plan.spot));
+  assert.ok(Math.abs((initialPlans[0]?.count ?? 0) - (initialPlans[1]?.count ?? 0)) <= 1);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 4000, estimatedDurationS: 60 }), 2, 0, false);
-  assert.equal(Math.max(...plans().map((p) => p.count)), 50);
+  assert.equal(Math.max(...plans().map((plan) => plan.count)), 50);
 });
 
 test('work that may not use spot machines gets ordinary ones', () => {
@@ -47,12 +47,12 @@
   const scaleOut = new ScaleOutPlanner(cluster);
   cluster.addJob(jobSpec({ tasks: 8, allowsSpot: false }), 1, 0, false);
   const plans = scaleOut.plan(0);
-  assert.ok(sum(plans) > 0);
-  assert.ok(plans.every((p) => !p.spot));
+  assert.ok(totalCount(plans) > 0);
+  assert.ok(plans.every((plan) => !plan.spot));
 });
 
 test('a long job among short ones does not hide their backlog', () => {
-  const rented = (first: number) => {
+  const plannedMachines = (firstEstimateS: number) => {
     const cluster = createCluster();
     const scaleOut = new ScaleOutPlanner(cluster);
     let version = 0;
@@ -61,174 +61,184 @@
       scaleOut.recordArrival(spec);
       cluster.addJob(spec, version, 0, false);
     };
-    arrive(1, first);
+    arrive(1, firstEstimateS);
     for (let i = 0; i < 60; i++) arrive(20, 20);
-    return sum(scaleOut.plan(0));
+    return totalCount(scaleOut.plan(0));
   };
-  const usual = rented(20);
-  assert.ok(usual > 60);
-  assert.ok(Math.abs(rented(600) - usual) < usual * 0.1);
+  const expected = plannedMachines(20);
+  assert.ok(expected > 60);
+  assert.ok(Math.abs(plannedMachines(600) - expected) < expected * 0.1);
 });
 
-test('a refusal is remembered for its type, zone and kind, longer each time', () => {
+test('a pool is backed off after a refusal, and longer after a second one', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
   cluster.addJob(jobSpec({ tasks: 8, zone: 'a' }), 1, 0, false);
-  const [first] = scaleOut.plan(0);
-  assert.ok(first?.spot);
-  scaleOut.recordRefusal(first, 0);
+  const [refusedPlan] = scaleOut.plan(0);
+  assert.ok(refusedPlan?.spot);
+  scaleOut.recordRefusal(refusedPlan, 0);
   assert.equal(scaleOut.plan(0)[0]?.spot, false);
-  const back = 40_000 * 0.3;
-  assert.equal(scaleOut.plan(back + 1)[0]?.spot, true);
-  scaleOut.recordRefusal(first, back + 1);
-  assert.equal(scaleOut.plan(2 * back + 2)[0]?.spot, false);
-  scaleOut.recordSuccess(first);
-  assert.equal(scaleOut.plan(2 * back + 2)[0]?.spot, true);
+  const initialDelayMs = 40_000 * 0.3;
+  assert.equal(scaleOut.plan(initialDelayMs + 1)[0]?.spot, true);
+  scaleOut.recordRefusal(refusedPlan, initialDelayMs + 1);
+  assert.equal(scaleOut.plan(2 * initialDelayMs + 2)[0]?.spot, false);
+  scaleOut.recordSuccess(refusedPlan);
+  assert.equal(scaleOut.plan(2 * initialDelayMs + 2)[0]?.spot, true);
 });
 
-test('idle machines go back once nothing needs them, not at each report anew', () => {
+test('an idle machine is terminated after the idle limit, which heartbeats do not restart', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   for (let now = 0; now <= 24_000; now += 3000) {
-    sendHeartbeat(cluster, w, now);
+    sendHeartbeat(cluster, agent, now);
     scaleOut.plan(now);
     assert.deepEqual(new ScaleInPlanner(cluster).plan(now), []);
   }
-  sendHeartbeat(cluster, w, 24_500);
+  sendHeartbeat(cluster, agent, 24_500);
   scaleOut.plan(24_500);
   assert.deepEqual(
-    new ScaleInPlanner(cluster).plan(24_500).map((x) => [x.machine.id, x.reason]),
+    new ScaleInPlanner(cluster)
+      .plan(24_500)
+      .map((termination) => [termination.machine.id, termination.reason]),
     [['n-1', 'idle']],
   );
 });
 
-test('a stream of work that stops is soon forgotten', () => {
+test('the demand for a kind of work ends soon after its jobs stop arriving', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
   for (let now = 0; now <= 200_000; now += 5000) {
     scaleOut.recordArrival(jobSpec({ tasks: 4 }));
     scaleOut.plan(now);
   }
-  const usual = sum(scaleOut.plan(200_000));
-  assert.ok(usual >= 3);
+  const expected = totalCount(scaleOut.plan(200_000));
+  assert.ok(expected >= 3);
   for (let now = 200_000; now <= 260_000; now += 1000) scaleOut.plan(now);
-  assert.equal(sum(scaleOut.plan(260_000)), 0);
+  assert.equal(totalCount(scaleOut.plan(260_000)), 0);
 });
 
-test('a machine that never boots, a sick one and a dead one are returned; a cut zone is not', () => {
+test('unbooted, quarantined and single unreachable machines are terminated, but not an unreachable zone', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
   cluster.ensureMachine('n-1', 'm16', 'a', false, 0, 0);
-  const dead = joinCluster(cluster, new ScriptedAgent('n-2', 'a'), 150_000);
-  const alive = joinCluster(cluster, new ScriptedAgent('n-3', 'a'), 150_000);
-  const cut = ['n-4', 'n-5'].map((id) => joinCluster(cluster, new ScriptedAgent(id, 'b'), 150_000));
-  for (const w of [dead, alive, ...cut]) {
-    cluster.addJob(jobSpec({ id: `req-${w.id.slice(2)}`, tasks: 4 }), 1, 0, false);
+  const unreachable = joinCluster(cluster, new ScriptedAgent('n-2', 'a'), 150_000);
+  const reachable = joinCluster(cluster, new ScriptedAgent('n-3', 'a'), 150_000);
+  const partitioned = ['n-4', 'n-5'].map((id) =>
+    joinCluster(cluster, new ScriptedAgent(id, 'b'), 150_000),
+  );
+  for (const agent of [unreachable, reachable, ...partitioned]) {
+    cluster.addJob(jobSpec({ id: `req-${agent.id.slice(2)}`, tasks: 4 }), 1, 0, false);
     runPlacementRound(cluster, 4, 150_000);
   }
-  for (let now = 150_000; now <= 161_000; now += 1000) sendHeartbeat(cluster, alive, now);
-  const back = () => scaleIn.plan(161_000).map((x) => [x.machine.id, x.reason]);
-  assert.deepEqual(back(), [
+  for (let now = 150_000; now <= 161_000; now += 1000) sendHeartbeat(cluster, reachable, now);
+  const terminations = () =>
+    scaleIn.plan(161_000).map((termination) => [termination.machine.id, termination.reason]);
+  assert.deepEqual(terminations(), [
     ['n-1', 'boot timeout'],
     ['n-2', 'unreachable'],
   ]);
   const machine = cluster.machines.get('n-3');
   assert.ok(machine);
   cluster.drain(machine, 'quarantined');
-  assert.deepEqual(back().at(-1), ['n-3', 'quarantined']);
+  assert.deepEqual(terminations().at(-1), ['n-3', 'quarantined']);
 });
 
-test('when many machines of a zone fall silent at once, a cut is likelier than their deaths', () => {
+test('when many machines of a zone are unreachable at once, they are terminated only after a lease', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
-  const workers = Array.from({ length: 20 }, (_, i) =>
+  const agents = Array.from({ length: 20 }, (_, i) =>
     joinCluster(cluster, new ScriptedAgent(`n-${i}`), 0),
   );
-  const returned = (silent: number, until: number) => {
+  const terminatedCount = (silentCount: number, until: number) => {
     for (let now = 1000; now <= until; now += 1000)
-      for (const w of workers.slice(silent)) sendHeartbeat(cluster, w, now);
-    return scaleIn.plan(until).filter((x) => x.reason === 'unreachable').length;
+      for (const agent of agents.slice(silentCount)) sendHeartbeat(cluster, agent, now);
+    return scaleIn.plan(until).filter((termination) => termination.reason === 'unreachable').length;
   };
-  // Some found their way round the cut at once, so the zone was never silent as a whole.
-  assert.equal(returned(8, 22_000), 0);
-  // Their leases have run out, and so have their tasks: new machines are better.
-  assert.equal(returned(8, 24_000), 8);
-  // A few alone are dead, most likely, and not waited for.
-  const scaleInAgain = new ScaleInPlanner(cluster);
-  for (const w of workers) sendHeartbeat(cluster, w, 30_000);
+  // Some agents kept sending heartbeats, so the zone as a whole was never unreachable.
+  assert.equal(terminatedCount(8, 22_000), 0);
+  // Their agent leases have expired, so their tasks have ended and the machines are replaced.
+  assert.equal(terminatedCount(8, 24_000), 8);
+  // A few unreachable machines have most likely failed and are terminated without waiting for
+  // the lease.
+  const nextScaleIn = new ScaleInPlanner(cluster);
+  for (const agent of agents) sendHeartbeat(cluster, agent, 30_000);
   for (let now = 30_000; now <= 40_000; now += 1000)
-    for (const w of workers.slice(4)) sendHeartbeat(cluster, w, now);
-  assert.equal(scaleInAgain.plan(40_000).filter((x) => x.reason === 'unreachable').length, 4);
+    for (const agent of agents.slice(4)) sendHeartbeat(cluster, agent, now);
+  assert.equal(
+    nextScaleIn.plan(40_000).filter((termination) => termination.reason === 'unreachable').length,
+    4,
+  );
 });
 
-test('a refusal is tried again soon once a machine of its kind has gone', () => {
+test('a backed-off pool is tried again soon after one of its machines has terminated', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
   cluster.onMachineTerminated = (machine) => scaleOut.capacityFreed(machine, 20_000);
   joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   cluster.addJob(jobSpec({ tasks: 40, zone: 'a' }), 1, 0, false);
-  const [first] = scaleOut.plan(0);
-  assert.ok(first?.spot);
-  for (let i = 0; i < 4; i++) scaleOut.recordRefusal(first, 10_000);
-  assert.ok(scaleOut.plan(40_000).every((p) => !p.spot));
+  const [refusedPlan] = scaleOut.plan(0);
+  assert.ok(refusedPlan?.spot);
+  for (let i = 0; i < 4; i++) scaleOut.recordRefusal(refusedPlan, 10_000);
+  assert.ok(scaleOut.plan(40_000).every((plan) => !plan.spot));
   cluster.markTerminated('n-1', 'died', 32_000);
-  assert.ok(scaleOut.plan(32_001).some((p) => p.spot));
+  assert.ok(scaleOut.plan(32_001).some((plan) => plan.spot));
 });
 
-test('after a cut the machines of a zone are given time to find their way back', () => {
+test('after a network partition the machines of a zone get time to reconnect', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
-  const first = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const reconnectedAgent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   joinCluster(cluster, new ScriptedAgent('n-2'), 0);
-  // Nobody of the zone is heard for half a minute, then one is.
+  // No machine of the zone sends a heartbeat for half a minute, then one does.
   for (let now = 30_000; now <= 42_000; now += 1000) {
-    sendHeartbeat(cluster, first, now);
+    sendHeartbeat(cluster, reconnectedAgent, now);
     assert.deepEqual(scaleIn.plan(now), []);
   }
-  for (let now = 43_000; now <= 45_000; now += 1000) sendHeartbeat(cluster, first, now);
+  for (let now = 43_000; now <= 45_000; now += 1000) sendHeartbeat(cluster, reconnectedAgent, now);
   assert.deepEqual(
-    scaleIn.plan(45_000).map((x) => [x.machine.id, x.reason]),
+    scaleIn.plan(45_000).map((termination) => [termination.machine.id, termination.reason]),
     [['n-2', 'unreachable']],
   );
 });
 
-test('a machine whose notice has run out is returned as soon as it is silent', () => {
+test('a machine whose preemption notice has expired is terminated as soon as its heartbeats stop', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
-  const w = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  w.preemptionNoticeS = 4;
-  sendHeartbeat(cluster, w, 1000);
+  sendHeartbeat(cluster, agent, 0);
+  agent.preemptionNoticeS = 4;
+  sendHeartbeat(cluster, agent, 1000);
   assert.deepEqual(scaleIn.plan(4900), []);
   assert.deepEqual(
-    scaleIn.plan(5600).map((x) => [x.machine.id, x.reason]),
+    scaleIn.plan(5600).map((termination) => [termination.machine.id, termination.reason]),
     [['n-1', 'missing from list']],
   );
 });
 
-test('a leader that is late itself takes no machine for silent, but not for longer than a lease', () => {
+test('a lagging leader counts no machine as unreachable, but for no longer than a lease', () => {
   const cluster = createCluster({ term: 2 });
   const scaleIn = new ScaleInPlanner(cluster);
-  const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
-  for (const w of workers) cluster.inheritMachine(w.id, 'm16', 'a', false, '', 0);
+  const agents = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
+  for (const agent of agents) cluster.inheritMachine(agent.id, 'm16', 'a', false, '', 0);
   cluster.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
-  const returned = (now: number) => {
-    for (const w of workers.slice(0, 9)) joinCluster(cluster, w, now);
-    return scaleIn.plan(now).map((x) => x.machine.id);
+  const terminatedIds = (now: number) => {
+    for (const agent of agents.slice(0, 9)) joinCluster(cluster, agent, now);
+    return scaleIn.plan(now).map((termination) => termination.machine.id);
   };
-  // One has not been served two reports after the takeover, and work waits for it.
+  // Two heartbeat intervals after the failover one machine is unconfirmed and blocks inherited
+  // work.
   cluster.markLagging(6000);
-  assert.deepEqual(returned(8500), []);
+  assert.deepEqual(terminatedIds(8500), []);
   cluster.markLagging(13_000);
-  assert.deepEqual(returned(14_000), []);
-  // The leader is behind all the while: a lease after the takeover that is no excuse any more.
+  assert.deepEqual(terminatedIds(14_000), []);
+  // The leader keeps lagging. One agent lease after the failover the machine is terminated anyway.
   for (let now = 15_000; now <= 26_000; now += 1000) {
     cluster.markLagging(now);
-    assert.deepEqual(returned(now), []);
+    assert.deepEqual(terminatedIds(now), []);
   }
   cluster.markLagging(27_000);
-  assert.deepEqual(returned(27_000), ['n-9']);
+  assert.deepEqual(terminatedIds(27_000), ['n-9']);
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -11,10 +11,10 @@
   teamQuota,
 } from './support/scheduler.js';
 
-const names = (r: ReturnType<typeof runPlacementRound>) =>
-  r.started.map((attempt) => attempt.job.spec.id);
+const startedJobIds = (result: ReturnType<typeof runPlacementRound>) =>
+  result.started.map((attempt) => attempt.job.spec.id);
 
-test('rank goes first, then what fits its team’s guarantee, then arrival', () => {
+test('the ready queue orders jobs by priority, then work within the team’s guarantee, then arrival', () => {
   const teams = [teamQuota({ name: 'ops' }), teamQuota({ name: 'vip', guaranteedCpus: 4 })];
   const cluster = createCluster({ teams });
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
@@ -24,7 +24,7 @@
   cluster.addJob(jobSpec({ ...shape, id: 'req-000003' }), 3, 0, false);
   cluster.addJob(jobSpec({ ...shape, id: 'req-000004', team: 'vip' }), 4, 0, false);
   cluster.addJob(jobSpec({ ...shape, id: 'req-000005', priority: 0 }), 5, 0, false);
-  assert.deepEqual(names(runPlacementRound(cluster, 32, 0)), [
+  assert.deepEqual(startedJobIds(runPlacementRound(cluster, 32, 0)), [
     'req-000005',
     'req-000004',
     'req-000002',
@@ -32,10 +32,10 @@
   ]);
 });
 
-test('work about to miss an aim goes before fresh work, and what can meet none goes last', () => {
+test('a job about to miss an objective precedes newer jobs, and a job that can meet none comes last', () => {
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  // Each is to start by its age of 90 s for the aim on its end.
+  // Each job has to start within 90 s of its arrival to meet the finish objective.
   cluster.objectives.classes.set('work', {
     startWithinS: [6, 60],
     finishWithinS: [120],
@@ -44,7 +44,8 @@
   const shape = { tasks: 1, cpus: 4 };
   const now = 158_000;
   cluster.addJob(jobSpec({ ...shape, id: 'req-000001' }), 1, now - 110_000, false);
-  // When only what had missed nothing went first, this one missed all later aims behind fresh work.
+  // When jobs that had missed no objective went first, this job missed all later ones behind
+  // newer jobs.
   cluster.addJob(jobSpec({ ...shape, id: 'req-000002' }), 2, now - 58_000, false);
   cluster.addJob(jobSpec({ ...shape, id: 'req-000003' }), 3, now - 30_000, false);
   cluster.addJob(jobSpec({ ...shape, id: 'req-000004' }), 4, now - 1000, false);
@@ -53,7 +54,7 @@
     'heartbeat',
     now,
   );
-  assert.deepEqual(names(runPlacementRound(cluster, 32, now)), [
+  assert.deepEqual(startedJobIds(runPlacementRound(cluster, 32, now)), [
     'req-000002',
     'req-000004',
     'req-000003',
@@ -61,43 +62,43 @@
   ]);
 });
 
-test('like tasks of several jobs form one batch, which goes where it fits best', () => {
+test('interchangeable tasks of several jobs form one batch and go to the machine with the most free slots', () => {
   const cluster = createCluster();
-  const busy = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const utilizedAgent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ id: 'req-000009', tasks: 3, image: 'other' }), 1, 0, false);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, busy, 0);
+  sendHeartbeat(cluster, utilizedAgent, 0);
   joinCluster(cluster, new ScriptedAgent('n-2'), 0);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 2 }), 2, 0, false);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2 }), 3, 0, false);
-  const r = runPlacementRound(cluster, 32, 0);
-  assert.deepEqual(new Set(r.started.map((attempt) => attempt.machine.id)), new Set(['n-2']));
+  const result = runPlacementRound(cluster, 32, 0);
+  assert.deepEqual(new Set(result.started.map((attempt) => attempt.machine.id)), new Set(['n-2']));
 });
 
-test('a cached image, a lower price and a fuller machine win in this order of weights', () => {
+test('a cached image outweighs a lower price, and among equal scores the more utilized machine wins', () => {
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1', 'a', false), 0);
   joinCluster(cluster, new ScriptedAgent('n-2', 'a', true), 0);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 1 }), 1, 0, false);
   assert.equal(runPlacementRound(cluster, 32, 0).started[0]?.machine.id, 'n-2');
-  const dear = cluster.machines.get('n-1');
-  dear?.recordImageUse(jobSpec({ image: 'hot' }));
+  const expensiveMachine = cluster.machines.get('n-1');
+  expensiveMachine?.recordImageUse(jobSpec({ image: 'hot' }));
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, image: 'hot' }), 2, 0, false);
   assert.equal(runPlacementRound(cluster, 32, 0).started[0]?.machine.id, 'n-1');
-  const two = createCluster();
-  joinCluster(two, new ScriptedAgent('n-3'), 0);
-  const full = joinCluster(two, new ScriptedAgent('n-4'), 0);
-  const machine = two.machines.get(full.id);
+  const otherCluster = createCluster();
+  joinCluster(otherCluster, new ScriptedAgent('n-3'), 0);
+  const otherAgent = joinCluster(otherCluster, new ScriptedAgent('n-4'), 0);
+  const machine = otherCluster.machines.get(otherAgent.id);
   assert.ok(machine);
-  two.addJob(jobSpec({ id: 'req-000003', tasks: 1, image: 'x' }), 1, 0, false);
-  const first = runPlacementRound(two, 32, 0).started[0]?.machine.id;
-  two.addJob(jobSpec({ id: 'req-000004', tasks: 1, image: 'y' }), 2, 0, false);
-  assert.equal(runPlacementRound(two, 32, 0).started[0]?.machine.id, first);
+  otherCluster.addJob(jobSpec({ id: 'req-000003', tasks: 1, image: 'x' }), 1, 0, false);
+  const firstChoice = runPlacementRound(otherCluster, 32, 0).started[0]?.machine.id;
+  otherCluster.addJob(jobSpec({ id: 'req-000004', tasks: 1, image: 'y' }), 2, 0, false);
+  assert.equal(runPlacementRound(otherCluster, 32, 0).started[0]?.machine.id, firstChoice);
 });
 
-test('type, zone, kind, oneZone and spread are kept', () => {
-  const other = { ...MACHINE_TYPE, name: 'm32', cpus: 32 };
-  const cluster = createCluster({ types: [MACHINE_TYPE, other] });
+test('placements satisfy constraints on type, zone and spot, zone affinity and zone anti-affinity', () => {
+  const otherType = { ...MACHINE_TYPE, name: 'm32', cpus: 32 };
+  const cluster = createCluster({ types: [MACHINE_TYPE, otherType] });
   joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   joinCluster(cluster, new ScriptedAgent('n-2', 'b', false), 0);
   joinCluster(cluster, new ScriptedAgent('n-3', 'b', false), 0);
@@ -111,25 +112,25 @@
   assert.equal(place({ machineTypes: ['m32'] }, 1).length, 0);
   assert.ok(place({ allowsSpot: false }, 2).every((attempt) => !attempt.machine.spot));
   assert.ok(place({ zone: 'a' }, 3).every((attempt) => attempt.machine.zone === 'a'));
-  const apart = place({ zoneAntiAffinity: true, tasks: 5 }, 4);
-  const inA = apart.filter((attempt) => attempt.machine.zone === 'a').length;
-  assert.equal(apart.length, 5);
-  assert.ok(inA === 2 || inA === 3);
-  const together = place({ singleZone: true, tasks: 30 }, 5);
-  assert.equal(new Set(together.map((attempt) => attempt.machine.zone)).size, 1);
+  const spreadAttempts = place({ zoneAntiAffinity: true, tasks: 5 }, 4);
+  const inZoneA = spreadAttempts.filter((attempt) => attempt.machine.zone === 'a').length;
+  assert.equal(spreadAttempts.length, 5);
+  assert.ok(inZoneA === 2 || inZoneA === 3);
+  const singleZoneAttempts = place({ singleZone: true, tasks: 30 }, 5);
+  assert.equal(new Set(singleZoneAttempts.map((attempt) => attempt.machine.zone)).size, 1);
 });
 
-test('higher rank stops lower work that loses the least, once, and only after patience', () => {
+test('a job of higher priority preempts the task that loses the least, once, and only after a delay', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 3, priority: 3 }), 1, 0, false);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 0);
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 0);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, priority: 3 }), 2, 0, false);
   runPlacementRound(cluster, 32, 5000);
-  sendHeartbeat(cluster, w, 5000);
-  sendHeartbeat(cluster, w, 5000);
+  sendHeartbeat(cluster, agent, 5000);
+  sendHeartbeat(cluster, agent, 5000);
   cluster.addJob(jobSpec({ id: 'req-000003', tasks: 1, priority: 1 }), 3, 5000, false);
   runPlacementRound(cluster, 32, 5100);
   const stopped = () =>
@@ -137,21 +138,21 @@
       [...machine.attempts.values()].filter((attempt) => attempt.stopRequest),
     );
   assert.equal(stopped().length, 0);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 11_900);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 11_900);
   runPlacementRound(cluster, 32, 12_000);
   runPlacementRound(cluster, 32, 12_100);
   assert.deepEqual(
     stopped().map((attempt) => attempt.job.spec.id),
     ['req-000002'],
   );
-  sendHeartbeat(cluster, w, 12_200);
-  sendHeartbeat(cluster, w, 12_300);
-  assert.deepEqual(names(runPlacementRound(cluster, 32, 12_400)), ['req-000003']);
+  sendHeartbeat(cluster, agent, 12_200);
+  sendHeartbeat(cluster, agent, 12_300);
+  assert.deepEqual(startedJobIds(runPlacementRound(cluster, 32, 12_400)), ['req-000003']);
 });
 
-test('room that is made for a large task is not taken again by the small ones that were stopped', () => {
+test('capacity freed for a large task is not taken again by the small tasks that were preempted', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(
     jobSpec({ id: 'req-000001', tasks: 40, cpus: 2, memoryGb: 4, priority: 3 }),
     1,
@@ -159,8 +160,8 @@
     false,
   );
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 0);
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 0);
   cluster.addJob(
     jobSpec({ id: 'req-000002', tasks: 1, cpus: 8, memoryGb: 8, priority: 2 }),
     2,
@@ -170,7 +171,7 @@
   let stopped = 0;
   for (let now = 9000; now < 20_000; now += 500) {
     runPlacementRound(cluster, 32, now);
-    // What was told to stop exits one at a time, and each exit is reported by itself.
+    // The stopped tasks exit one at a time, and each exit is reported in its own heartbeat.
     const machine = cluster.machines.get('n-1');
     assert.ok(machine);
     const stopping = [...machine.attempts.values()].find(
@@ -178,26 +179,26 @@
     );
     if (stopping) {
       stopped++;
-      w.exit(`${stopping.job.spec.id}/${stopping.index}/${stopping.attempt}`, 'stopped');
+      agent.exit(`${stopping.job.spec.id}/${stopping.index}/${stopping.attempt}`, 'stopped');
     }
-    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
     placeOnMachine(cluster, machine, 32, now);
-    w.execute(
+    agent.execute(
       cluster.term,
       cluster.heartbeatCommands(machine).filter((command) => command.op !== 'stop'),
     );
-    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
   }
   assert.equal(stopped, 4);
-  assert.equal(w.running().filter((t) => t.startsWith('req-000002')).length, 1);
-  // With the large one placed, what is left over is anybody's again.
-  assert.equal(w.running().length, 5);
+  assert.equal(agent.running().filter((t) => t.startsWith('req-000002')).length, 1);
+  // Once the large task is placed, the remaining capacity is no longer reserved.
+  assert.equal(agent.running().length, 5);
 });
 
-test('nothing is stopped where that makes no room for a whole task', () => {
+test('no task is preempted where a whole task still would not fit', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  // Work of a rank that may not be stopped leaves less than the large task takes.
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  // Work that may not be preempted leaves less capacity than the large task requests.
   cluster.addJob(
     jobSpec({ id: 'req-000001', tasks: 1, cpus: 10, memoryGb: 4, priority: 1 }),
     1,
@@ -211,9 +212,9 @@
     false,
   );
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 0);
-  assert.equal(w.running().length, 4);
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 0);
+  assert.equal(agent.running().length, 4);
   cluster.addJob(
     jobSpec({ id: 'req-000003', tasks: 1, cpus: 8, memoryGb: 8, priority: 2 }),
     3,
@@ -222,67 +223,90 @@
   );
   for (let now = 9000; now < 20_000; now += 500) {
     runPlacementRound(cluster, 32, now);
-    assert.ok(sendHeartbeat(cluster, w, now).every((command) => command.op !== 'stop'));
+    assert.ok(sendHeartbeat(cluster, agent, now).every((command) => command.op !== 'stop'));
   }
 });
 
-test('work of the same rank is stopped only for a guarantee, and only beyond the other’s own', () => {
+test('work of the same priority is preempted only for guaranteed work, and only beyond its own guarantee', () => {
   const teams = [
     teamQuota({ name: 'ops', guaranteedCpus: 8 }),
     teamQuota({ name: 'vip', guaranteedCpus: 8 }),
   ];
   const cluster = createCluster({ teams });
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 4 }), 1, 0, false);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 0);
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 0);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, team: 'ops' }), 2, 0, false);
   cluster.addJob(jobSpec({ id: 'req-000003', tasks: 2, team: 'vip' }), 3, 0, false);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 19_900);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 19_900);
   runPlacementRound(cluster, 32, 20_000);
   const stopped = [...(cluster.machines.get('n-1')?.attempts.values() ?? [])].filter(
     (attempt) => attempt.stopRequest,
   );
   assert.equal(stopped.length, 2);
-  sendHeartbeat(cluster, w, 20_100);
-  sendHeartbeat(cluster, w, 20_200);
-  assert.deepEqual(names(runPlacementRound(cluster, 32, 20_300)), ['req-000003', 'req-000003']);
+  sendHeartbeat(cluster, agent, 20_100);
+  sendHeartbeat(cluster, agent, 20_200);
+  assert.deepEqual(startedJobIds(runPlacementRound(cluster, 32, 20_300)), [
+    'req-000003',
+    'req-000003',
+  ]);
 });
 
-test('a job that did not fit its team’s guarantee on arrival does not come to fit later', () => {
+test('a job that did not fit its team’s guarantee on arrival does not count as guaranteed later', () => {
   const teams = [teamQuota({ name: 'ops' }), teamQuota({ name: 'vip', guaranteedCpus: 8 })];
   const cluster = createCluster({ teams });
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 2, team: 'vip' }), 1, 0, false);
-  const late = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, team: 'vip' }), 2, 0, false);
+  const beyondGuarantee = cluster.addJob(
+    jobSpec({ id: 'req-000002', tasks: 2, team: 'vip' }),
+    2,
+    0,
+    false,
+  );
   cluster.addJob(jobSpec({ id: 'req-000003', tasks: 2 }), 3, 0, false);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 100);
-  // The first has ended: the second alone would fit, but stops nobody and passes nobody.
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 100);
+  // The first job has ended. The second alone would fit now, but does not become guaranteed.
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
   runPlacementRound(cluster, 32, 300);
-  assert.equal(late?.withinGuarantee, false);
+  assert.equal(beyondGuarantee?.withinGuarantee, false);
   cluster.endJob('req-000002', { state: 'cancelled', at: null });
-  const fresh = cluster.addJob(jobSpec({ id: 'req-000004', tasks: 1, team: 'vip' }), 4, 0, false);
+  const withinGuarantee = cluster.addJob(
+    jobSpec({ id: 'req-000004', tasks: 1, team: 'vip' }),
+    4,
+    0,
+    false,
+  );
   runPlacementRound(cluster, 32, 400);
-  assert.equal(fresh?.withinGuarantee, true);
+  assert.equal(withinGuarantee?.withinGuarantee, true);
 
-  // A new leader knows nothing of what an old job met on its arrival.
-  const next = createCluster({ teams, term: 2 });
-  next.objectives.guaranteedStartS = 10;
-  const old = next.addJob(jobSpec({ id: 'req-000002', team: 'vip', tasks: 1 }), 2, 0, true);
-  const young = next.addJob(jobSpec({ id: 'req-000005', team: 'vip', tasks: 1 }), 5, 50_000, true);
-  runPlacementRound(next, 32, 55_000);
-  assert.deepEqual([old?.withinGuarantee, young?.withinGuarantee], [false, true]);
+  // A new leader can't know whether an old job fitted on its arrival.
+  const nextCluster = createCluster({ teams, term: 2 });
+  nextCluster.objectives.guaranteedStartS = 10;
+  const oldJob = nextCluster.addJob(
+    jobSpec({ id: 'req-000002', team: 'vip', tasks: 1 }),
+    2,
+    0,
+    true,
+  );
+  const newJob = nextCluster.addJob(
+    jobSpec({ id: 'req-000005', team: 'vip', tasks: 1 }),
+    5,
+    50_000,
+    true,
+  );
+  runPlacementRound(nextCluster, 32, 55_000);
+  assert.deepEqual([oldJob?.withinGuarantee, newJob?.withinGuarantee], [false, true]);
 });
 
-test('room that a report frees is filled with what the last round left, in its order and limits', () => {
+test('capacity freed by a heartbeat goes to the last round’s unplaced batches in order and limits', () => {
   const cluster = createCluster({
     teams: [teamQuota({ name: 'ops', maxCpus: 24 }), teamQuota({ name: 'vip' })],
   });
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 4, team: 'vip' }), 1, 0, false);
@@ -295,38 +319,39 @@
     false,
   );
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 100);
-  sendHeartbeat(cluster, w, 200);
+  sendHeartbeat(cluster, agent, 100);
+  sendHeartbeat(cluster, agent, 200);
   assert.equal(placeOnMachine(cluster, machine, 32, 200).length, 0);
-  for (const key of [...w.tasks.keys()].slice(0, 2)) w.exit(key, 'done');
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 300);
-  // The other zone's task can't come here; the rest follows the pool's order.
+  for (const key of [...agent.tasks.keys()].slice(0, 2)) agent.exit(key, 'done');
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 300);
+  // The task for the other zone can't be placed here. The rest follows the order of the ready
+  // queue.
   assert.deepEqual(
     placeOnMachine(cluster, machine, 32, 300).map((attempt) => attempt.job.spec.id),
     ['req-000001', 'req-000001'],
   );
-  // What has been cancelled meanwhile is not started from the last round's list.
-  const clusterState = createCluster();
-  const v = joinCluster(clusterState, new ScriptedAgent('n-1'), 0);
-  clusterState.addJob(jobSpec({ id: 'req-000001', tasks: 5 }), 1, 0, false);
-  runPlacementRound(clusterState, 32, 0);
-  sendHeartbeat(clusterState, v, 100);
-  sendHeartbeat(clusterState, v, 200);
-  v.exit([...v.tasks.keys()][0] as string, 'done');
-  clusterState.endJob('req-000001', { state: 'cancelled', at: null });
-  clusterState.applyHeartbeat(v.heartbeat(), 'heartbeat', 300);
-  const candidate = clusterState.machines.get('n-1');
-  assert.ok(candidate);
-  assert.equal(placeOnMachine(clusterState, candidate, 32, 300).length, 0);
+  // A job that was cancelled after the last round is not started.
+  const otherCluster = createCluster();
+  const otherAgent = joinCluster(otherCluster, new ScriptedAgent('n-1'), 0);
+  otherCluster.addJob(jobSpec({ id: 'req-000001', tasks: 5 }), 1, 0, false);
+  runPlacementRound(otherCluster, 32, 0);
+  sendHeartbeat(otherCluster, otherAgent, 100);
+  sendHeartbeat(otherCluster, otherAgent, 200);
+  otherAgent.exit([...otherAgent.tasks.keys()][0] as string, 'done');
+  otherCluster.endJob('req-000001', { state: 'cancelled', at: null });
+  otherCluster.applyHeartbeat(otherAgent.heartbeat(), 'heartbeat', 300);
+  const otherMachine = otherCluster.machines.get('n-1');
+  assert.ok(otherMachine);
+  assert.equal(placeOnMachine(otherCluster, otherMachine, 32, 300).length, 0);
 });
 
-test('among equals the job with the least left goes first', () => {
+test('among jobs with equal keys the one with the least remaining work is placed first', () => {
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 9 }), 1, 0, false);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, image: 'other' }), 2, 0, false);
   cluster.addJob(jobSpec({ id: 'req-000003', tasks: 1, priority: 3 }), 3, 0, false);
-  assert.deepEqual(names(runPlacementRound(cluster, 32, 0)), [
+  assert.deepEqual(startedJobIds(runPlacementRound(cluster, 32, 0)), [
     'req-000002',
     'req-000002',
     'req-000001',
@@ -334,9 +359,9 @@
   ]);
 });
 
-test('no job waits for ever behind fresher ones, nor a large task behind small ones', () => {
+test('a job with large tasks does not starve behind newer jobs with small tasks', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const large = cluster.addJob(
     jobSpec({ id: 'req-000001', tasks: 50, cpus: 16, priority: 3 }),
     1,
@@ -346,37 +371,37 @@
   assert.ok(large);
   let id = 2;
   let now = 0;
-  // Small tasks of a higher rank come without end and keep the machine full.
+  // Small tasks of higher priority keep arriving and keep the machine full.
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 6, priority: 0 }), 2, 0, false);
-  const turn = () => {
+  const runCycle = () => {
     now += 2000;
     cluster.addJob(jobSpec({ id: `req-1${++id}`, tasks: 2, priority: 0 }), id, now, false);
-    const running = [...w.tasks].filter(([, t]) => t.state === 'running');
-    for (const [key] of running.slice(0, 2)) w.exit(key, 'done');
-    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
+    const running = [...agent.tasks].filter(([, t]) => t.state === 'running');
+    for (const [key] of running.slice(0, 2)) agent.exit(key, 'done');
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
     const machine = cluster.machines.get('n-1');
     assert.ok(machine);
     placeOnMachine(cluster, machine, 32, now);
-    w.execute(1, cluster.heartbeatCommands(machine));
-    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now + 100);
+    agent.execute(1, cluster.heartbeatCommands(machine));
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now + 100);
     runPlacementRound(cluster, 32, now + 200);
-    w.execute(1, cluster.heartbeatCommands(machine));
-    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now + 300);
+    agent.execute(1, cluster.heartbeatCommands(machine));
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now + 300);
   };
-  while (now < 120_000) turn();
+  while (now < 120_000) runCycle();
   assert.equal(large.started, false);
-  while (now < 240_000 && !large.started) turn();
+  while (now < 240_000 && !large.started) runCycle();
   assert.equal(large.activeAttempts.size, 1);
   assert.ok(now < 150_000, `began after ${now} ms`);
-  // With one task begun it waits for its turn again.
-  w.exit([...w.tasks.keys()].find((k) => k.startsWith('req-000001')) as string, 'done');
-  for (let i = 0; i < 5; i++) turn();
+  // Once one of its tasks has started, the job is not starving any more.
+  agent.exit([...agent.tasks.keys()].find((k) => k.startsWith('req-000001')) as string, 'done');
+  for (let i = 0; i < 5; i++) runCycle();
   assert.equal(large.activeAttempts.size, 0);
 });
 
-test('a large task does not wait for ever within its team’s limit behind small ones', () => {
+test('a large task does not starve behind small tasks that use up its team’s quota', () => {
   const cluster = createCluster({ teams: [teamQuota({ name: 'ops', maxCpus: 8 })] });
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const large = cluster.addJob(
     jobSpec({ id: 'req-000001', tasks: 2, cpus: 8 }),
     1,
@@ -385,63 +410,63 @@
   );
   const small = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 100, cpus: 2 }), 2, 0, false);
   assert.ok(large && small);
-  // All of the limit is in use by the small ones when the large one has waited for too long.
+  // The small tasks use the whole quota when the large job becomes starving.
   large.backoffUntil = 1000;
   runPlacementRound(cluster, 32, 0);
   assert.equal(small.activeAttempts.size, 4);
-  sendHeartbeat(cluster, w, 100);
-  // One small task ends at a time, and its room is filled in the answer, or by a round.
+  sendHeartbeat(cluster, agent, 100);
+  // One small task ends at a time. Its capacity is filled in the heartbeat reply or by a round.
   for (let now = 2000; !large.started && now < 20_000; now += 1000) {
-    const first = [...w.tasks].find(([, t]) => t.state === 'running');
-    if (first) w.exit(first[0], 'done');
-    cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
+    const runningTask = [...agent.tasks].find(([, t]) => t.state === 'running');
+    if (runningTask) agent.exit(runningTask[0], 'done');
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
     const machine = cluster.machines.get('n-1');
     if (machine) placeOnMachine(cluster, machine, 32, now);
     runPlacementRound(cluster, 32, now + 100);
-    sendHeartbeat(cluster, w, now + 200);
+    sendHeartbeat(cluster, agent, now + 200);
   }
   assert.equal(large.started, true);
   assert.equal(large.activeAttempts.size, 1);
 });
 
-test('a sick machine is told from a faulty job', () => {
+test('failures of several jobs quarantine a machine, and failures on several machines back off a job', () => {
   const cluster = createCluster();
-  const sick = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
-  const run = (id: string, version: number, now: number) => {
+  const faultyAgent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const runFailingTask = (id: string, version: number, now: number) => {
     cluster.addJob(jobSpec({ id, tasks: 1 }), version, 0, false);
     runPlacementRound(cluster, 32, now);
-    sendHeartbeat(cluster, sick, now);
-    const key = [...sick.tasks.keys()].find((k) => k.startsWith(id)) as string;
-    sendHeartbeat(cluster, sick, now);
-    sick.exit(key, 'error');
-    sendHeartbeat(cluster, sick, now);
+    sendHeartbeat(cluster, faultyAgent, now);
+    const key = [...faultyAgent.tasks.keys()].find((k) => k.startsWith(id)) as string;
+    sendHeartbeat(cluster, faultyAgent, now);
+    faultyAgent.exit(key, 'error');
+    sendHeartbeat(cluster, faultyAgent, now);
   };
-  run('req-000001', 1, 0);
+  runFailingTask('req-000001', 1, 0);
   assert.equal(cluster.machines.get('n-1')?.drainReason, null);
-  run('req-000002', 2, 10);
+  runFailingTask('req-000002', 2, 10);
   assert.equal(cluster.machines.get('n-1')?.drainReason, 'quarantined');
 
-  // One job that fails on three machines: the job waits, no machine is blamed.
-  const clusterState = createCluster();
-  const workers = ['n-1', 'n-2', 'n-3'].map((id) =>
-    joinCluster(clusterState, new ScriptedAgent(id), 0),
+  // One job fails on three machines: the job backs off, and no machine is quarantined.
+  const otherCluster = createCluster();
+  const agents = ['n-1', 'n-2', 'n-3'].map((id) =>
+    joinCluster(otherCluster, new ScriptedAgent(id), 0),
   );
-  const job = clusterState.addJob(jobSpec({ id: 'req-000005', tasks: 1 }), 1, 0, false);
+  const job = otherCluster.addJob(jobSpec({ id: 'req-000005', tasks: 1 }), 1, 0, false);
   assert.ok(job);
   for (let now = 0; job.backoffUntil === 0 && now < 100_000; now += 1000) {
-    runPlacementRound(clusterState, 32, now);
-    for (const w of workers) {
-      sendHeartbeat(clusterState, w, now);
-      for (const key of w.tasks.keys()) w.exit(key, 'error');
-      sendHeartbeat(clusterState, w, now);
+    runPlacementRound(otherCluster, 32, now);
+    for (const agent of agents) {
+      sendHeartbeat(otherCluster, agent, now);
+      for (const key of agent.tasks.keys()) agent.exit(key, 'error');
+      sendHeartbeat(otherCluster, agent, now);
     }
   }
   assert.equal(job.failedMachines.size, 3);
   assert.ok(job.backoffUntil > 0);
-  assert.ok([...clusterState.machines.values()].every((machine) => machine.drainReason === null));
+  assert.ok([...otherCluster.machines.values()].every((machine) => machine.drainReason === null));
 });
 
-test('an array of 100,000 tasks is placed in rounds whose batches the caller widens', () => {
+test('a round starts as many tasks of a 100,000-task array as the caller allows', () => {
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks: 100_000, cpus: 0.001, memoryGb: 0 }), 1, 0, false);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -16,7 +16,10 @@
   sendHeartbeat,
 } from './support/scheduler.js';
 
-/** One machine of 16 CPUs on which four tasks of low priority run since 100 ms. */
+/**
+ * Returns a machine of 16 CPUs on which four tasks of low priority have been running
+ * since 100 ms.
+ */
 function fullMachine(fields: Partial<JobSpec> = {}): { cluster: ClusterState; machine: Machine } {
   const cluster = createCluster();
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
@@ -30,7 +33,7 @@
   return { cluster, machine };
 }
 
-/** The batch of a job that waits since 0 ms. */
+/** Returns the batch of a job that has been waiting since 0 ms. */
 function waitingBatch(cluster: ClusterState, fields: Partial<JobSpec>, now: number): Batch {
   const job = cluster.addJob(jobSpec(fields), cluster.jobs.size + 1, 0, false);
   const batch = readyBatches(cluster, now).find(({ jobs }) => job !== null && jobs.includes(job));
@@ -64,7 +67,7 @@
   });
 });
 
-test('a plan frees slots for whole tasks only, and for no more than are unplaced', () => {
+test('a plan frees capacity for whole tasks only, and for no more than are unplaced', () => {
   const { cluster, machine } = fullMachine();
   const urgent = waitingBatch(cluster, { id: 'req-000002', tasks: 9, cpus: 6, priority: 1 }, 9000);
   const planned = (unplaced: number) =>
@@ -72,14 +75,14 @@
       .plan(urgent, unplaced)
       .map(({ victims, slots }) => [victims.length, slots]);
   assert.deepEqual(planned(1), [[2, 1]]);
-  // The third victim completes a second task; what the fourth frees is not enough for another.
+  // The third victim makes room for a second task. The fourth does not free enough for another.
   assert.deepEqual(planned(9), [
     [2, 1],
     [1, 1],
   ]);
 });
 
-test('two batches of a round don’t count on what the same victim frees', () => {
+test('two batches of a round don’t claim the capacity that one victim frees', () => {
   const { cluster, machine } = fullMachine();
   const first = waitingBatch(cluster, { id: 'req-000002', tasks: 1, priority: 1 }, 9000);
   const second = waitingBatch(
@@ -87,18 +90,18 @@
     { id: 'req-000003', tasks: 1, priority: 1, image: 'other' },
     9000,
   );
-  const round = new PreemptionPlanner(cluster, [machine], 9000);
-  applyPreemption(cluster, first, round.plan(first, 1));
+  const planner = new PreemptionPlanner(cluster, [machine], 9000);
+  applyPreemption(cluster, first, planner.plan(first, 1));
   assert.equal(stoppedOn(machine), 1);
-  applyPreemption(cluster, second, round.plan(second, 1));
+  applyPreemption(cluster, second, planner.plan(second, 1));
   assert.equal(stoppedOn(machine), 2);
-  // Both of them are reserved for; a later round finds nothing left to preempt for either.
+  // Capacity is reserved for both, so a later round preempts nothing more for either.
   assert.equal(machine.reservation?.remainingTasks, 2);
-  const next = new PreemptionPlanner(cluster, [machine], 9100);
-  assert.deepEqual([...next.plan(first, 1), ...next.plan(second, 1)], []);
+  const nextPlanner = new PreemptionPlanner(cluster, [machine], 9100);
+  assert.deepEqual([...nextPlanner.plan(first, 1), ...nextPlanner.plan(second, 1)], []);
 });
 
-test('a reservation keeps lower work away until it expires, and another preemption extends it', () => {
+test('a reservation excludes work of lower priority until it expires, and another preemption extends it', () => {
   const cluster = createCluster();
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const machine = cluster.machines.get('n-1');
@@ -118,7 +121,7 @@
   const agents = Array.from({ length: 10 }, (_, i) =>
     joinCluster(cluster, new ScriptedAgent(`n-${i + 1}`, i < 5 ? 'a' : 'b'), 0),
   );
-  // Work that may not be preempted leaves no machine free for a task of its whole size.
+  // Work that may not be preempted leaves no machine empty for a task that needs a whole one.
   cluster.addJob(jobSpec({ tasks: 10, cpus: 12, priority: 0 }), 1, 0, false);
   runPlacementRound(cluster, 32, 0);
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, cpus: 16, zone: 'a' }), 2, 0, false);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -29,15 +29,15 @@
 import { FakeStateService, FakeStore } from './support/state.js';
 import { SUBMISSION } from './support/submission.js';
 
-/** Half as many again as the largest fleet that is served. */
+/** 1.5 times the largest supported fleet. */
 const MACHINES = 6000;
 const SMALL = 1000;
 
-function name(n: number): string {
+function machineId(n: number): string {
   return `n-${String(n).padStart(6, '0')}`;
 }
 
-/** Counts the machines that are gone through one after the other. */
+/** Counts the machines visited by iterations over the map. */
 class CountingMap extends Map<string, Machine> {
   steps = 0;
 
@@ -49,109 +49,110 @@
   }
 }
 
-function counting(cluster: ClusterState): CountingMap {
+function countSteps(cluster: ClusterState): CountingMap {
   const machines = new CountingMap(cluster.machines);
   (cluster.machineRegistry as { machines: Map<string, Machine> }).machines = machines;
   return machines;
 }
 
-/** A fleet in which every machine reports, half of them in each zone. */
-function fleet(size: number, options: Parameters<typeof createCluster>[0] = {}) {
+/** Creates a cluster whose machines have all sent heartbeats, half of them in each zone. */
+function createFleet(size: number, options: Parameters<typeof createCluster>[0] = {}) {
   const cluster = createCluster(options);
-  const machines = counting(cluster);
-  const workers = Array.from({ length: size }, (_, i) =>
-    joinCluster(cluster, new ScriptedAgent(name(i + 1), i % 2 === 0 ? 'a' : 'b'), 0),
+  const machines = countSteps(cluster);
+  const agents = Array.from({ length: size }, (_, i) =>
+    joinCluster(cluster, new ScriptedAgent(machineId(i + 1), i % 2 === 0 ? 'a' : 'b'), 0),
   );
-  return { c: cluster, machines, workers };
+  return { cluster, machines, agents };
 }
 
-test('a report and the answer that fills its room look at no other machine, however many there are', () => {
+test('a heartbeat and the placement in its reply visit no other machine, whatever the fleet size', () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 1e6 })];
   for (const size of [SMALL, MACHINES]) {
-    const { c, machines, workers } = fleet(size, { teams });
-    c.addJob(jobSpec({ tasks: size * 5, cpus: 4 }), 1, 0, false);
-    runPlacementRound(c, size * 8, 10);
-    assert.ok(c.unplacedBatches.length > 0);
-    const worker = workers[0] as ScriptedAgent;
-    sendHeartbeat(c, worker, 20);
-    for (const key of [...worker.tasks.keys()]) worker.exit(key, 'done');
+    const { cluster, machines, agents } = createFleet(size, { teams });
+    cluster.addJob(jobSpec({ tasks: size * 5, cpus: 4 }), 1, 0, false);
+    runPlacementRound(cluster, size * 8, 10);
+    assert.ok(cluster.unplacedBatches.length > 0);
+    const agent = agents[0] as ScriptedAgent;
+    sendHeartbeat(cluster, agent, 20);
+    for (const key of [...agent.tasks.keys()]) agent.exit(key, 'done');
     machines.steps = 0;
-    c.applyHeartbeat(worker.heartbeat(), 'heartbeat', 30);
-    const started = placeOnMachine(c, c.machines.get(worker.id) as Machine, 32, 30);
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 30);
+    const started = placeOnMachine(cluster, cluster.machines.get(agent.id) as Machine, 32, 30);
     assert.ok(started.length > 0);
     assert.equal(machines.steps, 0, `${size} machines`);
   }
 });
 
-test('a look at renting and returns goes through the machines a fixed number of times', () => {
+test('scale-out and scale-in plans visit each machine equally often, whatever the fleet size', () => {
   const passes = [SMALL, MACHINES].map((size) => {
-    const { c, machines } = fleet(size);
-    const scaleOut = new ScaleOutPlanner(c);
+    const { cluster, machines } = createFleet(size);
+    const scaleOut = new ScaleOutPlanner(cluster);
     for (let i = 1; i <= 20; i++)
-      c.addJob(jobSpec({ id: `req-${i}`, jobClass: `class-${i}`, tasks: size }), i, 0, false);
+      cluster.addJob(jobSpec({ id: `req-${i}`, jobClass: `class-${i}`, tasks: size }), i, 0, false);
     machines.steps = 0;
     assert.ok(scaleOut.plan(1000).length > 0);
-    new ScaleInPlanner(c).plan(1000);
+    new ScaleInPlanner(cluster).plan(1000);
     return machines.steps / size;
   });
   assert.equal(passes[0], passes[1]);
   assert.ok((passes[0] as number) < 20, `${passes[0]} passes`);
 });
 
-test('a zone of thousands that goes at once stays gone, whatever copies and lists come afterwards', () => {
-  const { c, workers } = fleet(MACHINES);
-  const job = c.addJob(jobSpec({ tasks: MACHINES }), 1, 0, false);
+test('thousands of terminated machines stay terminated despite late heartbeat copies and machine lists', () => {
+  const { cluster, agents } = createFleet(MACHINES);
+  const job = cluster.addJob(jobSpec({ tasks: MACHINES }), 1, 0, false);
   assert.ok(job);
-  runPlacementRound(c, MACHINES, 10);
-  const lost = workers.filter((w) => w.zone === 'a');
-  const copies = lost.map((w) => w.heartbeat());
-  const list = workers.map((w) => ({
-    id: w.id,
+  runPlacementRound(cluster, MACHINES, 10);
+  const terminated = agents.filter((agent) => agent.zone === 'a');
+  const copies = terminated.map((agent) => agent.heartbeat());
+  const list = agents.map((agent) => ({
+    id: agent.id,
     address: '10.0.0.1:9000',
     type: 'm16',
-    zone: w.zone,
+    zone: agent.zone,
     spot: false,
     state: 'running' as const,
     ageS: 60,
   }));
-  for (const w of lost) c.markTerminated(w.id, 'returned', 1000);
-  const left = c.machines.size;
-  assert.equal(left, MACHINES - lost.length);
-  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, 'heartbeat', 2000), false);
-  // The list is late: it still shows them all.
-  c.applyMachineList(list, 1500, 2500);
-  assert.equal(c.machines.size, left);
-  // Much later, when their names are forgotten, a copy still proves nothing.
-  const later = c.timing.listProofMs * 20;
-  c.markTerminated(name(MACHINES), 'returned', later);
-  assert.equal(c.tombstones.size, 1);
-  for (const copy of copies) assert.equal(c.applyHeartbeat(copy, 'heartbeat', later + 1), false);
-  assert.equal(c.machines.size, left - 1);
+  for (const agent of terminated) cluster.markTerminated(agent.id, 'returned', 1000);
+  const remaining = cluster.machines.size;
+  assert.equal(remaining, MACHINES - terminated.length);
+  for (const copy of copies) assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 2000), false);
+  // The machine list is outdated and still contains all of them.
+  cluster.applyMachineList(list, 1500, 2500);
+  assert.equal(cluster.machines.size, remaining);
+  // Long after their tombstones have expired, a late copy is still rejected.
+  const later = cluster.timing.listProofMs * 20;
+  cluster.markTerminated(machineId(MACHINES), 'returned', later);
+  assert.equal(cluster.tombstones.size, 1);
+  for (const copy of copies)
+    assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', later + 1), false);
+  assert.equal(cluster.machines.size, remaining - 1);
   assert.equal(job.readyCount + job.activeAttempts.size, MACHINES);
 });
 
-test('names of gone machines are kept for a time, and after it bar only reports of older machines', () => {
-  const gone = new MachineTombstones(1000);
-  for (let n = 1; n <= MACHINES; n++) gone.add(name(n), 0);
-  assert.equal(gone.size, MACHINES);
-  assert.equal(gone.has(name(1)), true);
-  gone.add(name(MACHINES + 5), 2000);
-  assert.equal(gone.size, 1);
-  assert.equal(gone.has(name(1)), false);
-  assert.equal(gone.mayBeTerminated(name(1)), true);
-  assert.equal(gone.mayBeTerminated(name(MACHINES + 1)), false);
+test('after tombstones expire, only ids up to the highest expired one may belong to terminated machines', () => {
+  const tombstones = new MachineTombstones(1000);
+  for (let n = 1; n <= MACHINES; n++) tombstones.add(machineId(n), 0);
+  assert.equal(tombstones.size, MACHINES);
+  assert.equal(tombstones.has(machineId(1)), true);
+  tombstones.add(machineId(MACHINES + 5), 2000);
+  assert.equal(tombstones.size, 1);
+  assert.equal(tombstones.has(machineId(1)), false);
+  assert.equal(tombstones.mayBeTerminated(machineId(1)), true);
+  assert.equal(tombstones.mayBeTerminated(machineId(MACHINES + 1)), false);
 });
 
-function entry(n: number): RosterEntry {
-  return { id: name(n), type: 'm16', zone: 'a', spot: true, address: '10.1.0.1:9000' };
+function rosterEntry(n: number): RosterEntry {
+  return { id: machineId(n), type: 'm16', zone: 'a', spot: true, address: '10.1.0.1:9000' };
 }
 
-test('the roster of thousands fits pages of the lower limit, and is whole after each write', () => {
+test('a roster of thousands fits pages of the smallest value limit and is complete after each write', () => {
   const pageBytes = 2 * 1024 * 0.9;
   const roster = new Roster(3, pageBytes);
   const stored = new Map<string, RosterEntry[]>();
   let revision = 0;
-  const entries = Array.from({ length: MACHINES }, (_, i) => entry(i + 1));
+  const entries = Array.from({ length: MACHINES }, (_, i) => rosterEntry(i + 1));
   for (let from = 0; from < MACHINES; from += 500)
     for (const write of roster.add(entries.slice(from, from + 500))) {
       assert.ok(JSON.stringify({ machines: write.entries }).length <= 2 * 1024);
@@ -159,19 +160,20 @@
       write.applied(++revision);
     }
   assert.equal([...stored.values()].flat().length, MACHINES);
-  // A later leader reads it, loses half and gains as many: pages with room are used again.
-  const next = new Roster(4, pageBytes);
-  for (const [key, members] of stored) next.restore(key, 1, members);
-  for (let n = 1; n <= MACHINES; n += 2) next.removeMachine(name(n));
-  const gained = Array.from({ length: MACHINES / 2 }, (_, i) => entry(MACHINES + i + 1));
-  for (const write of next.add(gained)) {
+  // A later leader reads the roster, loses half of the machines and adds as many. It reuses
+  // pages with room.
+  const nextRoster = new Roster(4, pageBytes);
+  for (const [key, members] of stored) nextRoster.restore(key, 1, members);
+  for (let n = 1; n <= MACHINES; n += 2) nextRoster.removeMachine(machineId(n));
+  const added = Array.from({ length: MACHINES / 2 }, (_, i) => rosterEntry(MACHINES + i + 1));
+  for (const write of nextRoster.add(added)) {
     stored.set(write.key, write.entries);
     write.applied(++revision);
   }
   for (
-    let writes = next.rewriteStalePages(1e9);
+    let writes = nextRoster.rewriteStalePages(1e9);
     writes.length > 0;
-    writes = next.rewriteStalePages(1e9)
+    writes = nextRoster.rewriteStalePages(1e9)
   )
     for (const write of writes) {
       if (write.entries.length > 0) stored.set(write.key, write.entries);
@@ -179,14 +181,14 @@
       write.applied(++revision);
     }
   const expected = new Set(
-    [...entries.filter((_, i) => i % 2 === 1), ...gained].map((entry) => entry.id),
+    [...entries.filter((_, i) => i % 2 === 1), ...added].map((member) => member.id),
   );
-  assert.deepEqual(new Set([...stored.values()].flat().map((entry) => entry.id)), expected);
+  assert.deepEqual(new Set([...stored.values()].flat().map((member) => member.id)), expected);
   assert.ok(stored.size <= (MACHINES / 15) * 1.2, `${stored.size} pages`);
 });
 
-/** A server that is asked over loopback, until the test ends. */
-async function served(t: TestContext, handler: Handler, maxConnections = 1000) {
+/** Starts a server on loopback that runs until the test ends. */
+async function startServer(t: TestContext, handler: Handler, maxConnections = 1000) {
   const stop = new AbortController();
   t.after(() => stop.abort());
   const server = await serve(
@@ -205,13 +207,13 @@
   return { port: (server.address() as net.AddressInfo).port, stop };
 }
 
-test('a watch whose answer is longer than is taken means reading again, like a revision too old', async (t) => {
+test('a watch reply that exceeds the size limit returns null, like a revision that is too old', async (t) => {
   const events = Array.from({ length: 10_000 }, (_, i) => ({
     set: `live/req-${i}`,
     v: { spec: 'x'.repeat(500) },
     stamp: i,
   }));
-  const { port } = await served(t, () => ({
+  const { port } = await startServer(t, () => ({
     status: 200,
     body: { ledgerRev: 9, news: events },
   }));
@@ -227,17 +229,20 @@
   assert.equal(await state.watch('live/', 1, 0), null);
 });
 
-/** A worker's side of a connection: one request at a time. */
-class Caller {
+/** The agent side of a connection, for one request at a time. */
+class AgentConnection {
   private socket: net.Socket | null = null;
-  connects = 0;
+  connectCount = 0;
 
   constructor(private readonly port: number) {}
 
-  /** The status of the reply; null when the connection was refused. */
-  async report(): Promise<number | null> {
+  /**
+   * Sends a heartbeat request. Returns the status of the reply, null if the connection
+   * was closed instead.
+   */
+  async sendRequest(): Promise<number | null> {
     if (!this.socket) {
-      this.connects++;
+      this.connectCount++;
       this.socket = net.connect({ port: this.port, host: '127.0.0.1' });
     }
     const { socket } = this;
@@ -259,26 +264,26 @@
   }
 }
 
-test('more workers than sockets are all served, most of them on the connections that they have', async (t) => {
+test('more agents than sockets are all served, most of them on their existing connections', async (t) => {
   const sockets = 40;
-  const { port } = await served(t, () => ({ status: 200, body: {} }), sockets);
-  const callers = Array.from({ length: sockets * 3 }, () => new Caller(port));
+  const { port } = await startServer(t, () => ({ status: 200, body: {} }), sockets);
+  const connections = Array.from({ length: sockets * 3 }, () => new AgentConnection(port));
   t.after(() => {
-    for (const caller of callers) caller.end();
+    for (const connection of connections) connection.end();
   });
   const rounds = 4;
   for (let n = 0; n < rounds; n++)
-    for (const caller of callers) assert.equal(await caller.report(), 200);
-  const keeping = callers.filter((caller) => caller.connects === 1).length;
-  assert.ok(keeping >= sockets * 0.8, `${keeping} kept theirs`);
+    for (const connection of connections) assert.equal(await connection.sendRequest(), 200);
+  const reused = connections.filter((connection) => connection.connectCount === 1).length;
+  assert.ok(reused >= sockets * 0.8, `${reused} connections were reused`);
 });
 
-test('thousands of returns leave as many at a time as the cloud has calls for', async () => {
+test('thousands of terminations use at most half of the cloud request rate', async () => {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   ctx.platform.settings.cloud.rps = 40;
-  const { c } = fleet(MACHINES);
-  for (const machine of c.machines.values()) machine.drainReason = 'quarantined';
+  const { cluster } = createFleet(MACHINES);
+  for (const machine of cluster.machines.values()) machine.drainReason = 'quarantined';
   const calls: { count: number; at: number }[] = [];
   const stop = new AbortController();
   const cloud = {
@@ -290,32 +295,32 @@
     },
   };
   const term = { number: 1, signal: stop.signal, isProven: () => true } as never;
-  const duty = new FleetController({
+  const controller = new FleetController({
     ctx,
     term,
-    cluster: c,
-    scaleOut: new ScaleOutPlanner(c),
-    scaleIn: new ScaleInPlanner(c),
+    cluster,
+    scaleOut: new ScaleOutPlanner(cluster),
+    scaleIn: new ScaleInPlanner(cluster),
     cloud,
     agents: { retainOnly: () => {} },
   });
-  void duty.runScaling(stop.signal).catch(() => {});
+  void controller.runScaling(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.listMs + ctx.timing.heartbeatMs * 2);
-  assert.equal(c.machines.size, 0);
+  assert.equal(cluster.machines.size, 0);
   assert.equal(calls.length, MACHINES / 100);
   assert.ok(calls.every((call) => call.count <= 100));
-  const perLook = new Map<number, number>();
-  for (const { at } of calls) perLook.set(at, (perLook.get(at) ?? 0) + 1);
-  const most = (40 * ctx.timing.scalingMs * 0.5) / 1000;
-  assert.ok([...perLook.values()].every((n) => n <= most));
+  const callsByTime = new Map<number, number>();
+  for (const { at } of calls) callsByTime.set(at, (callsByTime.get(at) ?? 0) + 1);
+  const maxCallsPerInterval = (40 * ctx.timing.scalingMs * 0.5) / 1000;
+  assert.ok([...callsByTime.values()].every((n) => n <= maxCallsPerInterval));
   stop.abort();
 });
 
-test('the pages of a long list leave calls to the cloud for rentals', async (t) => {
+test('the pages of a long machine list leave cloud requests for provisioning', async (t) => {
   const clock = new FakeClock();
-  const asked: string[] = [];
-  const { port, stop } = await served(t, (request) => {
-    asked.push(request.method);
+  const methods: string[] = [];
+  const { port, stop } = await startServer(t, (request) => {
+    methods.push(request.method);
     return request.method === 'GET'
       ? { status: 200, body: { carts: [], hasNext: true } }
       : { status: 200, body: { carts: ['n-1'] } };
@@ -328,55 +333,60 @@
   });
   t.after(() => cloud.close());
   const { signal } = stop;
-  // The list takes what there is, and waits before the last call is gone.
+  // Two pages use the requests available to the list. The third page waits and leaves one for
+  // provisioning.
   for (let page = 0; page < 2; page++) await cloud.list(null, signal);
-  const waiting = cloud.list(null, signal).catch(() => {});
+  const thirdPage = cloud.list(null, signal).catch(() => {});
   await settle();
   const request = { name: 'r-1', type: 'm16', zone: 'a', spot: false, count: 1 };
-  let open = 2;
-  const closed = () => {
-    open--;
+  let pendingRequests = 2;
+  const onSettled = () => {
+    pendingRequests--;
   };
-  const rented = cloud.provision(request, signal, () => true);
-  void rented.finally(closed);
-  void waiting.finally(closed);
-  while (open > 0) await clock.advance(1);
-  assert.deepEqual(await rented, ['n-1']);
-  assert.deepEqual(asked, ['GET', 'GET', 'POST', 'GET']);
+  const provisioned = cloud.provision(request, signal, () => true);
+  void provisioned.finally(onSettled);
+  void thirdPage.finally(onSettled);
+  while (pendingRequests > 0) await clock.advance(1);
+  assert.deepEqual(await provisioned, ['n-1']);
+  assert.deepEqual(methods, ['GET', 'GET', 'POST', 'GET']);
 });
 
-test('while memory is short new jobs are put off and known ones are not, and it is said once', async () => {
+test('while memory is low, new jobs are refused, known jobs are accepted, and one error is logged', async () => {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
-  let share = 0.5;
-  let said = 0;
+  let usedShare = 0.5;
+  let errorLogs = 0;
   ctx.log.error = (() => {
-    said++;
+    errorLogs++;
   }) as never;
-  const guard = new MemoryGuard(ctx, () => share);
+  const guard = new MemoryGuard(ctx, () => usedShare);
   const stop = new AbortController();
   void guard.run(stop.signal);
-  const users = new JobApi(ctx, { ...WITHOUT_LEADER, isMemoryLow: () => guard.isLow });
-  const submit = (id: string) => users.submit(Buffer.from(JSON.stringify({ ...SUBMISSION, id })));
-  const look = () => clock.advance(ctx.timing.heartbeatMs);
-  await look();
+  const jobApi = new JobApi(ctx, { ...WITHOUT_LEADER, isMemoryLow: () => guard.isLow });
+  const submit = (id: string) => jobApi.submit(Buffer.from(JSON.stringify({ ...SUBMISSION, id })));
+  const runCheck = () => clock.advance(ctx.timing.heartbeatMs);
+  await runCheck();
   assert.equal((await submit('req-000001')).status, 201);
-  share = 0.95;
-  await look();
-  assert.equal((await submit('req-000002')).status, 201, 'one look may count garbage');
-  await look();
+  usedShare = 0.95;
+  await runCheck();
+  assert.equal(
+    (await submit('req-000002')).status,
+    201,
+    'a single high reading may include garbage',
+  );
+  await runCheck();
   const refused = await submit('req-000003');
   assert.deepEqual([refused.status, refused.retryAfterS], [503, 1]);
   assert.equal((await submit('req-000001')).status, 200);
-  share = 0.85;
-  await look();
+  usedShare = 0.85;
+  await runCheck();
   assert.equal((await submit('req-000003')).status, 503);
-  share = 0.7;
-  await look();
+  usedShare = 0.7;
+  await runCheck();
   assert.equal((await submit('req-000003')).status, 201);
-  share = 0.95;
-  await look();
-  await look();
-  assert.equal(said, 1);
+  usedShare = 0.95;
+  await runCheck();
+  await runCheck();
+  assert.equal(errorLogs, 1);
   stop.abort();
 });
--- a/test/scaling-plans.test.ts
+++ b/test/scaling-plans.test.ts
@@ -10,7 +10,7 @@
   return scaleOut.plan(now).reduce((sum, plan) => sum + plan.count, 0);
 }
 
-/** A machine that is up and idle and that no demand is allocated to. */
+/** Adds a machine that is up and idle and has no allocated demand. */
 function idleCandidate(cluster: ClusterState, id: string) {
   joinCluster(cluster, new ScriptedAgent(id), 0);
   const machine = cluster.machines.get(id);
@@ -31,7 +31,7 @@
   assert.ok(plannedMachines(scaleOut, 80_001) > 0);
 });
 
-test('a task that no machine could ever take gets one, however small the demand', () => {
+test('a ready task that no machine could run gets a machine, however small the demand', () => {
   const small = { tasks: 1, cpus: 1, memoryGb: 1, estimatedDurationS: 1, zone: 'b' };
   const cluster = createCluster();
   cluster.addJob(jobSpec(small), 1, 0, false);
@@ -41,13 +41,13 @@
   joinCluster(cluster, new ScriptedAgent('n-2', 'b'), 0);
   assert.equal(plannedMachines(new ScaleOutPlanner(cluster), 0), 0);
 
-  // What is only expected gets none.
+  // Demand that is only forecast gets no machine.
   const expecting = new ScaleOutPlanner(createCluster());
   expecting.recordArrival(jobSpec(small));
   assert.equal(plannedMachines(expecting, 0), 0);
 });
 
-test('the back-off of a pool begins anew once a machine of it has terminated', () => {
+test('the back-off of a pool starts over once one of its machines has terminated', () => {
   const cluster = createCluster();
   const backoff = new CapacityBackoff(cluster);
   const machine = cluster.ensureMachine('n-1', 'm16', 'a', true, 0, 0);
@@ -68,7 +68,7 @@
   assert.equal(refusedUntil(), 24_000);
 });
 
-test('an unresponsive machine is terminated after an agent lease, but not behind a partition', () => {
+test('an unresponsive machine is terminated after an agent lease, unless its heartbeats are relayed', () => {
   const cluster = createCluster();
   const machine = idleCandidate(cluster, 'n-1');
   machine.scaleInCandidate = false;
@@ -84,7 +84,7 @@
   assert.equal(terminatedAt(20_001), 0);
 });
 
-test('an idle machine is terminated only while nothing of an earlier leader may run on it', () => {
+test('an idle machine is terminated only if no task of an earlier leader may be running on it', () => {
   const cluster = createCluster();
   const machine = idleCandidate(cluster, 'n-1');
   const scaleIn = new ScaleInPlanner(cluster);
@@ -101,7 +101,7 @@
   assert.ok(!isTerminated());
 });
 
-test('a restored forecast keeps its occupancy, and one that was stored without gets one', () => {
+test('a restored forecast keeps its occupancy, and one stored without an occupancy gets an estimate', () => {
   const first = new ScaleOutPlanner(createCluster());
   first.recordArrival(jobSpec());
   const [forecast] = first.snapshot();
