--- a/src/scheduler/state/batch.ts
+++ b/src/scheduler/state/batch.ts
@@ -1,17 +1,18 @@
-/** The unit of a placement round: ready tasks that are interchangeable. */
+/** Batches of interchangeable ready tasks, the unit that a placement round places. */
 import type { JobSpec } from '../../model/job.js';
 import type { Job } from './task-attempt.js';
 
 /** Ready tasks of the same image and resource request, in the order of the ready queue. */
 export interface Batch {
   spec: JobSpec;
-  /** The effective priority of its jobs, which may be inherited from a job that depends on them. */
+  /** Effective priority of its jobs, which may be inherited from a dependent job. */
   priority: number;
   withinGuarantee: boolean;
-  /** What waiting costs its jobs, in steps of a factor of two. */
+  /** Binary logarithm of its jobs' cost of waiting (see WorkEstimates.waitingCost), rounded up. */
   costStep: number;
-  /** The first task of a job that has waited for too long. */
+  /** Whether this is the first task of a job that has waited for too long. */
   starving: boolean;
   jobs: Job[];
+  /** Number of ready tasks of its jobs. */
   count: number;
 }
--- a/src/scheduler/state/cluster-parts.ts
+++ b/src/scheduler/state/cluster-parts.ts
@@ -1,4 +1,4 @@
-/** The composition of the cluster state: which part works with which others. */
+/** Creates the parts of the cluster state and connects them. */
 import type { SchedulerPolicy, SchedulerTiming, ServiceObjectives } from '../../model/policy.js';
 import type { TeamQuota } from '../../model/resources.js';
 import type { BitmapLayout } from '../../records/bitmap-layout.js';
@@ -23,14 +23,14 @@
 import { WorkEstimates } from './work-estimates.js';
 import { ZoneLivenessTracker } from './zone-liveness.js';
 
-/** A terminated machine is remembered for this many times as long as the cloud's list may still show it. */
-const TOMBSTONE_LIST_PROOFS = 10;
-/** The size of a roster page in bytes, unless the settings say otherwise. */
+/** Tombstones are kept for this multiple of the time for which the cloud's list may still show a terminated machine. */
+const TOMBSTONE_RETENTION_FACTOR = 10;
+/** Maximum size of a roster page in bytes, unless the settings specify another. */
 const DEFAULT_ROSTER_PAGE_BYTES = 4096;
 
-/** What the state of a leader term is made from. */
+/** Options for the cluster state of one leader term. */
 export interface ClusterOptions {
-  /** The leader term: the high part of the fencing tokens and attempt numbers. */
+  /** The leader term, which is the high part of fencing tokens and attempt numbers. */
   term: number;
   /** Quotas by team. */
   quotas: Map<string, TeamQuota>;
@@ -39,11 +39,11 @@
   objectives: ServiceObjectives;
   bitmaps: BitmapLayout;
   logDecision: DecisionLogger;
-  /** The most that the members of a roster page may take, in bytes. */
+  /** Maximum size of the members of a roster page, in bytes. */
   rosterPageBytes?: number;
 }
 
-/** The parts that own the state: each piece of it has one owner. */
+/** The parts that own the state. Each piece of state has exactly one owner. */
 export interface StateParts {
   roundTrigger: RoundTrigger;
   quota: QuotaUsage;
@@ -58,7 +58,7 @@
   leaderLag: LeaderLag;
 }
 
-/** Creates the parts that own the state, empty. */
+/** Creates the parts that own the state. They are empty at first. */
 export function createStateParts(options: ClusterOptions): StateParts {
   const { term, timing, objectives, bitmaps, logDecision } = options;
   const roundTrigger = new RoundTrigger();
@@ -74,7 +74,7 @@
     unknownTasks,
     responsiveness,
     roster: new Roster(term, options.rosterPageBytes ?? DEFAULT_ROSTER_PAGE_BYTES),
-    tombstones: new MachineTombstones(timing.listProofMs * TOMBSTONE_LIST_PROOFS),
+    tombstones: new MachineTombstones(timing.listProofMs * TOMBSTONE_RETENTION_FACTOR),
     roundTrigger,
     logDecision,
   });
@@ -93,7 +93,7 @@
   };
 }
 
-/** Creates what applies heartbeats to the parts. */
+/** Creates the reconciliation that applies heartbeats to the parts. */
 export function createHeartbeatReconciliation(
   options: ClusterOptions,
   parts: StateParts,
@@ -121,7 +121,7 @@
   });
 }
 
-/** Creates what applies the cloud's list of machines to the parts. */
+/** Creates the reconciliation that applies the cloud's machine list to the parts. */
 export function createMachineListReconciliation(
   options: ClusterOptions,
   parts: StateParts,
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -1,7 +1,7 @@
 /**
- * The state of the cluster as one leader knows it during its term. Each
- * concern has its own part (see cluster-parts.ts); this facade is what the rest of
- * the scheduler and the leader's routines work with.
+ * The cluster state as known to one leader during its term. Each concern has
+ * its own part (see cluster-parts.ts); this facade is the interface for the
+ * rest of the scheduler and the leader's routines.
  */
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { DependencyList, JobEnd, JobSpec } from '../../model/job.js';
@@ -40,9 +40,9 @@
 import type { ZoneLiveness, ZoneLivenessTracker } from './zone-liveness.js';
 
 /**
- * The leader's picture of the cluster: made anew at each failover, dropped
- * when the term ends. Events and the time go in, commands come out; there is
- * no I/O and no clock in it.
+ * The leader's view of the cluster, rebuilt at each failover and discarded when
+ * the term ends. It takes events and the current time and returns commands. It
+ * does no I/O and reads no clock.
  */
 export class ClusterState {
   readonly term: number;
@@ -53,18 +53,18 @@
   readonly bitmaps: BitmapLayout;
   readonly logDecision: DecisionLogger;
 
-  /** The live jobs, and what keeps ended ones from coming back. */
+  /** The live jobs. Also keeps stale watch events from adding ended jobs again. */
   readonly jobRegistry: JobRegistry;
-  /** The machines and their types. Their map is read through it and kept by nobody. */
+  /** The machines and their types. Other parts read the maps through it and keep no reference to them. */
   readonly machineRegistry: MachineRegistry;
-  /** How long work is expected to take. */
+  /** Expected durations of tasks and the cost of waiting. */
   readonly estimates: WorkEstimates;
   /** Machines of earlier leaders that are neither confirmed nor terminated. */
   readonly inheritedMachines: InheritedMachines;
 
-  /** What the last placement round found no machine for, in its order. */
+  /** Batches for which the last placement round found no machine, in the order of the ready queue. */
   unplacedBatches: Batch[] = [];
-  /** Wall clock less monotonic clock in milliseconds, for the ages of jobs. */
+  /** Wall clock minus monotonic clock in milliseconds, for the ages of jobs. */
   wallClockOffset = 0;
 
   private readonly roundTrigger: RoundTrigger;
@@ -72,10 +72,10 @@
   private readonly attempts: TaskAttempts;
   private readonly unknownTasks: UnknownTasks;
   private readonly responsiveness: AgentResponsiveness;
-  private readonly zones: ZoneLivenessTracker;
+  private readonly zoneLivenessTracker: ZoneLivenessTracker;
   private readonly leaderLag: LeaderLag;
-  private readonly heartbeats: HeartbeatReconciliation;
-  private readonly machineLists: MachineListReconciliation;
+  private readonly heartbeatReconciliation: HeartbeatReconciliation;
+  private readonly machineListReconciliation: MachineListReconciliation;
 
   constructor(options: ClusterOptions) {
     this.term = options.term;
@@ -95,15 +95,15 @@
     this.attempts = parts.attempts;
     this.unknownTasks = parts.unknownTasks;
     this.responsiveness = parts.responsiveness;
-    this.zones = parts.zoneLiveness;
+    this.zoneLivenessTracker = parts.zoneLiveness;
     this.leaderLag = parts.leaderLag;
-    this.heartbeats = createHeartbeatReconciliation(options, parts);
-    this.machineLists = createMachineListReconciliation(options, parts);
+    this.heartbeatReconciliation = createHeartbeatReconciliation(options, parts);
+    this.machineListReconciliation = createMachineListReconciliation(options, parts);
   }
 
   // Placement rounds
 
-  /** Something happened that may let a task be placed. */
+  /** Whether an event since the last placement round may allow a task to be placed. */
   get roundDue(): boolean {
     return this.roundTrigger.due;
   }
@@ -112,19 +112,20 @@
     this.roundTrigger.due = due;
   }
 
-  /** What each team's tasks use of its quota. */
+  /** Resources that each team's tasks use of its quota. */
   get quotaUsage(): Map<string, ResourceUsage> {
     return this.quota.byTeam;
   }
 
-  /** Quota that is kept free for the first task of a job that has waited for too long, by team. */
+  /** Quota reserved for the first task of a job that has waited for too long, by team. */
   get reservedQuota(): Map<string, ResourceUsage> {
     return this.quota.reservedByTeam;
   }
 
   /**
-   * What may run on unconfirmed machines and as unknown tasks beyond what is
-   * known: it counts against every team's quota until it is cleared up.
+   * Returns the most that unconfirmed machines and unknown tasks may use in
+   * addition to the known usage. It counts against every team's quota until the
+   * machines and tasks are resolved.
    */
   unconfirmedUsage(): ResourceUsage {
     const usage = this.inheritedMachines.capacity(this.machineTypes);
@@ -139,12 +140,12 @@
     return this.jobRegistry.jobs;
   }
 
-  /** Which jobs wait for which others. */
+  /** The dependencies between jobs. */
   get dependencies(): DependencyGraph {
     return this.jobRegistry.dependencies;
   }
 
-  /** Keys of ended jobs in the state service that nobody needs. */
+  /** State service keys of ended jobs, which are to be deleted. */
   get obsoleteKeys(): Set<string> {
     return this.jobRegistry.obsoleteKeys;
   }
@@ -175,12 +176,12 @@
     this.jobRegistry.announceCancellation(id, revision);
   }
 
-  /** See JobRegistry.markCurrent. */
+  /** See JobRegistry.recordAppliedRevision. */
   markJobsCurrent(revision: number): void {
-    this.jobRegistry.markCurrent(revision);
+    this.jobRegistry.recordAppliedRevision(revision);
   }
 
-  /** Milliseconds for which the job could have run: what counts for all objectives but deadlines. */
+  /** Returns the milliseconds since the job could first have run. All objectives except deadlines count from then. */
   ageMs(job: Job, now: number): number {
     return now + this.wallClockOffset - job.eligibleAt;
   }
@@ -197,22 +198,22 @@
     return this.machineRegistry.types;
   }
 
-  /** The durable list of machines that may have been given tasks. */
+  /** The durable list of machines that may have been assigned tasks. */
   get roster(): Roster {
     return this.machineRegistry.roster;
   }
 
-  /** Machines whose termination is proven. */
+  /** Records of machines whose termination is proven. */
   get tombstones(): MachineTombstones {
     return this.machineRegistry.tombstones;
   }
 
-  /** Machines that are yet to be written to the durable roster. */
+  /** Machines that still have to be written to the durable roster. */
   get pendingRosterAdds(): Set<Machine> {
     return this.machineRegistry.pendingRosterAdds;
   }
 
-  /** Called with each machine whose termination is proven. */
+  /** Sets the listener that is called with each machine whose termination is proven. */
   set onMachineTerminated(listener: (machine: Machine) => void) {
     this.machineRegistry.onTerminated = listener;
   }
@@ -222,7 +223,7 @@
     this.machineRegistry.updateTypes(types);
   }
 
-  /** Makes a machine known that was asked for `ageS` seconds ago. */
+  /** Registers a machine that was requested `ageS` seconds ago, unless it is registered already. */
   ensureMachine(
     id: string,
     type: string,
@@ -234,7 +235,7 @@
     return this.machineRegistry.register({ id, type, zone, spot, ageS }, now);
   }
 
-  /** A machine of the durable roster, which an earlier leader may have given tasks. */
+  /** Registers a machine of the durable roster, to which an earlier leader may have assigned tasks. */
   inheritMachine(
     id: string,
     type: string,
@@ -256,16 +257,16 @@
     this.machineRegistry.drain(machine, reason);
   }
 
-  /** Applies the cloud's whole list of machines that was requested at `requestedAt`. */
+  /** Applies the cloud's complete list of machines, which was requested at `requestedAt`. */
   applyMachineList(list: readonly ListedMachine[], requestedAt: number, now: number): void {
-    this.machineLists.apply(list, requestedAt, now);
+    this.machineListReconciliation.apply(list, requestedAt, now);
   }
 
   // Liveness
 
-  /** When each zone sent heartbeats. */
+  /** Heartbeat times by zone. */
   get zoneLiveness(): Map<string, ZoneLiveness> {
-    return this.zones.byZone;
+    return this.zoneLivenessTracker.byZone;
   }
 
   /** See LeaderLag.markLagging. */
@@ -283,7 +284,7 @@
     return this.leaderLag.silentSince(machine);
   }
 
-  /** Machines that may be unresponsive and are to be probed by an empty command. */
+  /** Possibly unresponsive machines that are to be probed with an empty command. */
   get pendingProbes(): Set<Machine> {
     return this.responsiveness.pendingProbes;
   }
@@ -298,14 +299,14 @@
     this.responsiveness.markResponsive(machine);
   }
 
-  /** Applies a heartbeat. Returns false when it is older than what is known, or a late copy. */
+  /** Applies a heartbeat. Returns false when it is outdated or a delayed duplicate. */
   applyHeartbeat(heartbeat: Heartbeat, source: HeartbeatSource, now: number): boolean {
-    return this.heartbeats.apply(heartbeat, source, now);
+    return this.heartbeatReconciliation.apply(heartbeat, source, now);
   }
 
   // Task attempts and commands
 
-  /** Machines with commands that have not left. */
+  /** Machines with commands that have not been sent. */
   get pendingCommands(): Set<Machine> {
     return this.attempts.pendingCommands;
   }
@@ -321,14 +322,14 @@
   }
 
   /**
-   * The least that any answer to the heartbeat has to carry: it renews the
-   * agent's lease, so it stops what the heartbeat lists of ended jobs.
+   * Returns the commands that every reply to the heartbeat has to carry. A reply
+   * renews the agent's lease, so it must stop the listed tasks of ended jobs.
    */
   stopsOfEndedJobs(heartbeat: Heartbeat): TaskCommand[] {
     return stopsOfEndedJobs(heartbeat, this.jobs);
   }
 
-  /** The commands for a machine that has just sent a heartbeat, in the order of their execution. */
+  /** Returns the commands for a machine that has just sent a heartbeat, in the order of execution. */
   heartbeatCommands(machine: Machine): TaskCommand[] {
     return heartbeatCommands(machine, this.unknownTasks.of(machine));
   }
--- a/src/scheduler/state/constraints.ts
+++ b/src/scheduler/state/constraints.ts
@@ -1,11 +1,11 @@
-/** Placement constraints of a job that depend on a machine's fixed traits alone. */
+/** Placement constraints of a job that depend only on fixed attributes of a machine. */
 import type { JobSpec } from '../../model/job.js';
 import type { Machine } from './task-attempt.js';
 
-/** What the constraints of a job look at in a machine. */
+/** The attributes of a machine that job constraints refer to. */
 export type MachineTraits = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
 
-/** Whether the job allows the machine's type, zone and capacity kind (spot or on demand). */
+/** Reports whether the job allows the machine's type, zone and capacity kind (spot or on demand). */
 export function satisfiesConstraints(machine: MachineTraits, spec: JobSpec): boolean {
   return (
     (spec.machineTypes === null || spec.machineTypes.includes(machine.typeName)) &&
--- a/src/scheduler/state/decision-log.ts
+++ b/src/scheduler/state/decision-log.ts
@@ -1,12 +1,12 @@
-/** The log of the scheduler's larger decisions: why work or capacity was moved. */
+/** Logging of the scheduler's major decisions and events, with the reasons why work or capacity was moved. */
 import type { DrainReason } from './machine-state.js';
 
-/** Each decision that is logged, by its log message, with the fields of its line. */
+/** The fields of each logged decision, by its log message. */
 export interface DecisionFields {
   'machine drained': { machine: string; reason: DrainReason; running: number };
   'machine terminated': {
     machine: string;
-    /** What proved the termination. */
+    /** The event that proved the termination. */
     reason: string;
     /** Why the machine was being drained, if it was. */
     drain: DrainReason | null;
@@ -20,7 +20,7 @@
     job: string;
     task: number;
     machine: string;
-    /** The job that it was preempted for. */
+    /** The job for which it was preempted. */
     for: string | undefined;
     lostCpuSeconds: number;
   };
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -1,99 +1,99 @@
-/** Which live jobs depend on which others, and what follows from it: waiting, cancellation and urgency. */
+/** Dependencies between live jobs, and their effects: waiting, cancellation and inherited urgency. */
 
 import type { JobEnd } from '../../model/job.js';
 import { type EffectiveDeadline, isSameDeadline, isTighter } from './effective-deadline.js';
 import type { JobState } from './job-state.js';
 import type { Job } from './task-attempt.js';
 
-/** Ends of jobs that are remembered, so that a job which depends on one of them need not look it up. */
+/** Maximum number of job ends kept in memory. A job that depends on one of them needs no read. */
 const MAX_REMEMBERED_ENDS = 2000;
 
-/** What the graph needs to know of the work to tell how long a path takes. */
+/** Expected durations, from which the graph computes how long a path of dependencies takes. */
 export interface DurationEstimator {
-  /** Seconds that the longest task of the job is expected to take. */
+  /** Returns the expected duration of the job's longest task, in seconds. */
   longestTaskS(job: JobState): number;
 }
 
-/** A job, and one that depends on it. */
-interface Dependency {
+/** An edge of the graph: a job and one that depends on it. */
+interface DependencyEdge {
   dependency: Job;
   dependent: Job;
 }
 
 /**
  * The graph of dependencies between live jobs. A job waits until all of its
- * dependencies are durably done; when one of them is cancelled, so are all
- * jobs that depend on it, directly or through others. There are no cycles,
- * since a job names only jobs that were accepted before it.
+ * dependencies are durably done. When one of them is cancelled, all jobs that
+ * depend on it, directly or transitively, are cancelled too. There are no
+ * cycles, since a job can name only jobs that were accepted before it.
  *
- * Users set priority and deadline on the last job of a pipeline only, so both
- * are inherited by its dependencies: a job has the highest priority of itself
- * and all its dependents, and the deadline among theirs that leaves it the
- * least time.
+ * Users set priority and deadline only on the last job of a pipeline, so its
+ * dependencies inherit both: a job has the highest priority among itself and
+ * all its dependents, and the deadline among theirs that leaves it the least
+ * time.
  *
- * The walks are iterative: a chain of dependencies may be longer than the
- * call stack is deep.
+ * The traversals are iterative, since a chain of dependencies may exceed the
+ * depth of the call stack.
  */
 export class DependencyGraph {
-  /** By id of a job, live or ended: the live jobs that depend on it. */
+  /** The live jobs that depend on a job, by the id of that job, which may have ended. */
   private readonly dependents = new Map<string, Set<Job>>();
-  /** How jobs have ended, the oldest first; at most `MAX_REMEMBERED_ENDS`. */
+  /** How jobs have ended, the oldest first. Holds at most `MAX_REMEMBERED_ENDS`. */
   private readonly knownEnds = new Map<string, JobEnd>();
-  /** Jobs that others depend on and that are no longer live: how they ended has to be read. */
+  /** Ids of jobs that others depend on and that are no longer live. How they ended has to be read. */
   readonly unresolvedEnds = new Set<string>();
-  /** Jobs with ids of dependencies in further records, which have to be read. */
+  /** Jobs whose dependency ids are partly in further records, which have to be read. */
   readonly unreadLists = new Set<Job>();
 
   constructor(
     /** The live jobs. */
     private readonly jobs: ReadonlyMap<string, Job>,
-    private readonly durations: DurationEstimator,
+    private readonly estimator: DurationEstimator,
   ) {}
 
-  /** Adds dependencies of a live job. Those that are known to be done count as met at once. */
+  /** Adds dependencies of a live job. Those that are known to be done are satisfied at once. */
   addDependencies(job: Job, dependencyIds: readonly string[]): void {
     for (const id of dependencyIds) {
       const end = this.knownEnds.get(id);
-      if (end?.state === 'done') job.dependencyDone(id, end.at);
+      if (end?.state === 'done') job.markDependencyDone(id, end.at);
       else this.addPendingDependency(job, id, end ?? null);
     }
     if (job.dependencyCancelled) this.cancelDependents(job.spec.id);
   }
 
-  /** The ids of the job's dependencies have to be read first: until then nothing of it may start. */
+  /** Keeps the job's tasks from starting until the ids of its further dependencies have been read. */
   deferDependencies(job: Job): void {
     job.dependenciesUnread = true;
     this.unreadLists.add(job);
   }
 
-  /** The ids of the job's dependencies have been read: these are all. */
+  /** Adds the job's further dependencies after all of their ids have been read. */
   addReadDependencies(job: Job, dependencyIds: readonly string[]): void {
     job.dependenciesUnread = false;
     this.unreadLists.delete(job);
     this.addDependencies(job, dependencyIds);
   }
 
-  /** The job is not live any more; null: it is not known how it ended. */
-  jobEnded(id: string, end: JobEnd | null): void {
+  /** Records that the job is no longer live. `end` is null when it is not known how the job ended. */
+  recordJobEnd(id: string, end: JobEnd | null): void {
     const job = this.jobs.get(id);
     if (job) this.removeDependencies(job);
     if (end) this.rememberEnd(id, end);
-    const known = end ?? this.knownEnds.get(id) ?? null;
-    if (!known) {
+    const knownEnd = end ?? this.knownEnds.get(id) ?? null;
+    if (!knownEnd) {
       if (this.dependents.has(id)) this.unresolvedEnds.add(id);
       return;
     }
     this.unresolvedEnds.delete(id);
-    if (known.state === 'cancelled') this.cancelDependents(id);
-    else this.releaseDependents(id, known.at);
+    if (knownEnd.state === 'cancelled') this.cancelDependents(id);
+    else this.releaseDependents(id, knownEnd.at);
   }
 
-  /** Whether other jobs wait for this one: its end should be durable soon. */
+  /** Reports whether other jobs wait for this one, so that its end should be made durable soon. */
   hasDependents(id: string): boolean {
     return this.dependents.has(id);
   }
 
-  /** All tasks that the job waits for are running: it will be ready within the length of a task. */
+  /** Reports whether all tasks that the job waits for are running, so that it is ready within the duration of a task. */
   isAboutToBeReady(job: Job): boolean {
     if (job.dependencyCancelled || job.dependenciesUnread || job.pendingDependencies.size === 0)
       return false;
@@ -110,7 +110,7 @@
     return true;
   }
 
-  /** `end`: how the dependency ended, when it was cancelled; null: it is live, or that is not known. */
+  /** Adds a dependency. `end` is set when it was cancelled, and null when it is live or its end is not known. */
   private addPendingDependency(job: Job, id: string, end: JobEnd | null): void {
     if (end?.state === 'cancelled') job.dependencyCancelled = true;
     job.pendingDependencies.add(id);
@@ -130,15 +130,15 @@
     if (oldest !== undefined) this.knownEnds.delete(oldest);
   }
 
-  /** The job has been done since the time of day `at`: none of its dependents waits for it any more. */
+  /** Releases the dependents of a job that has been done since the time of day `at`, which is null when not known. */
   private releaseDependents(id: string, at: number | null): void {
     const dependents = this.dependents.get(id);
     if (!dependents) return;
     this.dependents.delete(id);
-    for (const job of dependents) job.dependencyDone(id, at);
+    for (const job of dependents) job.markDependencyDone(id, at);
   }
 
-  /** Marks all jobs that depend on this one; each is marked once, however many paths lead to it. */
+  /** Marks all jobs that depend on this one. Each is visited once, however many paths lead to it. */
   private cancelDependents(cancelledId: string): void {
     const toVisit = [cancelledId];
     for (let id = toVisit.pop(); id !== undefined; id = toVisit.pop())
@@ -149,7 +149,7 @@
       }
   }
 
-  /** The job has ended itself, so its dependencies need not be in time for it any more. */
+  /** Removes the dependencies of a job that has ended, so that they no longer inherit its urgency. */
   private removeDependencies(job: Job): void {
     this.unreadLists.delete(job);
     for (const id of job.pendingDependencies) {
@@ -166,9 +166,9 @@
 
   // Urgency: priority and effective deadline
 
-  /** Lets a job's dependencies inherit its urgency, as far along the paths as it changes anything. */
+  /** Passes a job's urgency on to its dependencies. Each path is followed until nothing changes. */
   private propagateUrgency(dependency: Job, dependent: Job): void {
-    const toVisit: Dependency[] = [{ dependency, dependent }];
+    const toVisit: DependencyEdge[] = [{ dependency, dependent }];
     for (let edge = toVisit.pop(); edge; edge = toVisit.pop()) {
       if (!this.inheritUrgency(edge)) continue;
       for (const next of this.liveDependencies(edge.dependency))
@@ -176,10 +176,10 @@
     }
   }
 
-  /** Raises the dependency's urgency to that of its dependent. False: it was no less urgent before. */
-  private inheritUrgency({ dependency, dependent }: Dependency): boolean {
+  /** Raises the dependency's urgency to that of its dependent. Returns false when it was at least as urgent before. */
+  private inheritUrgency({ dependency, dependent }: DependencyEdge): boolean {
     const priority = Math.min(dependency.priority, dependent.priority);
-    const inherited = this.deadlineThrough(dependent);
+    const inherited = this.deadlineForDependencies(dependent);
     const tighter = inherited !== null && isTighter(inherited, dependency.effectiveDeadline);
     if (priority === dependency.priority && !tighter) return false;
     dependency.priority = priority;
@@ -187,15 +187,15 @@
     return true;
   }
 
-  /** The deadline that a job leaves to its dependencies: its own tasks' time comes off it. */
-  private deadlineThrough(dependent: Job): EffectiveDeadline | null {
+  /** Returns the deadline that a job passes on to its dependencies, less the expected duration of its own tasks. */
+  private deadlineForDependencies(dependent: Job): EffectiveDeadline | null {
     const deadline = dependent.effectiveDeadline;
     if (deadline === null) return null;
-    const pathS = deadline.remainingPathS + this.durations.longestTaskS(dependent);
+    const pathS = deadline.remainingPathS + this.estimator.longestTaskS(dependent);
     return { job: deadline.job, remainingPathS: pathS };
   }
 
-  /** A dependent of the job has ended: its urgency, and that of its dependencies, follow from those that are left. */
+  /** Recomputes the urgency of a job, and of its dependencies, from the dependents that remain after one has ended. */
   private recomputeUrgency(changed: Job): void {
     const toVisit = [changed];
     for (let job = toVisit.pop(); job; job = toVisit.pop()) {
@@ -210,7 +210,7 @@
     }
   }
 
-  /** The job's pending dependencies that are live, in the order in which they were named. */
+  /** Returns the job's pending dependencies that are live, in the order in which they were named. */
   private liveDependencies(job: Job): Job[] {
     const dependencies: Job[] = [];
     for (const id of job.pendingDependencies) {
--- a/src/scheduler/state/effective-deadline.ts
+++ b/src/scheduler/state/effective-deadline.ts
@@ -1,42 +1,42 @@
 /**
- * The deadline by which a job is placed: its own, or that of a job which
- * depends on it. Users set a deadline on the last job of a pipeline only.
+ * The deadline that placement uses for a job: its own, or that of a job which
+ * depends on it. Users set a deadline only on the last job of a pipeline.
  */
 
 import type { JobSpec } from '../../model/job.js';
 
-/** A job as far as its deadline needs it. */
+/** The fields of a job that determine its deadline. */
 export interface DeadlineJob {
   readonly spec: JobSpec;
-  /** Time of day of its acceptance, from which the deadline counts, in milliseconds. */
+  /** Time of day in milliseconds at which it was accepted. The deadline counts from then. */
   readonly acceptedAt: number;
 }
 
-/** A deadline, and how much of the time until it is taken by the jobs in between. */
+/** A deadline, and how much of the time until then the jobs in between are expected to take. */
 export interface EffectiveDeadline {
-  /** The job that the user gave the deadline. */
+  /** The job for which the user set the deadline. */
   readonly job: DeadlineJob;
-  /** Seconds that are expected to pass between the end of the job that inherits the deadline and the end of `job`. */
+  /** Expected seconds between the end of the job that inherits the deadline and the end of `job`. */
   readonly remainingPathS: number;
 }
 
-/** The deadline that the job's own user set; null: none. */
+/** Returns the deadline that the user set for the job itself, or null when there is none. */
 export function ownDeadline(job: DeadlineJob): EffectiveDeadline | null {
   return job.spec.deadlineS === null ? null : { job, remainingPathS: 0 };
 }
 
-/** Time of day in milliseconds by which a job with this deadline has to be done. */
+/** Returns the time of day in milliseconds by which a job with this deadline has to be done. */
 export function latestEndAt({ job, remainingPathS }: EffectiveDeadline): number {
   const deadlineS = job.spec.deadlineS ?? Number.POSITIVE_INFINITY;
   return job.acceptedAt + (deadlineS - remainingPathS) * 1000;
 }
 
-/** Whether the deadline leaves less time than the other, which may be none. */
+/** Reports whether the deadline leaves less time than the other; null means no deadline. */
 export function isTighter(deadline: EffectiveDeadline, other: EffectiveDeadline | null): boolean {
   return other === null || latestEndAt(deadline) < latestEndAt(other);
 }
 
-/** Whether both are the same job's deadline with the same path to it, or both are none. */
+/** Reports whether both are the deadline of the same job with the same remaining path, or both are null. */
 export function isSameDeadline(
   one: EffectiveDeadline | null,
   other: EffectiveDeadline | null,
--- a/src/scheduler/state/job-registry.ts
+++ b/src/scheduler/state/job-registry.ts
@@ -1,4 +1,4 @@
-/** The live jobs of a leader term, and what keeps ended ones from coming back. */
+/** The live jobs of a leader term. Stale watch events don't add ended jobs again. */
 import {
   type DependencyList,
   type JobEnd,
@@ -12,7 +12,7 @@
 import type { TaskAttempts } from './task-attempts.js';
 import type { WorkEstimates } from './work-estimates.js';
 
-/** What the registry works with. */
+/** The parts that the registry uses. */
 export interface JobRegistryOptions {
   attempts: TaskAttempts;
   estimates: WorkEstimates;
@@ -21,20 +21,20 @@
 }
 
 /**
- * Owns the live jobs, and the keys of ended ones that are to be deleted.
+ * Owns the live jobs, and the keys of ended jobs that are to be deleted.
  * Invariant: once a job's cancellation has been announced, no older event of
- * the watch on jobs brings it back.
+ * the job watch adds it again.
  */
 export class JobRegistry {
   /** Live jobs by id, in the order in which they were added. */
   readonly jobs = new Map<string, Job>();
-  /** Which jobs wait for which others. */
+  /** The dependencies between jobs. */
   readonly dependencies: DependencyGraph;
-  /** Keys of ended jobs in the state service that nobody needs. */
+  /** State service keys of ended jobs, which are to be deleted. */
   readonly obsoleteKeys = new Set<string>();
-  /** Cancellations that a controller announced, by the revision of each: watch events from before it are stale. */
+  /** Revisions of announced cancellations, by job id. Watch events from before that revision are stale. */
   private readonly announcedCancellations = new Map<string, number>();
-  /** The revision up to which the watch on jobs has been applied. */
+  /** The revision up to which the job watch has been applied. */
   private appliedRevision = 0;
   private readonly attempts: TaskAttempts;
   private readonly estimates: WorkEstimates;
@@ -50,7 +50,7 @@
   }
 
   /**
-   * A live job has been read. Returns null when it is known already or its
+   * Adds a live job. Returns null when it is present already or its
    * cancellation has been announced.
    */
   add(
@@ -71,7 +71,7 @@
     return job;
   }
 
-  /** The pages with the job's further dependencies have been read. */
+  /** Adds the job's further dependencies after their pages have been read. */
   addReadDependencies(job: Job, dependencies: readonly string[]): void {
     if (job.ended) return;
     this.dependencies.addReadDependencies(job, dependencies);
@@ -79,11 +79,12 @@
   }
 
   /**
-   * The job has been cancelled or its end is durable: nothing of it may start,
-   * what runs is stopped. Null: it is not known how it ended.
+   * Ends a job that was cancelled or whose end is durable. No more of its tasks
+   * start, and running ones are stopped. `end` is null when it is not known how
+   * the job ended.
    */
   end(id: string, end: JobEnd | null): void {
-    this.dependencies.jobEnded(id, end);
+    this.dependencies.recordJobEnd(id, end);
     this.roundTrigger.request();
     const job = this.jobs.get(id);
     if (!job) return;
@@ -92,23 +93,23 @@
     for (const chunk of job.chunkVersions.keys())
       this.obsoleteKeys.add(this.bitmaps.key(id, chunk));
     for (const key of job.ownedKeys) this.obsoleteKeys.add(key);
-    this.attempts.endAll(job);
+    this.attempts.stopAll(job);
     for (const waiting of job.unsavedChunks.values())
       for (const attempt of waiting) attempt.mayBeForgotten = true;
     job.unsavedChunks.clear();
   }
 
-  /** The job's cancellation is durable at this revision, which the watch on jobs may not have reached. */
+  /** Ends a job whose cancellation is durable at this revision, unless the job watch has reached that revision. */
   announceCancellation(id: string, revision: number): void {
     if (revision <= this.appliedRevision) return;
     this.announcedCancellations.set(id, revision);
     this.end(id, { state: 'cancelled', at: null });
   }
 
-  /** The watch on jobs has been applied up to this revision. */
-  markCurrent(revision: number): void {
+  /** Records that the job watch has been applied up to this revision. */
+  recordAppliedRevision(revision: number): void {
     this.appliedRevision = revision;
-    for (const [id, cancelledAt] of this.announcedCancellations)
-      if (cancelledAt <= revision) this.announcedCancellations.delete(id);
+    for (const [id, cancellationRevision] of this.announcedCancellations)
+      if (cancellationRevision <= revision) this.announcedCancellations.delete(id);
   }
 }
--- a/src/scheduler/state/job-state.ts
+++ b/src/scheduler/state/job-state.ts
@@ -1,6 +1,6 @@
 /**
- * A live job apart from its task attempts: its tasks' states, its
- * dependencies, its urgency and what of it is durable. `Job` in task-attempt
+ * A live job without its task attempts: the states of its tasks, its
+ * dependencies, its urgency and its durable state. `Job` in task-attempt.ts
  * adds the attempts.
  */
 
@@ -8,66 +8,68 @@
 import { type EffectiveDeadline, ownDeadline } from './effective-deadline.js';
 import { TaskStates } from './task-states.js';
 
-/** What the leader knows of a live job beside its attempts. */
+/** The leader's view of a live job, except for its attempts. */
 export class JobState {
   protected readonly taskStates: TaskStates;
 
   // Failures
 
-  /** A task of it has succeeded under this leader. */
+  /** Whether a task of the job has succeeded under this leader. */
   succeeded = false;
-  /** Tasks that failed since the job's last success. */
+  /** Number of tasks that failed since the job's last success. */
   failures = 0;
-  /** Machines on which a task failed since the job's last success. */
+  /** Ids of machines on which a task failed since the job's last success. */
   readonly failedMachines = new Set<string>();
-  /** A job that fails on several machines starts no task before this time. */
+  /** Monotonic milliseconds before which no task starts; set when the job fails on several machines. */
   backoffUntil = 0;
 
   // Durability
 
-  /** Cancelled or moved to the ended jobs: nothing of it may start. */
+  /** Whether the job was cancelled or moved to the ended jobs. None of its tasks may start then. */
   ended = false;
   /**
-   * By chunk of the bitmap, the version of its key in the state service, for
-   * all chunks that may exist there; 0: not written yet; null: a write of it
-   * had no answer, so that the version has to be read.
+   * Versions of the bitmap chunks' keys in the state service, for all chunks
+   * that may exist there. 0 means that the chunk has not been written; null
+   * means that a write got no reply, so the version has to be read.
    */
   readonly chunkVersions = new Map<number, number | null>();
-  /** Further keys of it in the state service, which are only read and are deleted when it ends. */
+  /** Further state service keys of the job. They are only read, and deleted when it ends. */
   readonly ownedKeys: string[] = [];
 
   // Dependencies
 
-  /** Ids of jobs that have to be done before a task of this one starts. */
+  /** Ids of jobs that must be done before a task of this one starts. */
   readonly pendingDependencies = new Set<string>();
-  /** Some ids of its dependencies are in further records, which have not been read. */
+  /** Whether some of its dependency ids are in further records that have not been read. */
   dependenciesUnread = false;
-  /** A dependency of it, direct or not, was cancelled: this job will be cancelled too. */
+  /** Whether a direct or transitive dependency was cancelled. This job will be cancelled too. */
   dependencyCancelled = false;
-  /** Time of day from which its waiting time counts: its acceptance, or the end of its last dependency. */
+  /** Time of day in milliseconds from which its waiting time counts: its acceptance, or the end of its last dependency. */
   eligibleAt: number;
 
   // Urgency
 
-  /** Index into PRIORITIES: the highest priority of its own and of all jobs that depend on it. */
+  /** Index into PRIORITIES: the highest among its own priority and those of all jobs that depend on it. */
   priority: number;
-  /** The deadline that leaves it the least time: its own, or one of a job that depends on it. */
+  /** The deadline that leaves it the least time: its own, or one of a job that depends on it. Null when there is none. */
   effectiveDeadline: EffectiveDeadline | null;
   /**
-   * When it arrived, it fitted its team's guaranteed quota together with the
-   * team's earlier unfinished jobs. Not judged again: as those end, every job
-   * would come to fit in its turn, and the oldest work of all teams would go
-   * before, and preempt, what can still be in time.
+   * Whether the job, on arrival, fitted its team's guaranteed quota together
+   * with the team's earlier unfinished jobs; null until that is determined.
+   *
+   * It is determined only once. Otherwise every job would fit in turn as earlier
+   * ones end, and the oldest work of all teams would go before, and preempt,
+   * work that can still be done in time.
    */
   withinGuarantee: boolean | null = null;
 
   constructor(
     readonly spec: JobSpec,
-    /** Version of its key: the order of arrival. */
+    /** Version of its key in the state service, which gives the order of arrival. */
     readonly version: number,
-    /** Time of day of its acceptance, in milliseconds. */
+    /** Time of day in milliseconds at which it was accepted. */
     readonly acceptedAt: number,
-    /** Accepted before this leader's term: an earlier leader may have started tasks of it. */
+    /** Whether it was accepted before this leader's term, so that an earlier leader may have started its tasks. */
     readonly inherited: boolean,
   ) {
     this.taskStates = new TaskStates(spec.tasks);
@@ -76,74 +78,74 @@
     this.effectiveDeadline = ownDeadline(this);
   }
 
-  /** Sets priority and deadline back to what the job's own user asked for. */
+  /** Resets priority and deadline to those that the user set for the job itself. */
   resetUrgency(): void {
     this.priority = this.spec.priority;
     this.effectiveDeadline = ownDeadline(this);
   }
 
-  /** Not all of its dependencies are done: nothing of it may start, and it counts as no demand. */
+  /** Whether some of its dependencies are not done. None of its tasks may start then, and it adds no demand. */
   get awaitsDependencies(): boolean {
     return this.dependencyCancelled || this.dependenciesUnread || this.pendingDependencies.size > 0;
   }
 
-  /** A dependency of it is durably done, since the time of day `at`; null: it is not known since when. */
-  dependencyDone(id: string, at: number | null): void {
+  /** Records that a dependency has been durably done since the time of day `at`, which is null when not known. */
+  markDependencyDone(id: string, at: number | null): void {
     this.pendingDependencies.delete(id);
     if (at !== null) this.eligibleAt = Math.max(this.eligibleAt, at);
   }
 
-  /** Tasks that may be placed now. */
+  /** Number of tasks that may be placed now. */
   get readyCount(): number {
     return this.taskStates.readyCount;
   }
 
-  /** Tasks that are done, durably or not. */
+  /** Number of tasks that are done, durably or not. */
   get doneCount(): number {
     return this.taskStates.doneCount;
   }
 
-  /** Tasks that wait for the end of a delay. */
+  /** Number of tasks that wait for the end of a delay. */
   get backedOffCount(): number {
     return this.taskStates.backedOffCount;
   }
 
-  /** A task of it has been started at some time. */
+  /** Whether any of its tasks has ever been assigned or found done. */
   get started(): boolean {
     return this.taskStates.started;
   }
 
-  /** All tasks are done; whether that is durable is another matter. */
+  /** Whether all tasks are done, durably or not. */
   get isComplete(): boolean {
     return this.taskStates.isComplete;
   }
 
-  /** Whether the task is done. */
+  /** Reports whether the task is done, durably or not. */
   isDone(index: number): boolean {
     return this.taskStates.isDone(index);
   }
 
-  /** The index of the next ready task, which the caller has to assign; null when there is none. */
+  /** Removes the next ready task from the queue and returns its index, or null when there is none. The caller must assign it. */
   takeReadyTask(): number | null {
-    return this.taskStates.takeReady();
+    return this.taskStates.popReady();
   }
 
-  /** The task is done. True when it was not known as done before. */
+  /** Marks the task as done. Returns true when it was not known to be done before. */
   markDone(index: number): boolean {
     return this.taskStates.markDone(index);
   }
 
-  /** Makes tasks ready whose delay has ended. */
+  /** Makes the tasks ready whose delay has ended. */
   releaseBackedOff(now: number): void {
     this.taskStates.releaseBackedOff(now);
   }
 
-  /** The bitmap of the finished tasks in a chunk, the lowest task first. */
+  /** Returns the bitmap of the done tasks in a chunk, the lowest task first. */
   chunkBits(chunk: number, tasksPerChunk: number): Uint8Array {
     return this.taskStates.chunkBits(chunk, tasksPerChunk);
   }
 
-  /** Takes over a bitmap that an earlier leader wrote, whose first bit stands for `firstTask`. */
+  /** Marks as done the tasks in a bitmap that an earlier leader wrote. Its first bit represents `firstTask`. */
   loadBits(firstTask: number, bits: Uint8Array): void {
     this.taskStates.loadBits(firstTask, bits);
   }
--- a/src/scheduler/state/leader-lag.ts
+++ b/src/scheduler/state/leader-lag.ts
@@ -1,35 +1,37 @@
-/** The leader's own event-loop lag, which must not be taken for the machines' silence. */
+/** Tracks the leader's own event-loop lag, which must not be mistaken for the silence of machines. */
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { Machine } from './task-attempt.js';
 
-/** The leader counts as lagging for this part of a heartbeat interval after it was last late. */
+/** The leader counts as lagging for this many heartbeat intervals after its event loop was last late. */
 const LAGGING_HEARTBEATS = 0.25;
 
-/** When this leader was last late with its own work. */
+/** Records when this leader's event loop was last late. */
 export class LeaderLag {
-  private laggingAt = Number.NEGATIVE_INFINITY;
+  private lastLagAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly timing: Pick<SchedulerTiming, 'heartbeatMs' | 'agentLeaseMs'>) {}
 
-  /** The leader's event loop is late: heartbeats may have arrived and be waiting unread. */
+  /** Records that the leader's event loop is late, so that received heartbeats may still be unread. */
   markLagging(now: number): void {
-    this.laggingAt = now;
+    this.lastLagAt = now;
   }
 
-  /** Whether it was late a moment ago: what can wait for the machines' own heartbeats should. */
+  /** Reports whether the event loop was late recently. Work that can wait for the machines' heartbeats should wait then. */
   isLagging(now: number): boolean {
-    return now - this.laggingAt < this.timing.heartbeatMs * LAGGING_HEARTBEATS;
+    return now - this.lastLagAt < this.timing.heartbeatMs * LAGGING_HEARTBEATS;
   }
 
   /**
-   * From when on the machine counts as silent. While a small processor lags,
-   * most of all after a failover, heartbeats wait to be read, or the agent has
-   * tried in vain and gone to another controller: that is no fault of the
-   * machine. Beyond its agent's lease nothing excuses it.
+   * Returns the time since when the machine counts as silent.
+   *
+   * While the leader lags on a small processor, most of all after a failover,
+   * heartbeats wait to be read, or the agent's attempts fail and it tries another
+   * controller. Neither is a fault of the machine, so silence counts only from
+   * the last lag. This allowance ends one agent lease after the last heartbeat.
    */
   silentSince(machine: Machine): number {
     const excusedUntil = Math.min(
-      this.laggingAt,
+      this.lastLagAt,
       machine.lastHeartbeatAt + this.timing.agentLeaseMs,
     );
     return Math.max(machine.lastHeartbeatAt, excusedUntil);
--- a/src/scheduler/state/machine-registry.ts
+++ b/src/scheduler/state/machine-registry.ts
@@ -1,4 +1,4 @@
-/** The machines that a leader knows, from their registration to their proven termination. */
+/** The machines known to a leader, from their registration to their proven termination. */
 import type { MachineType, RosterEntry } from '../../model/machine.js';
 import type { Roster } from '../persistence/roster.js';
 import type { AgentResponsiveness } from '../reconcile/agent-responsiveness.js';
@@ -11,17 +11,17 @@
 import { Machine } from './task-attempt.js';
 import type { TaskAttempts } from './task-attempts.js';
 
-/** What is known of a machine when it is registered. */
+/** The attributes with which a machine is registered. */
 export interface MachineDescription {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Seconds since it was asked for. */
+  /** Seconds since it was requested from the cloud. */
   ageS: number;
 }
 
-/** What the registry works with; a terminated machine is removed from each part. */
+/** The parts that the registry uses. A terminated machine is removed from each of them. */
 export interface MachineRegistryOptions {
   attempts: TaskAttempts;
   inheritedMachines: InheritedMachines;
@@ -34,15 +34,15 @@
 }
 
 /**
- * Owns the machines and their types. Invariant: a machine leaves only when its
- * termination is proven, since the tasks on it are started elsewhere then.
+ * Owns the machines and their types. Invariant: a machine is removed only when
+ * its termination is proven, since its tasks are then started elsewhere.
  */
 export class MachineRegistry {
   /** Machines that may exist, by id. */
   readonly machines = new Map<string, Machine>();
   /** The cloud's machine types by name. */
   readonly types = new Map<string, MachineType>();
-  /** Machines that are yet to be written to the durable roster: they get no task before. */
+  /** Machines that still have to be written to the durable roster. They get no tasks before that. */
   readonly pendingRosterAdds = new Set<Machine>();
   readonly roster: Roster;
   readonly tombstones: MachineTombstones;
@@ -66,25 +66,25 @@
     this.logDecision = options.logDecision;
   }
 
-  /** Takes over the cloud's machine types. */
+  /** Adds the cloud's machine types, or updates those that exist. */
   updateTypes(types: readonly MachineType[]): void {
     for (const type of types) {
-      const known = this.types.get(type.name);
-      // Machines refer to the object: its prices change in place.
-      if (known) Object.assign(known, type);
+      const existing = this.types.get(type.name);
+      // Machines refer to the object, so it is updated in place.
+      if (existing) Object.assign(existing, type);
       else this.types.set(type.name, type);
     }
   }
 
-  /** The machine of this id, or undefined when it is not known. */
+  /** Returns the machine with this id, or undefined when it is not registered. */
   get(id: string): Machine | undefined {
     return this.machines.get(id);
   }
 
-  /** Makes a machine known; one that is known already stays as it is. */
+  /** Registers a machine. Returns the existing one unchanged when it is registered already. */
   register({ id, type, zone, spot, ageS }: MachineDescription, now: number): Machine {
-    const known = this.machines.get(id);
-    if (known) return known;
+    const existing = this.machines.get(id);
+    if (existing) return existing;
     const provisionedAt = now - Math.max(0, ageS) * 1000;
     const machineType = this.types.get(type) ?? null;
     const machine = new Machine(id, type, machineType, zone, spot, provisionedAt, now);
@@ -92,7 +92,7 @@
     return machine;
   }
 
-  /** A machine of the durable roster, which an earlier leader may have given tasks. */
+  /** Registers a machine of the durable roster, to which an earlier leader may have assigned tasks. */
   inherit({ id, type, zone, spot, address }: RosterEntry, now: number): void {
     const machine = this.register({ id, type, zone, spot, ageS: 0 }, now);
     machine.address = address;
@@ -102,7 +102,7 @@
     this.inheritedMachines.add(machine);
   }
 
-  /** It is proven that the machine and all that ran on it have ended. */
+  /** Removes a machine after proof that it has been terminated and that all tasks on it have ended. */
   markTerminated(id: string, reason: string, now: number): void {
     const machine = this.machines.get(id);
     this.tombstones.add(id, now);
@@ -129,7 +129,7 @@
     if (machine.inRoster || machine.rosterWritePending) this.roster.removeMachine(machine.id);
   }
 
-  /** The machine gets no new tasks from now on; those whose start has not left go elsewhere. */
+  /** Stops new assignments to the machine. Tasks whose start has not been sent are placed elsewhere. */
   drain(machine: Machine, reason: DrainReason): void {
     if (machine.drainReason === reason) return;
     machine.drainReason = reason;
--- a/src/scheduler/state/machine-state.ts
+++ b/src/scheduler/state/machine-state.ts
@@ -1,25 +1,25 @@
 /**
- * A machine apart from the attempts on it: its liveness, how the leader
- * reaches it, its place in the roster and its resources. `Machine` in
- * task-attempt adds the attempts.
+ * A machine without the attempts on it: its liveness, how the leader reaches
+ * it, its roster membership and its resources. `Machine` in task-attempt.ts
+ * adds the attempts.
  *
- * All times are steady milliseconds of this leader's clock.
+ * All times are milliseconds of this leader's monotonic clock.
  */
 
 import type { JobSpec } from '../../model/job.js';
 import type { MachineType } from '../../model/machine.js';
 import { EPSILON } from '../../model/resources.js';
 
-/** Capacity for which other work was preempted, kept until the work that needs it has it. */
+/** Capacity that preemption has freed, reserved until the work that needs it has been placed. */
 export interface Reservation {
   priority: number;
   withinGuarantee: boolean;
-  /** Tasks that are yet to be placed on it. */
+  /** Number of tasks that still have to be placed on it. */
   remainingTasks: number;
   expiresAt: number;
 }
 
-/** Why a machine gets no new work and is terminated once it may be. Logged only. */
+/** Why a machine gets no new work and is terminated as soon as allowed. The values are written to the log. */
 export type DrainReason =
   | 'preemption notice'
   | 'quarantined'
@@ -29,77 +29,83 @@
   | 'missing from list'
   | 'idle';
 
-/** What the leader knows of a machine beside its attempts. */
+/** The leader's view of a machine, except for the attempts on it. */
 export class MachineState {
   // Liveness
 
-  /** When this leader first knew that the machine exists. */
+  /** When this leader first learned that the machine exists. */
   readonly knownAt: number;
-  /** When it was first known to be up; null: it has not been. */
+  /** When it was first known to be up; null before that. */
   upAt: number | null = null;
-  /** When its last heartbeat under our own fencing token arrived. */
+  /** When its last heartbeat under this leader's own fencing token arrived. */
   lastHeartbeatAt = 0;
-  /** It has been up, sends no heartbeat and is in no list: terminated most likely, and terminated again to make sure. */
+  /**
+   * Whether it was up, sends no heartbeats and is in no list. Most likely it has
+   * been terminated, and it is terminated again to be sure.
+   */
   missingFromList = false;
-  /** Answers in a row whose starts showed no effect. */
+  /** Number of consecutive heartbeat replies whose starts had no visible effect. */
   missedAcknowledgements = 0;
-  /** Since when nothing shows that our answers reach it, though its heartbeats arrive; null while they do. */
+  /** Since when nothing shows that replies reach it although its heartbeats arrive; null otherwise. */
   unresponsiveSince: number | null = null;
 
   // Agent and fencing
 
-  /** Where its agent listens; empty while it is not known. */
+  /** Address on which its agent listens; empty while it is not known. */
   address = '';
-  /** The agent epoch of its last heartbeat; 0: none has come. */
+  /** Agent epoch of its last heartbeat; 0 before the first one. */
   agentEpoch = 0;
-  /** Sequence number of its last heartbeat in that epoch. */
+  /** Sequence number of its last heartbeat in that epoch; -1 before the first one. */
   lastSequence = -1;
-  /** A heartbeat of the current epoch carried our own fencing token: its list of tasks is whole. */
+  /** Whether a heartbeat of the current epoch carried this leader's own fencing token, so that its task list is complete. */
   confirmed = false;
-  /** The fence under which the machine is answered and commanded: the low part of its fencing token. */
+  /** The fence of replies and commands to the machine: the low part of its fencing token. */
   fence = 0;
-  /** The highest fence that it has reported: it refuses commands from under an earlier one. */
+  /** The highest fence that it has reported. It rejects commands with a lower one. */
   acknowledgedFence = 0;
-  /** Since when something waits for a later fence. */
+  /** Since when attempts have waited for the fence to be raised; null when no raise is due. */
   fenceRaiseDueSince: number | null = null;
-  /** Its heartbeats come by way of another controller: a network partition keeps commands from it. */
+  /** Whether another controller relays its heartbeats. A network partition then blocks commands to it. */
   relayed = false;
-  /** It lists tasks of jobs that are not known: what they use is unconfirmed. */
+  /** Whether it lists tasks of unknown jobs that have not exited. Their resource usage is unconfirmed. */
   hasUnknownTasks = false;
 
   // Roster
 
-  /** It is in the durable roster. */
+  /** Whether it is in the durable roster. */
   inRoster = false;
-  /** A write that adds it to the roster is on its way. */
+  /** Whether a write that adds it to the roster is in flight. */
   rosterWritePending = false;
-  /** It is in the roster of an earlier leader and is neither confirmed nor terminated. */
+  /** Whether it is in the roster of an earlier leader and neither confirmed nor terminated. */
   inherited = false;
-  /** After the failover it was asked directly and gave no answer. */
+  /** Whether it failed to reply to the confirmation command after the failover. */
   confirmationUnanswered = false;
 
   // Placement
 
-  /** No demand was assigned to it: it gets new work only when nothing else has capacity, so that it empties and can be terminated. */
+  /**
+   * Whether no demand was assigned to it. It gets new work only when no other
+   * machine has capacity, so that it becomes empty and can be terminated.
+   */
   scaleInCandidate = false;
-  /** Its free capacity is kept for a task of this job, for which no machine has enough. */
+  /** Id of the job for whose task its free capacity is reserved, since no machine has enough; null when there is none. */
   reservedForJob: string | null = null;
-  /** Its capacity is kept for the work that other work was preempted for. */
+  /** Reservation for the work for which other work was preempted; null when there is none. */
   reservation: Reservation | null = null;
-  /** When the cloud takes the spot machine back; null: no notice. */
+  /** When the cloud reclaims the spot machine; null without a preemption notice. */
   preemptionNoticeUntil: number | null = null;
-  /** Null: it is not being drained. */
+  /** Null when it is not being drained. */
   drainReason: DrainReason | null = null;
-  /** Since when it has been without work, while it is. */
+  /** Since when it has had no work. Only meaningful while it has none. */
   idleSince: number;
-  /** It refused a task for lack of capacity and gets none before this time. */
+  /** It gets no task before this time; set when it rejects a task for lack of capacity. */
   admissionBackoffUntil = 0;
-  /** Jobs whose tasks failed here since the last success here, with the number of failures. */
+  /** Number of task failures since the last success on this machine, by job id. */
   readonly failedJobs = new Map<string, number>();
 
   // Resources
 
-  /** Images in its cache with their sizes in GB, the least recently used first. */
+  /** Sizes in GB of the images in its cache, the least recently used first. */
   readonly images = new Map<string, number>();
   usedCpus = 0;
   usedGpus = 0;
@@ -108,7 +114,7 @@
   constructor(
     readonly id: string,
     readonly typeName: string,
-    /** Null: the cloud has no type of this name, so that nothing is placed on it. */
+    /** Null when the cloud has no type of this name. Nothing is placed on the machine then. */
     readonly type: MachineType | null,
     readonly zone: string,
     readonly spot: boolean,
@@ -120,13 +126,13 @@
     this.idleSince = now;
   }
 
-  /** Its price for a unit of time; 0 when its type is not known. */
+  /** Its price per unit of time; 0 when its type is not known. */
   get price(): number {
     if (!this.type) return 0;
     return this.spot ? this.type.spotPrice : this.type.price;
   }
 
-  /** How many tasks of this job its free resources take. */
+  /** Returns how many tasks of the job fit its free resources. */
   freeSlots(spec: JobSpec): number {
     const type = this.type;
     if (!type) return 0;
@@ -138,7 +144,7 @@
     );
   }
 
-  /** Anything at all is free. */
+  /** Whether some CPU and some memory are free. */
   get hasFreeCapacity(): boolean {
     const type = this.type;
     return (
@@ -148,7 +154,7 @@
     );
   }
 
-  /** The used share of its CPUs or its memory, whichever is larger: 0 to 1. */
+  /** The used share of its CPUs or its memory, whichever is larger, from 0 to 1. */
   get utilization(): number {
     const type = this.type;
     if (!type) return 0;
@@ -158,12 +164,12 @@
     );
   }
 
-  /** Some task uses resources of it. */
+  /** Whether any task uses its resources. */
   get busy(): boolean {
     return this.usedCpus > EPSILON || this.usedMemoryGb > EPSILON || this.usedGpus > EPSILON;
   }
 
-  /** Notes that the job's image is in the cache; the least recently used ones are evicted, as on the machine itself. */
+  /** Records that the job's image is in the cache. The least recently used ones are evicted, as on the machine itself. */
   recordImageUse(spec: JobSpec): void {
     this.images.delete(spec.image);
     this.images.set(spec.image, spec.imageGb);
@@ -176,7 +182,7 @@
     }
   }
 
-  /** Counts what one task of the job uses, once more (1) or once less (-1). */
+  /** Adds (1) or subtracts (-1) the resources that one task of the job uses. */
   protected chargeResources(spec: JobSpec, sign: 1 | -1): void {
     this.usedCpus += sign * spec.cpus;
     this.usedGpus += sign * spec.gpus;
@@ -184,10 +190,10 @@
   }
 }
 
-/** No array has more tasks, so that more slots are never needed. */
+/** Upper bound on slots: no job array has more tasks. */
 const MAX_SLOTS = 100_000;
 
-/** How many tasks of the job these resources take, `MAX_SLOTS` at most. */
+/** Returns how many tasks of the job fit these resources, at most `MAX_SLOTS`. */
 export function slotsWithin(cpus: number, gpus: number, memoryGb: number, spec: JobSpec): number {
   let slots = MAX_SLOTS;
   if (spec.cpus > 0) slots = Math.min(slots, Math.floor((cpus + EPSILON) / spec.cpus));
@@ -196,7 +202,7 @@
   return Math.max(0, slots);
 }
 
-/** How many tasks of the job an empty machine of the type takes. */
+/** Returns how many tasks of the job fit an empty machine of the type. */
 export function slotsOnType(type: MachineType, spec: JobSpec): number {
   return slotsWithin(type.cpus, type.gpus, type.memoryGb, spec);
 }
--- a/src/scheduler/state/round-trigger.ts
+++ b/src/scheduler/state/round-trigger.ts
@@ -1,11 +1,11 @@
-/** Decides whether the next placement round has anything to look at. */
+/** Tracks whether a placement round is due. */
 
-/** Set by whatever may let a task be placed, cleared by the round that looks for it. */
+/** Set by events that may allow a task to be placed, cleared by the placement round. */
 export class RoundTrigger {
-  /** True from the start: a new term has looked at nothing yet. */
+  /** Initially true, since a new term has not had a placement round. */
   due = true;
 
-  /** Something happened that may let a task be placed. */
+  /** Requests a placement round after an event that may allow a task to be placed. */
   request(): void {
     this.due = true;
   }
--- a/src/scheduler/state/task-attempt.ts
+++ b/src/scheduler/state/task-attempt.ts
@@ -1,59 +1,60 @@
 /**
  * Task attempts, and the job and the machine that hold them.
  *
- * An attempt refers to its job and its machine, and both list it: the three
- * types are one structure and stand in one module. What a job or a machine is
- * apart from its attempts is in job-state and machine-state.
+ * An attempt refers to its job and its machine, and both list it, so the three
+ * types share a module. The state of jobs and machines that does not involve
+ * attempts is in job-state.ts and machine-state.ts.
  */
 
 import type { TaskState } from '../../model/heartbeat.js';
 import { JobState } from './job-state.js';
 import { MachineState } from './machine-state.js';
 
-/** A stop that has been decided. Answers to heartbeats repeat it until the exit is reported. */
+/** A request to stop an attempt. Replies to heartbeats repeat it until the exit is reported. */
 export interface StopRequest {
-  /** Seconds that the task is given to save a checkpoint; 0: it ends at once. */
+  /** Seconds that the task has to save a checkpoint; 0 ends it immediately. */
   graceS: number;
-  /** A direct command has carried it. */
+  /** Whether a direct command has carried the request. */
   commandSent: boolean;
 }
 
 /**
- * One try to run a task on a machine. It exists from its assignment until it
- * is proven that the task does not run there and can't start there any more.
+ * One attempt to run a task on a machine. It exists from its assignment until
+ * it is proven that the task neither runs there nor can still start there.
  */
 export interface TaskAttempt {
   job: Job;
   /** Index of the task in its job. */
   index: number;
-  /** Number of the attempt; it rises across leaders and is never used twice. */
+  /** Number of the attempt. It increases across leaders and is never reused. */
   attempt: number;
   machine: Machine;
-  /** `assigned`: the machine has not reported it yet. */
+  /** `assigned` until the machine reports the attempt. */
   state: 'assigned' | TaskState;
-  /** Sequence number of the heartbeat whose answer carried the start; null while none did. */
+  /** Sequence number of the heartbeat whose reply carried the start; null before that. */
   startSentSequence: number | null;
   /**
    * The machine's fence under which a direct command carried the start; null
-   * when none did, or when the machine has reported a later fence. Until then
-   * the command, or a copy of it, may still arrive: neither absence nor an
-   * exit proves that it won't, and to forget the attempt would let the copy
-   * start it again.
+   * when none did, or when the machine has reported a higher fence.
+   *
+   * Until then the command, or a duplicate of it, may still arrive. Neither the
+   * absence of the attempt from a heartbeat nor its exit rules that out, and if
+   * the agent forgot the attempt, the duplicate would start it again.
    */
   directCommandFence: number | null;
-  /** When it was assigned, in steady milliseconds. */
+  /** When it was assigned, in monotonic milliseconds. */
   assignedAt: number;
-  /** When a heartbeat first showed it running, in steady milliseconds; null before. */
+  /** When a heartbeat first showed it running, in monotonic milliseconds; null before that. */
   runningSince: number | null;
-  /** Null: it is not to be stopped. */
+  /** Null when no stop has been requested. */
   stopRequest: StopRequest | null;
-  /** The first task of a job that has waited for too long: it is not preempted. */
+  /** Whether it is never preempted, as the first task of a job that has waited for too long. */
   exemptFromPreemption: boolean;
-  /** What its exit reported is durable, or need not be: the agent may forget it. */
+  /** Whether the agent may forget it: the result of its exit is durable, or need not be. */
   mayBeForgotten: boolean;
 }
 
-/** Names an attempt among those of a machine. */
+/** Returns the key of an attempt among those of a machine. */
 export function attemptKey(jobId: string, index: number, attempt: number): string {
   return `${jobId}/${index}/${attempt}`;
 }
@@ -62,59 +63,60 @@
   return attemptKey(attempt.job.spec.id, attempt.index, attempt.attempt);
 }
 
-/** A live job with the attempts of its tasks. A task has one active attempt at most. */
+/** A live job with the attempts of its tasks. A task has at most one active attempt. */
 export class Job extends JobState {
-  /** By task, the attempt that is on a machine, or possibly on one, until it is proven to have ended. */
+  /** By task index, the attempt that is or may be on a machine. It stays until it is proven to have ended. */
   readonly activeAttempts = new Map<number, TaskAttempt>();
   /** Number of active attempts in each zone. */
   readonly attemptsByZone = new Map<string, number>();
   /**
-   * Chunks of the bitmap with tasks that finished since the last write, and
-   * for each the attempts that may be forgotten once it is durable.
+   * Chunks of the bitmap with tasks that finished since the last write, each
+   * with the attempts that may be forgotten once the chunk is durable.
    */
   readonly unsavedChunks = new Map<number, TaskAttempt[]>();
 
-  /** The attempt is the active one of its task. */
+  /** Makes the attempt the active one of its task. */
   addAttempt(attempt: TaskAttempt): void {
     this.taskStates.markAssigned(attempt.index);
     this.activeAttempts.set(attempt.index, attempt);
-    this.countInZone(attempt.machine.zone, 1);
+    this.adjustZoneCount(attempt.machine.zone, 1);
   }
 
   /**
-   * The attempt has ended; unless done, its task is ready again, at once (0)
-   * or from `until` on. Nothing happens when it is not the active attempt.
+   * Removes an attempt that has ended. Unless its task is done, the task becomes
+   * ready again, immediately (0) or at `readyAt` in monotonic milliseconds. Does
+   * nothing when the attempt is not the active one of its task.
    */
-  removeAttempt(attempt: TaskAttempt, until: number): void {
+  removeAttempt(attempt: TaskAttempt, readyAt: number): void {
     if (this.activeAttempts.get(attempt.index) !== attempt) return;
     this.activeAttempts.delete(attempt.index);
-    this.countInZone(attempt.machine.zone, -1);
-    this.taskStates.requeue(attempt.index, until);
+    this.adjustZoneCount(attempt.machine.zone, -1);
+    this.taskStates.requeue(attempt.index, readyAt);
   }
 
-  private countInZone(zone: string, change: number): void {
-    this.attemptsByZone.set(zone, (this.attemptsByZone.get(zone) ?? 0) + change);
+  private adjustZoneCount(zone: string, delta: number): void {
+    this.attemptsByZone.set(zone, (this.attemptsByZone.get(zone) ?? 0) + delta);
   }
 }
 
-/** A machine with the attempts on it. All that have not exited use its resources. */
+/** A machine with the attempts on it. Those that have not exited use its resources. */
 export class Machine extends MachineState {
-  /** By `attemptKey`; exited ones stay until the machine lists them no more. */
+  /** By `attemptKey`. Exited ones stay until the machine no longer lists them. */
   readonly attempts = new Map<string, TaskAttempt>();
 
-  /** The attempt is, or may be, on the machine. */
+  /** Adds an attempt that is, or may be, on the machine. */
   addAttempt(attempt: TaskAttempt): void {
     this.attempts.set(keyOf(attempt), attempt);
     if (attempt.state !== 'exited') this.chargeResources(attempt.job.spec, 1);
   }
 
-  /** The attempt has left the machine. Nothing happens when it was not on it. */
+  /** Removes an attempt that has left the machine. Does nothing when it is not listed. */
   removeAttempt(attempt: TaskAttempt): void {
     const removed = this.attempts.delete(keyOf(attempt));
     if (removed && attempt.state !== 'exited') this.chargeResources(attempt.job.spec, -1);
   }
 
-  /** The task uses no resources any more; its attempt stays listed. */
+  /** Marks the attempt as exited: it stays listed but no longer uses resources. */
   markExited(attempt: TaskAttempt): void {
     if (attempt.state === 'exited') return;
     attempt.state = 'exited';
--- a/src/scheduler/state/task-states.ts
+++ b/src/scheduler/state/task-states.ts
@@ -1,35 +1,36 @@
 /**
- * The state of each task of a job array: one byte a task, since arrays have
- * up to a hundred thousand of them.
+ * The state of each task of a job array, in one byte per task since arrays have
+ * up to a hundred thousand tasks.
  *
  * Invariant: `readyCount` and `doneCount` are the numbers of tasks in those
  * states, and a task that is done stays done.
  */
 
-/** States of a task, as they are kept in the array of bytes. */
+/** Task states, as stored in the byte array. */
 const READY = 0;
 const ASSIGNED = 1;
 const DONE = 2;
 const BACKED_OFF = 3;
 
-/** A task that must not be placed again before a time, in steady milliseconds. */
+/** A task that must not be placed again before a delay has ended. */
 interface BackedOffTask {
   index: number;
-  until: number;
+  /** When the delay ends, in monotonic milliseconds. */
+  readyAt: number;
 }
 
 /** Which tasks of one job are ready, assigned to a machine, done or backed off. */
 export class TaskStates {
-  /** Tasks that may be placed now. */
+  /** Number of tasks that may be placed now. */
   readyCount: number;
-  /** Tasks that are done, durably or not. */
+  /** Number of tasks that are done, durably or not. */
   doneCount = 0;
-  /** A task has been assigned, or found done, at some time. */
+  /** Whether any task has ever been assigned or found done. */
   started = false;
   private readonly states: Uint8Array;
-  /** All tasks from this index on have never been taken. */
-  private nextUntaken = 0;
-  /** Tasks that became ready again, the last one first; some may have changed state since. */
+  /** The tasks from this index on have never been removed from the queue. */
+  private nextUnpopped = 0;
+  /** Stack of tasks that became ready again. Some may have changed state since. */
   private readonly requeued: number[] = [];
   private readonly backedOff: BackedOffTask[] = [];
 
@@ -38,42 +39,42 @@
     this.readyCount = size;
   }
 
-  /** All tasks are done. */
+  /** Whether all tasks are done, durably or not. */
   get isComplete(): boolean {
     return this.doneCount === this.size;
   }
 
-  /** Tasks whose delay has not ended, with some that changed state meanwhile. */
+  /** Number of tasks whose delay has not ended, including those that have changed state since. */
   get backedOffCount(): number {
     return this.backedOff.length;
   }
 
-  /** Whether the task is done, durably or not. */
+  /** Reports whether the task is done, durably or not. */
   isDone(index: number): boolean {
     return this.states[index] === DONE;
   }
 
-  /** The index of the next ready task, which the caller has to assign; null when there is none. */
-  takeReady(): number | null {
+  /** Removes the next ready task from the queue and returns its index, or null when there is none. The caller must assign it. */
+  popReady(): number | null {
     while (this.requeued.length > 0) {
       const index = this.requeued.pop() as number;
       if (this.states[index] === READY) return index;
     }
-    while (this.nextUntaken < this.size) {
-      const index = this.nextUntaken++;
+    while (this.nextUnpopped < this.size) {
+      const index = this.nextUnpopped++;
       if (this.states[index] === READY) return index;
     }
     return null;
   }
 
-  /** The task is, or may be, on a machine. */
+  /** Marks a task that is, or may be, on a machine. */
   markAssigned(index: number): void {
     if (this.states[index] === READY) this.readyCount--;
     this.states[index] = ASSIGNED;
     this.started = true;
   }
 
-  /** The task is done. True when it was not known as done before. */
+  /** Marks the task as done. Returns true when it was not known to be done before. */
   markDone(index: number): boolean {
     const previous = this.states[index];
     if (previous === undefined || previous === DONE) return false;
@@ -84,26 +85,26 @@
     return true;
   }
 
-  /** The task's attempt has ended: unless done, it is ready again, at once (0) or from `until` on. */
-  requeue(index: number, until: number): void {
+  /** Makes a task whose attempt has ended ready again unless it is done, immediately (0) or at `readyAt`. */
+  requeue(index: number, readyAt: number): void {
     if (this.states[index] !== ASSIGNED) return;
-    if (until > 0) {
+    if (readyAt > 0) {
       this.states[index] = BACKED_OFF;
-      this.backedOff.push({ index, until });
+      this.backedOff.push({ index, readyAt });
     } else this.markReady(index);
   }
 
-  /** Makes tasks ready whose delay has ended. */
+  /** Makes the tasks ready whose delay has ended. */
   releaseBackedOff(now: number): void {
     for (let i = this.backedOff.length - 1; i >= 0; i--) {
-      const { index, until } = this.backedOff[i] as BackedOffTask;
-      if (until > now) continue;
+      const { index, readyAt } = this.backedOff[i] as BackedOffTask;
+      if (readyAt > now) continue;
       this.backedOff.splice(i, 1);
       if (this.states[index] === BACKED_OFF) this.markReady(index);
     }
   }
 
-  /** The bitmap of the finished tasks in a chunk, the lowest task first. */
+  /** Returns the bitmap of the done tasks in a chunk, the lowest task first. */
   chunkBits(chunk: number, tasksPerChunk: number): Uint8Array {
     const firstTask = chunk * tasksPerChunk;
     const size = Math.min(tasksPerChunk, this.size - firstTask);
@@ -113,7 +114,7 @@
     return bits;
   }
 
-  /** Marks as done what an earlier leader's bitmap says, whose first bit stands for `firstTask`. */
+  /** Marks as done the tasks in a bitmap that an earlier leader wrote. Its first bit represents `firstTask`. */
   loadBits(firstTask: number, bits: Uint8Array): void {
     for (let i = 0; i < bits.length * 8 && firstTask + i < this.size; i++)
       if (((bits[i >> 3] as number) >> (i & 7)) & 1) this.markDone(firstTask + i);
--- a/src/scheduler/state/zone-liveness.ts
+++ b/src/scheduler/state/zone-liveness.ts
@@ -1,13 +1,13 @@
-/** Which zones send heartbeats: tells a machine's failure from the loss of a whole zone. */
+/** Tracks which zones send heartbeats, to distinguish the failure of a machine from the loss of a whole zone. */
 
-/** A heartbeat that is later than this many intervals after the last one of its zone ends a gap. */
+/** A heartbeat that arrives more than this many intervals after the previous one of its zone ends a gap. */
 const GAP_HEARTBEATS = 1.5;
 
-/** When a zone sent heartbeats, on the leader's clock in milliseconds. */
+/** Heartbeat times of a zone, in milliseconds of the leader's monotonic clock. */
 export interface ZoneLiveness {
-  /** When its last heartbeat came. */
+  /** When its last heartbeat arrived. */
   last: number;
-  /** Since when there was no gap in which none of its machines sent a heartbeat. */
+  /** Since when there has been no gap in which none of its machines sent a heartbeat. */
   since: number;
 }
 
@@ -18,7 +18,7 @@
 
   constructor(private readonly heartbeatMs: number) {}
 
-  /** A machine of the zone sent a heartbeat. */
+  /** Records a heartbeat from a machine of the zone. */
   recordHeartbeat(zone: string, now: number): void {
     const liveness = this.byZone.get(zone);
     if (!liveness || now - liveness.last > this.heartbeatMs * GAP_HEARTBEATS)
--- a/test/cluster-state.test.ts
+++ b/test/cluster-state.test.ts
@@ -12,7 +12,7 @@
   sendHeartbeat,
 } from './support/scheduler.js';
 
-/** The agent's next heartbeat lists an attempt of the task as exited. */
+/** Sends a heartbeat of the agent that lists an attempt of the task as exited. */
 function listExit(
   cluster: ClusterState,
   agent: ScriptedAgent,
@@ -30,22 +30,26 @@
   );
 }
 
-test('an announced cancellation ends a job until the watch has applied its revision', () => {
+test('an announced cancellation ends a job and blocks stale watch events up to its revision', () => {
   const cluster = createCluster();
   cluster.addJob(jobSpec(), 5, 0, false);
   cluster.markJobsCurrent(10);
   cluster.announceCancellation('req-000001', 10);
-  assert.ok(cluster.jobs.has('req-000001'), 'the watch has shown that revision: it is no news');
+  assert.ok(cluster.jobs.has('req-000001'), 'the watch has already reached that revision');
   cluster.announceCancellation('req-000001', 12);
   assert.equal(cluster.jobs.size, 0);
-  assert.equal(cluster.addJob(jobSpec(), 5, 0, false), null, 'an older event of the watch');
+  assert.equal(cluster.addJob(jobSpec(), 5, 0, false), null, 'the watch event is stale');
   cluster.markJobsCurrent(11);
-  assert.equal(cluster.addJob(jobSpec(), 5, 0, false), null, 'still behind');
+  assert.equal(
+    cluster.addJob(jobSpec(), 5, 0, false),
+    null,
+    'the watch has not reached the revision yet',
+  );
   cluster.markJobsCurrent(12);
   assert.ok(cluster.addJob(jobSpec(), 5, 0, false));
 });
 
-test('dependencies that are read after their job has ended make nothing wait', () => {
+test('dependencies that are read after their job has ended are ignored', () => {
   const cluster = createCluster();
   const job = cluster.addJob(jobSpec(), 5, 0, false, { ids: [], unread: true, keys: [] });
   assert.ok(job);
@@ -54,14 +58,14 @@
   assert.equal(cluster.dependencies.hasDependents('req-000009'), false);
 });
 
-test('a new price of a machine type applies to the machines that are known', () => {
+test('a price change of a machine type applies to registered machines', () => {
   const cluster = createCluster();
   joinAgents(cluster, 1);
   cluster.updateMachineTypes([{ ...MACHINE_TYPE, price: 7 }]);
   assert.equal(cluster.machines.get('n-1')?.price, 7);
 });
 
-test('a list that was requested before the last heartbeat proves nothing of the machine', () => {
+test('a machine list requested before the last heartbeat does not remove a machine or mark it as missing', () => {
   const cluster = createCluster();
   const [agent] = joinAgents(cluster, 1);
   assert.ok(agent);
@@ -71,12 +75,12 @@
   assert.equal(cluster.machines.get('n-1')?.missingFromList, false);
 });
 
-test('only a machine of the roster is missing from a list, until its next heartbeat', () => {
+test('only a machine in the roster is marked as missing from the list, until its next heartbeat', () => {
   const cluster = createCluster();
   const [agent] = joinAgents(cluster, 1);
-  const young = new ScriptedAgent('n-2');
-  young.term = cluster.term;
-  cluster.applyHeartbeat(young.heartbeat(), 'heartbeat', 0);
+  const agentOutsideRoster = new ScriptedAgent('n-2');
+  agentOutsideRoster.term = cluster.term;
+  cluster.applyHeartbeat(agentOutsideRoster.heartbeat(), 'heartbeat', 0);
   assert.ok(agent);
   cluster.applyMachineList([], 10_000, 10_200);
   assert.equal(cluster.machines.get('n-1')?.missingFromList, true);
@@ -85,7 +89,7 @@
   assert.equal(cluster.machines.get('n-1')?.missingFromList, false);
 });
 
-test('a new agent epoch under an older token leaves the machine unconfirmed', () => {
+test('a new agent epoch under an older fencing token leaves the machine unconfirmed', () => {
   const cluster = createCluster({ term: 2 });
   const [agent] = joinAgents(cluster, 1);
   assert.ok(agent);
@@ -95,7 +99,7 @@
   assert.equal(cluster.machines.get('n-1')?.confirmed, false);
 });
 
-test('a listed task beyond the end of its job is stopped as an unknown one', () => {
+test('a listed task whose index is beyond the end of its job array is stopped as unknown', () => {
   const cluster = createCluster();
   const [agent] = joinAgents(cluster, 1);
   assert.ok(agent);
@@ -105,7 +109,7 @@
   assert.deepEqual(sendHeartbeat(cluster, agent, 100), [{ op: 'stop', ...task, graceS: 0 }]);
 });
 
-test('a start that takes effect clears the lost answers before it', () => {
+test('a start that takes effect resets the count of missed acknowledgements', () => {
   const cluster = createCluster();
   const [agent] = joinAgents(cluster, 1);
   const machine = cluster.machines.get('n-1');
@@ -113,7 +117,7 @@
   cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   runPlacementRound(cluster, 32, 100);
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
-  assert.equal(cluster.heartbeatCommands(machine).length, 1, 'an answer that is lost');
+  assert.equal(cluster.heartbeatCommands(machine).length, 1, 'a reply that gets lost');
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 200);
   assert.equal(machine.missedAcknowledgements, 1);
   runPlacementRound(cluster, 32, 200);
@@ -123,26 +127,26 @@
   assert.equal(machine.missedAcknowledgements, 0);
 });
 
-test('an exit with nothing to keep may be forgotten at once: a second success, or one of an ended job', () => {
+test('a second success of a task, or a success of an ended job, is forgotten at once', () => {
   const cluster = createCluster();
   const [first, second, third] = joinAgents(cluster, 3);
   assert.ok(first && second && third);
   cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
   listExit(cluster, first, { jobId: 'req-000001', index: 0, attempt: 71 }, 'done');
-  assert.deepEqual(sendHeartbeat(cluster, first, 200), [], 'its bit is not written');
-  const again = { jobId: 'req-000001', index: 0, attempt: 72 };
-  listExit(cluster, second, again, 'done');
-  assert.deepEqual(sendHeartbeat(cluster, second, 200), [{ op: 'forget', ...again }]);
+  assert.deepEqual(sendHeartbeat(cluster, first, 200), [], 'its bit has not been written');
+  const secondSuccess = { jobId: 'req-000001', index: 0, attempt: 72 };
+  listExit(cluster, second, secondSuccess, 'done');
+  assert.deepEqual(sendHeartbeat(cluster, second, 200), [{ op: 'forget', ...secondSuccess }]);
 
-  const late = { jobId: 'req-000001', index: 1, attempt: 73 };
-  third.tasks.set('req-000001/1/73', { ...late, state: 'running', cause: null });
+  const lateSuccess = { jobId: 'req-000001', index: 1, attempt: 73 };
+  third.tasks.set('req-000001/1/73', { ...lateSuccess, state: 'running', cause: null });
   cluster.applyHeartbeat(third.heartbeat(), 'heartbeat', 200);
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
-  listExit(cluster, third, late, 'done');
-  assert.deepEqual(sendHeartbeat(cluster, third, 300), [{ op: 'forget', ...late }]);
+  listExit(cluster, third, lateSuccess, 'done');
+  assert.deepEqual(sendHeartbeat(cluster, third, 300), [{ op: 'forget', ...lateSuccess }]);
 });
 
-test('failures of a job that is at fault itself no longer count against its machines', () => {
+test('failures of a job that fails on several machines do not count against its machines', () => {
   const cluster = createCluster();
   const agents = joinAgents(cluster, 3);
   cluster.addJob(jobSpec({ id: 'req-000001' }), 5, 0, false);
--- a/test/scheduler-history.test.ts
+++ b/test/scheduler-history.test.ts
@@ -15,266 +15,277 @@
 import type { Machine, TaskAttempt } from '../src/scheduler/state/task-attempt.js';
 import { createCluster, jobSpec, ScriptedAgent, teamQuota } from './support/scheduler.js';
 
-const LIMIT = 24;
-const STEPS = 500;
+const TEAM_CPU_LIMIT = 24;
+const STEPS_PER_HISTORY = 500;
 
-interface Command {
-  worker: ScriptedAgent;
-  term: ClusterState;
+interface DirectCommand {
+  agent: ScriptedAgent;
+  cluster: ClusterState;
   machine: Machine;
-  session: number;
+  agentEpoch: number;
   fence: number;
-  orders: TaskCommand[];
+  commands: TaskCommand[];
   starts: TaskAttempt[];
-  /** It was carried out or refused before: this is a copy, whose answer nobody takes. */
-  copied: boolean;
+  /** Whether it was executed or rejected before. The next delivery is a duplicate, whose reply is dropped. */
+  duplicated: boolean;
 }
 
 /**
- * A world of a few workers under leaders that come and go: reports are late,
- * answers are lost, commands arrive late or never, leases run out, machines
- * die, jobs are cancelled. What must hold is looked at after every step.
+ * Simulates a few agents under changing leaders: heartbeats are delayed, replies
+ * are lost, commands are delayed or dropped, leases expire, machines terminate
+ * and jobs are cancelled. The invariants are checked after every step.
  */
-class World {
+class ClusterSimulation {
   private readonly rng;
   private now = 0;
-  private c: ClusterState;
-  private readonly workers: ScriptedAgent[] = [];
-  private readonly done = new Set<string>();
-  private readonly live = new Map<string, number>();
-  /** Pages of the roster as they stand in the state service. */
-  private readonly roster = new Map<string, { version: number; machines: RosterEntry[] }>();
-  /** Versions of the bitmaps that stand. */
-  private readonly bits = new Map<string, number>();
+  private cluster: ClusterState;
+  private readonly agents: ScriptedAgent[] = [];
+  private readonly doneTasks = new Set<string>();
+  private readonly liveJobVersions = new Map<string, number>();
+  /** Roster pages as stored in the state service. */
+  private readonly rosterPages = new Map<string, { version: number; machines: RosterEntry[] }>();
+  /** Versions of the stored bitmaps, by job id. */
+  private readonly bitmapVersions = new Map<string, number>();
   private revision = 0;
-  /** Roster writes that had no answer and may still be applied. */
-  private lateWrites: { term: ClusterState; unit: DurableWrite }[] = [];
-  /** Reports on their way, each with the leader it was sent to. */
-  private lateReports: { report: Heartbeat; term: ClusterState }[] = [];
-  private commands: Command[] = [];
-  private version = 0;
-  private machines = 0;
-  started = 0;
-  finished = 0;
+  /** Writes that got no reply and may still be applied. */
+  private delayedWrites: { cluster: ClusterState; write: DurableWrite }[] = [];
+  /** Heartbeats in transit, each with the leader to which it was sent. */
+  private delayedHeartbeats: { heartbeat: Heartbeat; cluster: ClusterState }[] = [];
+  private commands: DirectCommand[] = [];
+  private jobCount = 0;
+  private machineCount = 0;
+  startedTasks = 0;
+  finishedJobs = 0;
 
   constructor(seed: number) {
     this.rng = xoroshiro128plus(seed);
-    this.c = this.leader(1);
-    for (let i = 0; i < 3; i++) this.addWorker();
+    this.cluster = this.createLeader(1);
+    for (let i = 0; i < 3; i++) this.addAgent();
   }
 
-  private pick(n: number): number {
-    return uniformInt(this.rng, 0, n - 1);
+  private randomInt(bound: number): number {
+    return uniformInt(this.rng, 0, bound - 1);
   }
 
-  private one<T>(list: T[]): T | undefined {
-    return list.length > 0 ? list[this.pick(list.length)] : undefined;
+  private randomElement<T>(list: T[]): T | undefined {
+    return list.length > 0 ? list[this.randomInt(list.length)] : undefined;
   }
 
-  private leader(term: number): ClusterState {
-    const cluster = createCluster({ term, teams: [teamQuota({ name: 'ops', maxCpus: LIMIT })] });
-    // The leader key's version fences what an earlier leader still has on its way.
-    this.lateWrites = [];
-    for (const [key, page] of this.roster) {
+  private createLeader(term: number): ClusterState {
+    const cluster = createCluster({
+      term,
+      teams: [teamQuota({ name: 'ops', maxCpus: TEAM_CPU_LIMIT })],
+    });
+    // The version of the leader key fences in-flight writes of earlier leaders.
+    this.delayedWrites = [];
+    for (const [key, page] of this.rosterPages) {
       cluster.roster.restore(key, page.version, page.machines);
       for (const entry of page.machines)
         cluster.inheritMachine(entry.id, entry.type, entry.zone, entry.spot, '', this.now);
     }
-    for (const [id, version] of this.live) {
+    for (const [id, version] of this.liveJobVersions) {
       const job = cluster.addJob(jobSpec({ id, tasks: 3 }), version, 0, true);
-      for (let i = 0; i < 3; i++) if (this.done.has(`${id}/${i}`)) job?.markDone(i);
-      if (this.bits.has(id)) job?.chunkVersions.set(0, this.bits.get(id) as number);
+      for (let i = 0; i < 3; i++) if (this.doneTasks.has(`${id}/${i}`)) job?.markDone(i);
+      if (this.bitmapVersions.has(id))
+        job?.chunkVersions.set(0, this.bitmapVersions.get(id) as number);
     }
     return cluster;
   }
 
-  private addWorker(): void {
-    this.workers.push(new ScriptedAgent(`n-${++this.machines}`));
+  private addAgent(): void {
+    this.agents.push(new ScriptedAgent(`n-${++this.machineCount}`));
   }
 
   step(): void {
-    this.now += 100 + this.pick(400);
-    const worker = this.one(this.workers);
-    const event = this.pick(16);
-    const common = this.commonEvents[event];
-    if (common) common();
-    else if (worker) this.workerEvent(event, worker);
-    this.check();
+    this.now += 100 + this.randomInt(400);
+    const agent = this.randomElement(this.agents);
+    const event = this.randomInt(16);
+    const clusterEvent = this.clusterEvents[event];
+    if (clusterEvent) clusterEvent();
+    else if (agent) this.runAgentEvent(event, agent);
+    this.checkInvariants();
   }
 
-  /** By draw: events that need no worker. Numbers that stand in neither list are reports with their answers. */
-  private readonly commonEvents: Record<number, () => void> = {
-    0: () => this.submit(),
-    1: () => this.cancel(),
-    4: () => this.takeOver(),
-    5: () => this.commandsOut(),
-    6: () => this.commandIn(),
-    7: () => this.flush(),
-    9: () => this.lateReportIn(),
-    14: () => this.commandIn(),
+  /** Events that need no agent, by random number. Numbers in neither list are heartbeats with their replies. */
+  private readonly clusterEvents: Record<number, () => void> = {
+    0: () => this.submitJob(),
+    1: () => this.cancelJob(),
+    4: () => this.failOver(),
+    5: () => this.sendCommands(),
+    6: () => this.deliverCommand(),
+    7: () => this.writePending(),
+    9: () => this.deliverDelayedHeartbeat(),
+    14: () => this.deliverCommand(),
   };
 
-  private workerEvent(event: number, worker: ScriptedAgent): void {
+  private runAgentEvent(event: number, agent: ScriptedAgent): void {
     switch (event) {
       case 2:
-        if (this.pick(2) === 0) worker.lapse();
+        if (this.randomInt(2) === 0) agent.lapse();
         break;
       case 3:
-        if (this.pick(6) === 0) this.die(worker);
+        if (this.randomInt(6) === 0) this.terminateMachine(agent);
         break;
       case 8:
-        this.lateReports.push({ report: worker.heartbeat(), term: this.c });
+        this.delayedHeartbeats.push({ heartbeat: agent.heartbeat(), cluster: this.cluster });
         break;
       case 10:
-        this.endTasks(worker);
+        this.exitTasks(agent);
         break;
       default:
-        this.reportIn(worker);
+        this.exchangeHeartbeat(agent);
     }
   }
 
-  private submit(): void {
-    this.live.set(`req-${++this.version}`, this.version);
-    this.c.addJob(jobSpec({ id: `req-${this.version}`, tasks: 3 }), this.version, this.now, false);
+  private submitJob(): void {
+    this.liveJobVersions.set(`req-${++this.jobCount}`, this.jobCount);
+    this.cluster.addJob(
+      jobSpec({ id: `req-${this.jobCount}`, tasks: 3 }),
+      this.jobCount,
+      this.now,
+      false,
+    );
   }
 
-  private cancel(): void {
-    const id = this.one([...this.live.keys()]);
-    if (!id || this.pick(6) > 0) return;
-    this.live.delete(id);
-    this.c.endJob(id, { state: 'cancelled', at: null });
+  private cancelJob(): void {
+    const id = this.randomElement([...this.liveJobVersions.keys()]);
+    if (!id || this.randomInt(6) > 0) return;
+    this.liveJobVersions.delete(id);
+    this.cluster.endJob(id, { state: 'cancelled', at: null });
   }
 
-  private takeOver(): void {
-    if (this.pick(9) > 0) return;
-    this.c = this.leader(this.c.term + 1);
-    // Of the commands of two leaders ago no machine takes one any more.
-    this.commands = this.commands.filter((x) => x.term.term >= this.c.term - 1);
+  private failOver(): void {
+    if (this.randomInt(9) > 0) return;
+    this.cluster = this.createLeader(this.cluster.term + 1);
+    // No machine accepts commands from leaders before the previous one.
+    this.commands = this.commands.filter(
+      (command) => command.cluster.term >= this.cluster.term - 1,
+    );
   }
 
-  private die(worker: ScriptedAgent): void {
-    this.workers.splice(this.workers.indexOf(worker), 1);
-    this.c.markTerminated(worker.id, 'died', this.now);
-    this.addWorker();
+  private terminateMachine(agent: ScriptedAgent): void {
+    this.agents.splice(this.agents.indexOf(agent), 1);
+    this.cluster.markTerminated(agent.id, 'died', this.now);
+    this.addAgent();
   }
 
-  private endTasks(worker: ScriptedAgent): void {
-    for (const [key, task] of worker.tasks)
-      if (task.state === 'running' && this.pick(2) === 0)
-        worker.exit(key, this.pick(5) === 0 ? 'error' : 'done');
+  private exitTasks(agent: ScriptedAgent): void {
+    for (const [key, task] of agent.tasks)
+      if (task.state === 'running' && this.randomInt(2) === 0)
+        agent.exit(key, this.randomInt(5) === 0 ? 'error' : 'done');
   }
 
-  private lateReportIn(): void {
-    const late = this.one(this.lateReports);
-    if (!late) return;
-    this.lateReports.splice(this.lateReports.indexOf(late), 1);
-    // Its worker has given it up, so the answer goes nowhere.
-    this.answer(late.report, late.term);
+  private deliverDelayedHeartbeat(): void {
+    const delayed = this.randomElement(this.delayedHeartbeats);
+    if (!delayed) return;
+    this.delayedHeartbeats.splice(this.delayedHeartbeats.indexOf(delayed), 1);
+    // The agent no longer waits for the reply, so it is dropped.
+    this.handleHeartbeat(delayed.heartbeat, delayed.cluster);
   }
 
-  private reportIn(worker: ScriptedAgent): void {
-    const term = this.c;
-    const commands = this.answer(worker.heartbeat(), term);
-    const fence = term.machines.get(worker.id)?.fence ?? 0;
-    if (this.pick(4) > 0) worker.execute(term.term, commands, fence);
+  private exchangeHeartbeat(agent: ScriptedAgent): void {
+    const cluster = this.cluster;
+    const commands = this.handleHeartbeat(agent.heartbeat(), cluster);
+    const fence = cluster.machines.get(agent.id)?.fence ?? 0;
+    if (this.randomInt(4) > 0) agent.execute(cluster.term, commands, fence);
   }
 
-  private answer(heartbeat: Heartbeat, cluster: ClusterState): TaskCommand[] {
+  private handleHeartbeat(heartbeat: Heartbeat, cluster: ClusterState): TaskCommand[] {
     if (heartbeat.term > cluster.term) return [];
     if (!cluster.applyHeartbeat(heartbeat, 'heartbeat', this.now)) return [];
-    // A leader that another has followed has no proof any more and starts nothing.
-    if (cluster !== this.c) return [];
-    this.started += runPlacementRound(cluster, 32, this.now).started.length;
+    // A leader that has been succeeded has no proof of leadership and starts nothing.
+    if (cluster !== this.cluster) return [];
+    this.startedTasks += runPlacementRound(cluster, 32, this.now).started.length;
     const machine = cluster.machines.get(heartbeat.machineId);
     if (!machine) return [];
     raiseFenceIfDue(machine, cluster.timing, this.now);
     return cluster.heartbeatCommands(machine);
   }
 
-  private commandsOut(): void {
-    for (const machine of [...this.c.pendingCommands]) {
-      this.c.pendingCommands.delete(machine);
-      const worker = this.workers.find((w) => w.id === machine.id);
-      const { commands: orders, starts } = takePendingCommands(machine);
-      if (worker && orders.length > 0)
+  private sendCommands(): void {
+    for (const machine of [...this.cluster.pendingCommands]) {
+      this.cluster.pendingCommands.delete(machine);
+      const agent = this.agents.find((candidate) => candidate.id === machine.id);
+      const { commands, starts } = takePendingCommands(machine);
+      if (agent && commands.length > 0)
         this.commands.push({
-          worker,
-          term: this.c,
+          agent,
+          cluster: this.cluster,
           machine,
-          session: machine.agentEpoch,
+          agentEpoch: machine.agentEpoch,
           fence: machine.fence,
-          orders,
+          commands,
           starts,
-          copied: false,
+          duplicated: false,
         });
     }
   }
 
-  /** A command arrives, perhaps long after it was sent, and a copy of it later still; its answer may be lost. */
-  private commandIn(): void {
-    const cmd = this.one(this.commands);
-    if (!cmd) return;
-    const copied = cmd.copied;
-    if (this.pick(3) === 0) cmd.copied = true;
-    else this.commands.splice(this.commands.indexOf(cmd), 1);
-    if (!this.workers.includes(cmd.worker)) return;
+  /** Delivers a command, possibly long after it was sent and again as a duplicate. Its reply may be lost. */
+  private deliverCommand(): void {
+    const command = this.randomElement(this.commands);
+    if (!command) return;
+    const duplicated = command.duplicated;
+    if (this.randomInt(3) === 0) command.duplicated = true;
+    else this.commands.splice(this.commands.indexOf(command), 1);
+    if (!this.agents.includes(command.agent)) return;
     const executed =
-      cmd.session === cmd.worker.agentEpoch &&
-      cmd.worker.execute(cmd.term.term, cmd.orders, cmd.fence);
-    if (copied || this.pick(3) === 0) return;
-    const heartbeat = cmd.worker.heartbeat();
-    if (heartbeat.term <= cmd.term.term)
-      cmd.term.applyHeartbeat(heartbeat, 'commandReply', this.now);
-    cmd.term.applyCommandResult(cmd.starts, executed, heartbeat.sequence);
+      command.agentEpoch === command.agent.agentEpoch &&
+      command.agent.execute(command.cluster.term, command.commands, command.fence);
+    if (duplicated || this.randomInt(3) === 0) return;
+    const heartbeat = command.agent.heartbeat();
+    if (heartbeat.term <= command.cluster.term)
+      command.cluster.applyHeartbeat(heartbeat, 'commandReply', this.now);
+    command.cluster.applyCommandResult(command.starts, executed, heartbeat.sequence);
   }
 
-  private flush(): void {
-    for (const { job, chunk } of chunksOfUnknownVersion(this.c))
-      job.chunkVersions.set(chunk, this.bits.get(job.spec.id) ?? 0);
-    for (const write of pendingWrites(this.c, { progressChanges: 9, wallNow: 0 })) {
-      const fate = this.pick(8);
-      if (fate < 2) {
-        if (fate === 0) this.lateWrites.push({ term: this.c, unit: write });
-        write.retry(fate === 0);
+  private writePending(): void {
+    for (const { job, chunk } of chunksOfUnknownVersion(this.cluster))
+      job.chunkVersions.set(chunk, this.bitmapVersions.get(job.spec.id) ?? 0);
+    for (const write of pendingWrites(this.cluster, { progressChanges: 9, wallNow: 0 })) {
+      const outcome = this.randomInt(8);
+      if (outcome < 2) {
+        if (outcome === 0) this.delayedWrites.push({ cluster: this.cluster, write });
+        write.retry(outcome === 0);
         continue;
       }
-      if (this.apply(write)) write.applied(this.revision);
-      else write.conflict(this.failed(write));
+      if (this.applyWrite(write)) write.applied(this.revision);
+      else write.conflict(this.failedConditionKeys(write));
     }
-    const late = this.one(this.lateWrites);
-    if (!late || this.pick(3) > 0) return;
-    this.lateWrites.splice(this.lateWrites.indexOf(late), 1);
-    this.apply(late.unit);
+    const delayed = this.randomElement(this.delayedWrites);
+    if (!delayed || this.randomInt(3) > 0) return;
+    this.delayedWrites.splice(this.delayedWrites.indexOf(delayed), 1);
+    this.applyWrite(delayed.write);
   }
 
   private versionOf(key: string): number {
     const [kind, id = ''] = key.split('/');
-    if (kind === 'roster') return this.roster.get(id)?.version ?? 0;
-    return (kind === 'live' ? this.live : this.bits).get(id) ?? 0;
+    if (kind === 'roster') return this.rosterPages.get(id)?.version ?? 0;
+    return (kind === 'live' ? this.liveJobVersions : this.bitmapVersions).get(id) ?? 0;
   }
 
-  private failed(write: DurableWrite): string[] {
+  private failedConditionKeys(write: DurableWrite): string[] {
     const failed = write.conditions.filter(
       (condition) => this.versionOf(condition.key) !== condition.version,
     );
     return failed.map((condition) => condition.key);
   }
 
-  /** The state service's part: all or nothing, over the versions of its keys. */
-  private apply(write: DurableWrite): boolean {
-    if (this.failed(write).length > 0) return false;
+  /** Applies a write as the state service does: completely if all key versions match, otherwise not at all. */
+  private applyWrite(write: DurableWrite): boolean {
+    if (this.failedConditionKeys(write).length > 0) return false;
     this.revision++;
     for (const change of write.changes) {
       const [kind, id = ''] = change.key.split('/');
       if (kind === 'roster' && change.op === 'put')
-        this.roster.set(id, {
+        this.rosterPages.set(id, {
           version: this.revision,
           machines: [...(change.value as { machines: RosterEntry[] }).machines],
         });
-      else if (kind === 'roster') this.roster.delete(id);
+      else if (kind === 'roster') this.rosterPages.delete(id);
       else if (kind === 'over') {
-        this.finished++;
-        this.live.delete(id);
+        this.finishedJobs++;
+        this.liveJobVersions.delete(id);
       } else if (kind === 'bits' && change.op === 'put') this.putBits(id, String(change.value));
     }
     return true;
@@ -282,62 +293,65 @@
 
   private putBits(id: string, value: string): void {
     const bits = Buffer.from(value, 'base64');
-    this.bits.set(id, this.revision);
+    this.bitmapVersions.set(id, this.revision);
     for (let i = 0; i < 3; i++) {
-      const set = ((bits[0] ?? 0) >> i) & 1;
-      assert.ok(set || !this.done.has(`${id}/${i}`), 'a finished task was taken back');
-      if (set) this.done.add(`${id}/${i}`);
+      const isSet = ((bits[0] ?? 0) >> i) & 1;
+      assert.ok(
+        isSet || !this.doneTasks.has(`${id}/${i}`),
+        'a done task is no longer marked as done',
+      );
+      if (isSet) this.doneTasks.add(`${id}/${i}`);
     }
   }
 
-  private check(): void {
-    const running = this.workers.flatMap((w) => w.running());
+  private checkInvariants(): void {
+    const running = this.agents.flatMap((agent) => agent.running());
     assert.equal(new Set(running).size, running.length, 'a task runs on two machines');
-    assert.ok(running.length * 4 <= LIMIT, 'the team is over its limit');
-    const rostered = new Set(
-      [...this.roster.values()].flatMap((p) => p.machines.map((entry) => entry.id)),
+    assert.ok(running.length * 4 <= TEAM_CPU_LIMIT, 'the team exceeds its quota');
+    const rosterMachineIds = new Set(
+      [...this.rosterPages.values()].flatMap((page) => page.machines.map((entry) => entry.id)),
     );
-    for (const w of this.workers)
-      if (w.running().length > 0)
-        assert.ok(rostered.has(w.id), 'a machine with tasks is not in the roster');
-    // What is kept up as machines are confirmed and go must equal a count made anew.
+    for (const agent of this.agents)
+      if (agent.running().length > 0)
+        assert.ok(rosterMachineIds.has(agent.id), 'a machine with tasks is not in the roster');
+    // Counts that are updated as machines are confirmed or removed must match a recount.
     for (const zone of [null, 'a', 'b'])
       for (const spot of [true, false]) {
         const job = jobSpec({ zone, allowsSpot: spot });
-        const held = [...this.c.machines.values()].some(
+        const held = [...this.cluster.machines.values()].some(
           (machine) => machine.inherited && satisfiesConstraints(machine, job),
         );
         assert.equal(
-          this.c.inheritedMachines.mayHold(job),
+          this.cluster.inheritedMachines.mayHold(job),
           held,
           'inherited machines are miscounted',
         );
       }
     let used = 0;
-    for (const machine of this.c.machines.values())
+    for (const machine of this.cluster.machines.values())
       for (const attempt of machine.attempts.values())
         if (attempt.state !== 'exited') used += attempt.job.spec.cpus;
     assert.equal(
-      this.c.quotaUsage.get('ops')?.cpus ?? 0,
+      this.cluster.quotaUsage.get('ops')?.cpus ?? 0,
       used,
-      'the use of the team is miscounted',
+      'the quota usage of the team is miscounted',
     );
   }
 }
 
-test('over random histories no task runs twice, no limit is overrun, and work gets done', () => {
-  let started = 0;
-  let finished = 0;
+test('over random histories no task runs twice, no quota is exceeded, and work is completed', () => {
+  let startedTasks = 0;
+  let finishedJobs = 0;
   for (let seed = 1; seed <= 100; seed++) {
-    const world = new World(seed);
+    const simulation = new ClusterSimulation(seed);
     try {
-      for (let i = 0; i < STEPS; i++) world.step();
+      for (let i = 0; i < STEPS_PER_HISTORY; i++) simulation.step();
     } catch (error) {
       throw new Error(`seed ${seed}: ${(error as Error).message}`, { cause: error });
     }
-    started += world.started;
-    finished += world.finished;
+    startedTasks += simulation.startedTasks;
+    finishedJobs += simulation.finishedJobs;
   }
-  assert.ok(started > 1000, `only ${started} starts`);
-  assert.ok(finished > 50, `only ${finished} jobs done`);
+  assert.ok(startedTasks > 1000, `only ${startedTasks} starts`);
+  assert.ok(finishedJobs > 50, `only ${finishedJobs} jobs done`);
 });
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -84,11 +84,11 @@
   };
 }
 
-/** A worker by script: it executes orders as the protocol says and reports when told to. */
+/** A simulated agent that executes commands as the protocol specifies. Tests request its heartbeats. */
 export class ScriptedAgent {
   agentEpoch = 1;
   sequence = 0;
-  /** The highest token seen, in its two parts. */
+  /** The highest fencing token seen, in its two parts. */
   term = 0;
   fence = 0;
   preemptionNoticeS: number | null = null;
@@ -115,7 +115,7 @@
       term: this.term,
       fence: this.fence,
       preemptionNoticeS: this.preemptionNoticeS,
-      tasks: [...this.tasks.values()].map((t) => ({ ...t, saved: false })),
+      tasks: [...this.tasks.values()].map((task) => ({ ...task, saved: false })),
     };
   }
 
@@ -123,11 +123,11 @@
     if (term < this.term || (term === this.term && fence < this.fence)) return false;
     this.term = term;
     this.fence = fence;
-    for (const command of commands) this.carryOut(command);
+    for (const command of commands) this.executeCommand(command);
     return true;
   }
 
-  private carryOut(command: TaskCommand): void {
+  private executeCommand(command: TaskCommand): void {
     const { op, jobId, index, attempt } = command;
     const key = `${jobId}/${index}/${attempt}`;
     const known = this.tasks.get(key);
@@ -139,13 +139,13 @@
   }
 
   exit(key: string, cause: ExitCause): void {
-    const t = this.tasks.get(key);
-    if (!t) throw new Error(`no task ${key}`);
-    t.state = 'exited';
-    t.cause = cause;
+    const task = this.tasks.get(key);
+    if (!task) throw new Error(`the agent has no task ${key}`);
+    task.state = 'exited';
+    task.cause = cause;
   }
 
-  /** Its lease ran out. */
+  /** Simulates the expiry of its lease. */
   lapse(): void {
     this.agentEpoch++;
     this.tasks.clear();
@@ -153,34 +153,42 @@
 
   running(): string[] {
     return [...this.tasks.values()]
-      .filter((t) => t.state !== 'exited')
-      .map((t) => `${t.jobId}/${t.index}`);
+      .filter((task) => task.state !== 'exited')
+      .map((task) => `${task.jobId}/${task.index}`);
   }
 }
 
-/** Brings a machine up, confirmed and in the roster, as a leader's duties would. */
-export function joinCluster(cluster: ClusterState, w: ScriptedAgent, now: number): ScriptedAgent {
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
-  w.execute(cluster.term, []);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
-  const machine = cluster.machines.get(w.id);
-  if (!machine) throw new Error('machine is not known');
+/** Brings a machine up that is confirmed and in the roster, as the leader's routines would. */
+export function joinCluster(
+  cluster: ClusterState,
+  agent: ScriptedAgent,
+  now: number,
+): ScriptedAgent {
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
+  agent.execute(cluster.term, []);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
+  const machine = cluster.machines.get(agent.id);
+  if (!machine) throw new Error('the heartbeats did not register the machine');
   machine.inRoster = true;
   cluster.pendingRosterAdds.delete(machine);
-  return w;
+  return agent;
 }
 
-/** One report with its answer executed. */
-export function sendHeartbeat(cluster: ClusterState, w: ScriptedAgent, now: number): TaskCommand[] {
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', now);
-  const machine = cluster.machines.get(w.id);
+/** Sends a heartbeat and executes the commands in its reply. */
+export function sendHeartbeat(
+  cluster: ClusterState,
+  agent: ScriptedAgent,
+  now: number,
+): TaskCommand[] {
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', now);
+  const machine = cluster.machines.get(agent.id);
   if (machine) raiseFenceIfDue(machine, cluster.timing, now);
   const commands = machine ? cluster.heartbeatCommands(machine) : [];
-  w.execute(cluster.term, commands, machine?.fence ?? 0);
+  agent.execute(cluster.term, commands, machine?.fence ?? 0);
   return commands;
 }
 
-/** A cluster with one machine, n-1, that has joined, and a new job of so many tasks. */
+/** Creates a cluster with one joined machine, n-1, and a new job with this many tasks. */
 export function clusterWithJob(tasks: number) {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
--- a/test/task-attempt.test.ts
+++ b/test/task-attempt.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { createCluster, jobSpec, joinCluster, ScriptedAgent } from './support/scheduler.js';
 
-/** A job of four tasks of 4 CPUs and 8 GB each, with an attempt of the first on a machine. */
+/** Creates a job of four tasks with 4 CPUs and 8 GB each, and assigns the first one to a machine. */
 function assignOne() {
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
@@ -13,7 +13,7 @@
   return { job, machine, attempt: cluster.assign(job, index, machine, 0) };
 }
 
-test('an attempt releases what it uses of its machine once, by its exit or by its removal', () => {
+test('an attempt releases its resources on the machine exactly once, at its exit or its removal', () => {
   const exited = assignOne();
   assert.deepEqual([exited.machine.usedCpus, exited.machine.usedMemoryGb], [4, 8]);
   exited.machine.markExited(exited.attempt);
@@ -28,7 +28,7 @@
   assert.deepEqual([left.machine.usedCpus, left.machine.attempts.size], [0, 0]);
 });
 
-test('the end of an attempt that is not the active one of its task changes nothing of the job', () => {
+test('the removal of an attempt that is not the active one of its task does not change the job', () => {
   const { job, machine, attempt } = assignOne();
   const other = { ...attempt, attempt: attempt.attempt + 1 };
   job.removeAttempt(other, 0);
--- a/test/task-states.test.ts
+++ b/test/task-states.test.ts
@@ -2,40 +2,40 @@
 import { test } from 'node:test';
 import { TaskStates } from '../src/scheduler/state/task-states.js';
 
-/** All ready tasks, in the order in which they are taken; each is assigned at once. */
-function takeAll(states: TaskStates): number[] {
-  const taken: number[] = [];
-  for (let index = states.takeReady(); index !== null; index = states.takeReady()) {
+/** Pops and assigns all ready tasks. Returns them in the order in which they were popped. */
+function popAll(states: TaskStates): number[] {
+  const popped: number[] = [];
+  for (let index = states.popReady(); index !== null; index = states.popReady()) {
     states.markAssigned(index);
-    taken.push(index);
+    popped.push(index);
   }
-  return taken;
+  return popped;
 }
 
-test('a task whose attempt ended is taken again, and one that backs off only from its time on', () => {
+test('a task becomes ready again when its attempt ends, or when its delay ends if it is backed off', () => {
   const states = new TaskStates(3);
-  assert.deepEqual(takeAll(states), [0, 1, 2]);
+  assert.deepEqual(popAll(states), [0, 1, 2]);
   states.requeue(0, 0);
   states.requeue(1, 50);
   assert.deepEqual([states.readyCount, states.backedOffCount], [1, 1]);
   states.releaseBackedOff(49);
-  assert.deepEqual(takeAll(states), [0]);
+  assert.deepEqual(popAll(states), [0]);
   states.releaseBackedOff(50);
   assert.deepEqual([states.readyCount, states.backedOffCount], [1, 0]);
-  assert.deepEqual(takeAll(states), [1]);
+  assert.deepEqual(popAll(states), [1]);
 });
 
-test('a task that was found done while it was ready or backed off never becomes ready again', () => {
+test('a task that is marked as done while it is ready or backed off never becomes ready again', () => {
   const states = new TaskStates(2);
-  takeAll(states);
+  popAll(states);
   states.requeue(0, 0);
   states.requeue(1, 50);
   assert.equal(states.markDone(0), true);
   assert.equal(states.markDone(1), true);
   states.releaseBackedOff(50);
   assert.deepEqual([states.readyCount, states.doneCount], [0, 2]);
-  assert.equal(states.takeReady(), null);
-  // Nor by the end of another attempt of it.
+  assert.equal(states.popReady(), null);
+  // The end of another attempt of the task does not make it ready either.
   states.requeue(0, 0);
   states.requeue(1, 60);
   states.releaseBackedOff(60);
@@ -44,16 +44,16 @@
   assert.equal(states.doneCount, 2);
 });
 
-test('a task that was adopted after its return to the queue is not taken from it', () => {
+test('a task that is marked as assigned after its return to the queue is not returned as ready', () => {
   const states = new TaskStates(1);
-  takeAll(states);
+  popAll(states);
   states.requeue(0, 0);
   states.markAssigned(0);
   assert.equal(states.readyCount, 0);
-  assert.equal(states.takeReady(), null);
+  assert.equal(states.popReady(), null);
 });
 
-test('a bitmap is read back as it was written, and bits beyond the tasks count for nothing', () => {
+test('a bitmap is read back as it was written, and bits beyond the last task are ignored', () => {
   const states = new TaskStates(21);
   for (const index of [0, 7, 8, 15, 16, 20]) states.markDone(index);
   const chunks = [states.chunkBits(0, 16), states.chunkBits(1, 16)];
