--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -1,4 +1,4 @@
-/** Finished tasks of live jobs, by chunks of a bitmap. */
+/** Writes the finished tasks of live jobs, in chunks of a bitmap. */
 
 import type { Change, Condition } from '../../protocol/key-value-protocol.js';
 import { encodeFinishedTasks } from '../../records/finished-tasks-record.js';
@@ -7,7 +7,7 @@
 import type { Job, TaskAttempt } from '../state/task-attempt.js';
 import type { DurableWrite } from './durable-write.js';
 
-/** Bytes of a chunk's write without the job's id, which is in both keys, and the bitmap. */
+/** Size of a chunk's write without the bitmap and the job's id, which is in both keys. */
 const CHUNK_BYTES = 500;
 
 /** A chunk of a job's bitmap. */
@@ -17,9 +17,9 @@
 }
 
 /**
- * Chunks with finished tasks to write whose version in the state service is
- * not known, since a write of them had no answer. They are written once it has
- * been read.
+ * Returns the chunks with finished tasks to write whose version in the state
+ * service is unknown, because a write of them received no response. They are
+ * written once the version has been read.
  */
 export function chunksOfUnknownVersion(cluster: ClusterState): BitmapChunk[] {
   const chunks: BitmapChunk[] = [];
@@ -30,9 +30,9 @@
 }
 
 /**
- * Writes all finished tasks of a chunk as they are now; null while the version
- * of the chunk is not known. The chunk counts as saved until the outcome of
- * the write is known.
+ * Creates a write of all tasks of a chunk that are finished now. Returns null
+ * while the version of the chunk is unknown. The chunk counts as saved until the
+ * outcome of the write is known.
  */
 export function takeChunkWrite(
   cluster: ClusterState,
@@ -44,16 +44,16 @@
   if (version === null) return null;
   const write = new BitmapChunkWrite(cluster, job, chunk, finished, version ?? 0);
   job.unsavedChunks.delete(chunk);
-  // A first write that gets no answer may still leave a key, which has to be deleted with the job.
+  // A first write without a response may still create the key, which must be deleted with the job.
   job.chunkVersions.set(chunk, version ?? 0);
   return write;
 }
 
 /**
- * One write of a chunk, over the version that is known of it: without that a
- * late copy of an older write would take finished tasks back that their agents
- * have been told to forget. The condition on the live job keeps a late copy
- * from leaving a key behind for a job that has ended.
+ * A write of a chunk, on condition of its known version. Without this condition,
+ * an older write that is applied late would remove finished tasks that their
+ * agents have already forgotten. The condition on the live job prevents a late
+ * write from creating a key for a job that has ended.
  */
 class BitmapChunkWrite implements DurableWrite {
   readonly conditions: Condition[];
@@ -66,7 +66,7 @@
     private readonly chunk: number,
     /** Attempts that may be forgotten once their tasks are durably done. */
     private readonly finished: TaskAttempt[],
-    /** Version of the chunk over which it is written; 0: it does not exist. */
+    /** Version of the chunk that is replaced; 0 if it does not exist. */
     private readonly version: number,
   ) {
     const { id } = job.spec;
@@ -85,13 +85,16 @@
     this.letForget();
   }
 
-  /** The job has ended, and its progress need not be kept, or another version of the chunk exists. */
+  /**
+   * Allows the tasks to be forgotten if the job has ended, since its progress need
+   * not be kept. Otherwise another version of the chunk exists and has to be read.
+   */
   conflict(failedKeys: string[]): void {
     if (failedKeys.includes(liveJobKey(this.job.spec.id))) this.letForget();
     else this.markUnsaved(null);
   }
 
-  /** Unless it was never sent, the version that exists now has to be read first. */
+  /** Marks the chunk unsaved; unless the write was never sent, the stored version has to be read first. */
   retry(mayBeApplied: boolean): void {
     this.markUnsaved(mayBeApplied ? null : this.version);
   }
@@ -103,7 +106,7 @@
       return;
     }
     job.chunkVersions.set(chunk, version);
-    // Further tasks of the chunk may have finished meanwhile.
+    // Further tasks of the chunk may have finished in the meantime.
     job.unsavedChunks.set(chunk, [...this.finished, ...(job.unsavedChunks.get(chunk) ?? [])]);
   }
 
--- a/src/scheduler/persistence/job-end-writes.ts
+++ b/src/scheduler/persistence/job-end-writes.ts
@@ -1,11 +1,11 @@
 /**
- * Ends of jobs: completions, and cancellations that follow from the
+ * Writes the ends of jobs: completions, and cancellations that follow from the
  * cancellation of a dependency.
  *
- * Both create the record of the ended job and delete that of the live one, on
- * the condition that the live record is the one that was accepted. An end is
- * never rewritten, and an id is never accepted twice: a late copy fails,
- * since the live record is gone.
+ * Both create the record of the ended job and delete the live record, on the
+ * condition that the live record is the one that was accepted. An end is never
+ * rewritten and an id is never accepted twice, so a late copy fails because the
+ * live record is gone.
  */
 
 import type { JobEnd } from '../../model/job.js';
@@ -16,10 +16,10 @@
 import type { Job } from '../state/task-attempt.js';
 import type { DurableWrite } from './durable-write.js';
 
-/** Bytes of a job's end without its id, which is in both keys. */
+/** Size of the write of a job's end without its id, which is in both keys. */
 const END_BYTES = 400;
 
-/** Moves a job to the ended ones. Nothing changes here before it is known to be durable. */
+/** Moves a job to the ended jobs. The cluster state changes only after the end is durable. */
 abstract class JobEndWrite implements DurableWrite {
   readonly conditions: Condition[];
   readonly changes: Change[];
@@ -39,40 +39,40 @@
     this.size = END_BYTES + 2 * id.length;
   }
 
-  /** The job leaves the live ones, and what runs of it is stopped. */
+  /** Removes the job from the live jobs and stops its running tasks. */
   applied(): void {
     this.cluster.endJob(this.job.spec.id, this.end);
   }
 
   abstract conflict(): void;
 
-  /** The job is still here, and its end will be among the pending writes again. */
+  /** Does nothing: the job is still live, so its end will be among the pending writes again. */
   retry(): void {}
 }
 
-/** All tasks of the job are done. */
+/** Ends a job whose tasks are all done. */
 export class JobCompletionWrite extends JobEndWrite {
-  /** `wallNow`: the time of day that is recorded as that of its end, in milliseconds. */
+  /** `wallNow` is the wall-clock time that is recorded for the end, in milliseconds. */
   constructor(cluster: ClusterState, job: Job, wallNow: number) {
     super(cluster, job, { state: 'done', at: wallNow });
   }
 
-  /** Its live record is gone, so it has an end already, which may be a cancellation. */
+  /** Handles a missing live record: the job already has an end, which may be a cancellation. */
   conflict(): void {
     this.cluster.endJob(this.job.spec.id, null);
   }
 }
 
 /**
- * A dependency of the job was cancelled, so it is cancelled too. It has never
- * been ready, so whoever has ended it meanwhile has cancelled it as well.
+ * Cancels a job because a dependency of it was cancelled. The job was never
+ * ready, so if it has ended in the meantime, it was cancelled as well.
  */
 export class CascadedCancellationWrite extends JobEndWrite {
   constructor(cluster: ClusterState, job: Job) {
     super(cluster, job, { state: 'cancelled', at: null });
   }
 
-  /** Its live record is gone, which only its cancellation can have done. */
+  /** Handles a missing live record, which only a cancellation of the job can have removed. */
   conflict(): void {
     this.applied();
   }
--- a/src/scheduler/persistence/key-deletion-write.ts
+++ b/src/scheduler/persistence/key-deletion-write.ts
@@ -1,15 +1,15 @@
-/** Deletion of keys that ended jobs have left. */
+/** Deletes obsolete keys of ended jobs. */
 
 import type { Change, Condition } from '../../protocol/key-value-protocol.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { DurableWrite } from './durable-write.js';
 
-/** Bytes of a deletion without its key. */
+/** Size of a deletion without its key. */
 const DELETION_BYTES = 250;
 
 /**
- * Deletes one key of an ended job. It has no condition: the key belongs to
- * that job alone, and an id is accepted once, so a late copy is harmless.
+ * Deletes one key of an ended job. It needs no condition: the key belongs to that
+ * job alone and an id is accepted only once, so a late copy is harmless.
  */
 export class KeyDeletionWrite implements DurableWrite {
   readonly conditions: Condition[] = [];
@@ -24,14 +24,14 @@
     this.size = DELETION_BYTES + key.length;
   }
 
-  /** The key need not be remembered any more. */
+  /** Removes the key from the keys to be deleted. */
   applied(): void {
     this.cluster.obsoleteKeys.delete(this.key);
   }
 
-  /** It has no conditions that could fail. */
+  /** Does nothing: the write has no conditions that could fail. */
   conflict(): void {}
 
-  /** The key is still listed, and its deletion will be among the pending writes again. */
+  /** Does nothing: the key is still listed, so its deletion will be among the pending writes again. */
   retry(): void {}
 }
--- a/src/scheduler/persistence/pending-writes.ts
+++ b/src/scheduler/persistence/pending-writes.ts
@@ -1,4 +1,4 @@
-/** Which durable writes are due, in the order of their urgency. */
+/** Collects the durable writes that are due, in the order of their urgency. */
 
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/task-attempt.js';
@@ -8,28 +8,27 @@
 import { KeyDeletionWrite } from './key-deletion-write.js';
 import { RosterPageWrite, takeRosterAdditions } from './roster-page-write.js';
 
-/** What the writes may cost now. */
+/** Budget and time for the writes that are due. */
 export interface WriteBudget {
-  /** Changes for progress and for cleaning up; ends of jobs and additions to the roster are always written. */
+  /** Maximum changes for progress and cleanup; ends of jobs and additions to the roster are always written. */
   progressChanges: number;
-  /** Time of day in milliseconds, for the records of ends. */
+  /** Wall-clock time for the records of ended jobs, in milliseconds. */
   wallNow: number;
 }
 
 /** Writes of jobs, by urgency. */
 interface JobWrites {
-  /** Completions of jobs that others depend on: they go first. */
+  /** Completions of jobs that other jobs depend on, which are written first. */
   awaitedEnds: DurableWrite[];
   otherEnds: DurableWrite[];
   progress: DurableWrite[];
-  /** Changes that are left of the budget. */
+  /** Remaining changes of the budget. */
   changesLeft: number;
 }
 
 /**
- * Takes what has to be made durable now, the most urgent first. The caller
- * reports the outcome of each write: chunks and pages without one are not
- * written again.
+ * Collects the writes that are due, the most urgent first. The caller must report
+ * the outcome of each write: a chunk or page is not written again before that.
  */
 export function pendingWrites(cluster: ClusterState, budget: WriteBudget): DurableWrite[] {
   const rosterAdditions = takeRosterAdditions(cluster);
@@ -66,7 +65,7 @@
   return writes;
 }
 
-/** Takes the job's unsaved chunks while the budget lasts. */
+/** Collects writes of the job's unsaved chunks while the budget lasts. */
 function takeProgress(cluster: ClusterState, job: Job, writes: JobWrites): void {
   for (const [chunk, finished] of job.unsavedChunks) {
     if (writes.changesLeft < 1) return;
@@ -77,7 +76,7 @@
   }
 }
 
-/** Deletions of keys that ended jobs have left; the keys stay listed until one is applied. */
+/** Creates deletions of obsolete keys; a key stays listed until its deletion has been applied. */
 function keyDeletions(cluster: ClusterState, budgetLeft: number): DurableWrite[] {
   const deletions: DurableWrite[] = [];
   let changesLeft = budgetLeft;
--- a/src/scheduler/persistence/roster-page-write.ts
+++ b/src/scheduler/persistence/roster-page-write.ts
@@ -1,4 +1,4 @@
-/** Writes of the durable roster, which names all machines that may have been given tasks. */
+/** Writes the durable roster, which lists all machines that may have been assigned tasks. */
 
 import type { RosterEntry } from '../../model/machine.js';
 import type { Change, Condition } from '../../protocol/key-value-protocol.js';
@@ -9,12 +9,12 @@
 import type { DurableWrite } from './durable-write.js';
 import type { PageWrite } from './roster.js';
 
-/** Bytes of a page's write without its machines. */
+/** Size of a page's write without its machines. */
 const PAGE_BYTES = 400;
 
 /**
- * Takes the machines that are to be added to the roster; the pages that they
- * are added to have to be written. Until then no task starts on them.
+ * Adds the pending machines to the roster and creates the writes of their pages.
+ * No task starts on these machines until the writes have been applied.
  */
 export function takeRosterAdditions(cluster: ClusterState): DurableWrite[] {
   const machines = [...cluster.pendingRosterAdds];
@@ -36,11 +36,12 @@
 }
 
 /**
- * One write of a page, over the version that is known of it: a late copy of
- * an older write fails, so that it drops no machine from the roster. A page of
- * unknown version is written only to delete it, without a condition: a late
- * copy is harmless, since all machines on the page have been terminated and
- * none is added to it any more.
+ * A write of a page, on condition of its known version, so that a late copy of an
+ * older write fails and drops no machine from the roster.
+ *
+ * A page of unknown version is only ever deleted, without a condition. A late
+ * copy of the deletion is harmless, since all machines on the page have been
+ * terminated and none is added to it any more.
  */
 export class RosterPageWrite implements DurableWrite {
   readonly conditions: Condition[];
@@ -59,20 +60,20 @@
     this.size = PAGE_BYTES + JSON.stringify(value.machines).length;
   }
 
-  /** Tasks may start on the machines that were added. */
+  /** Allows tasks to start on the added machines. */
   applied(revision: number): void {
     this.pageWrite.applied(revision);
     for (const machine of this.endPendingWrites()) machine.inRoster = true;
     this.cluster.roundDue = true;
   }
 
-  /** Another version of the page exists, as after a write without an answer. */
+  /** Handles another stored version of the page, as after a write without a response. */
   conflict(): void {
     this.pageWrite.outcomeUnknown();
     this.addAgain();
   }
 
-  /** After a write without an answer the machines are added to another page. */
+  /** Repeats the write; after one without a response, the machines are added to another page. */
   retry(mayBeApplied: boolean): void {
     if (mayBeApplied) this.pageWrite.outcomeUnknown();
     else this.pageWrite.notApplied();
@@ -84,7 +85,7 @@
       if (!machine.inRoster) this.cluster.pendingRosterAdds.add(machine);
   }
 
-  /** Notes for the added machines that no write of them is on its way; returns those not terminated meanwhile. */
+  /** Clears the pending write of the added machines; returns those not terminated in the meantime. */
   private endPendingWrites(): Machine[] {
     const machines: Machine[] = [];
     for (const { id } of this.pageWrite.added) {
--- a/src/scheduler/persistence/roster-page.ts
+++ b/src/scheduler/persistence/roster-page.ts
@@ -1,22 +1,22 @@
-/** One page of the durable roster: machines that share a key of the state service. */
+/** A page of the durable roster: machines that share a key of the state service. */
 
 import type { RosterEntry } from '../../model/machine.js';
 import { encodeRosterEntry } from '../../records/roster-record.js';
 
-/** A page as the leader wants it, and what is known of the one that is stored. */
+/** The desired content of a page, and what is known of the stored one. */
 export class RosterPage {
   readonly entries = new Map<string, RosterEntry>();
-  /** Bytes that the entries take in its value. */
+  /** Size of the entries in the page's value, in bytes. */
   bytes = 0;
-  /** It lost machines, or a write of it failed: it has to be written again. */
+  /** The page lost machines or a write of it failed, so it has to be written again. */
   stale = false;
-  /** A write of it is on its way. */
+  /** A write of the page is in progress. */
   writing = false;
 
   constructor(
-    /** What follows the roster's prefix in its key. */
+    /** The part of the page's key after the roster's prefix. */
     readonly key: string,
-    /** Version that is stored; 0: none yet; null: not known, since a write had no answer. */
+    /** The stored version; 0 if there is none yet, null if unknown because a write received no response. */
     public version: number | null,
   ) {}
 
@@ -27,7 +27,7 @@
     this.bytes += entryBytes(entry);
   }
 
-  /** False: the machine is not on the page. */
+  /** Removes the machine. Returns false when it is not on the page. */
   remove(id: string): boolean {
     const entry = this.entries.get(id);
     if (!entry) return false;
@@ -37,7 +37,7 @@
   }
 }
 
-/** Bytes that an entry takes in a page's value, with the comma after it. */
+/** Returns the size of an entry in a page's value with the comma after it, in bytes. */
 export function entryBytes(entry: RosterEntry): number {
   return Buffer.byteLength(JSON.stringify(encodeRosterEntry(entry))) + 1;
 }
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -1,63 +1,65 @@
-/** The durable list of machines that may have been given tasks, in pages. */
+/** The durable roster: a paged list of the machines that may have been assigned tasks. */
 
 import type { RosterEntry } from '../../model/machine.js';
 import { entryBytes, RosterPage } from './roster-page.js';
 
-/** What became of one write of a page: one of these is called at most, once. */
+/** Callbacks for the outcome of a page write. At most one of them is called, and only once. */
 export interface PageWriteOutcome {
   /** The page is stored as written, at this revision. */
   applied(revision: number): void;
-  /** It was not applied and never will be: what it was to add is not on the page. */
+  /** The write was not applied and never will be, so the entries that it adds are not on the page. */
   notApplied(): void;
-  /** Whether it was or will be applied is not known: the page takes no more machines. */
+  /** It is unknown whether the write was or will be applied; the page takes no more machines. */
   outcomeUnknown(): void;
 }
 
-/** One write of a page: its new value, or its deletion. */
+/** A write of a page: its new value, or its deletion. */
 export interface PageWrite extends PageWriteOutcome {
   readonly key: string;
-  /** The version that the write is conditioned on; 0: the key does not exist; null: no condition. */
+  /** The version that the write is conditioned on; 0 if the key must not exist, null for no condition. */
   readonly version: number | null;
-  /** All machines of the page; none: the page is to be deleted. */
+  /** All machines of the page; if empty, the page is deleted. */
   readonly entries: RosterEntry[];
-  /** Those of them that are in the roster from this write on. */
+  /** The entries that this write adds to the page. */
   readonly added: RosterEntry[];
 }
 
 /**
- * The durable list of machines that may have been given tasks, many to a key,
- * so that hundreds that boot at once cost few changes.
+ * The durable list of machines that may have been assigned tasks. A page stores
+ * many machines under one key, so that hundreds of machines that boot at once
+ * cost few changes.
  *
- * A page is only ever rewritten over the version that is known of it, by one
- * write at a time. Once a write had no answer, a late copy of it could undo a
- * newer one, so the page is left alone until all of its machines have been
- * terminated, and those that the write was to add go to another page. A page
- * that was written under a higher limit on values is read as it is; before it
- * is written again, the excess goes to other pages.
+ * A page is rewritten only over its known version, by one write at a time. After
+ * a write without a response, a late copy of it could undo a newer write. The
+ * page is therefore not written again until all of its machines have been
+ * terminated, and the machines that the write was to add go to another page.
+ *
+ * A page that was written under a higher limit on values is read as it is. Before
+ * it is written again, its excess entries are moved to other pages.
  */
 export class Roster {
   private readonly pages = new Set<RosterPage>();
-  /** By machine: the pages that it is on, or may be on. */
+  /** By machine id, the pages that the machine is on or may be on. */
   private readonly pagesOfMachine = new Map<string, Set<RosterPage>>();
-  /** Pages that may have space. One that is found without is left out until it loses a machine. */
+  /** Pages that may have space. A page that lacked space is left out until it loses a machine. */
   private readonly pagesWithSpace = new Set<RosterPage>();
-  /** Pages that were created in this term. */
+  /** Number of pages created in this term. */
   private pageCount = 0;
 
   constructor(
-    /** The leader's term: it makes the names of new pages unique. */
+    /** The leader's term, which makes the keys of new pages unique. */
     private readonly term: number,
-    /** Limit on the bytes that the entries of a page may take. */
+    /** Maximum size of the entries of a page, in bytes. */
     private readonly pageBytes: number,
   ) {}
 
-  /** A page as an earlier leader left it. */
+  /** Restores a page that an earlier leader wrote. */
   restore(key: string, version: number, entries: RosterEntry[]): void {
     const page = this.createPage(key, version);
     for (const entry of entries) this.addToPage(page, entry);
   }
 
-  /** The machine has been terminated: its pages will be written without it when there is budget for that. */
+  /** Removes a terminated machine. Its pages are rewritten without it when the budget allows. */
   removeMachine(id: string): void {
     for (const page of this.pagesOfMachine.get(id) ?? []) {
       this.dropEntry(page, id);
@@ -66,7 +68,7 @@
     this.pagesOfMachine.delete(id);
   }
 
-  /** Adds the machines to pages with space; each page is written once, with all that it gains and loses. */
+  /** Adds the machines to pages with space. Each page is written once, with all additions and removals. */
   add(entries: RosterEntry[]): PageWrite[] {
     const addedByPage = new Map<RosterPage, RosterEntry[]>();
     for (const entry of entries) {
@@ -80,9 +82,9 @@
   }
 
   /**
-   * Writes of pages that hold terminated machines, or whose last write was not
-   * applied: `budget` pages at most, and the pages that take the excess of an
-   * oversize one besides.
+   * Returns writes of pages that hold terminated machines or whose last write was
+   * not applied: at most `budget` writes, except that the pages that take the
+   * excess entries of an oversized page may go beyond it.
    */
   rewriteStalePages(budget: number): PageWrite[] {
     const writes: PageWrite[] = [];
@@ -97,9 +99,9 @@
   }
 
   /**
-   * Moves what exceeds the page's limit to others. No machine is taken off the
-   * page before the other one is known to hold it; a machine whose move had no
-   * answer is on both, which does no harm.
+   * Moves the entries that exceed the page's limit to other pages. A machine is
+   * removed from the page only once another page is known to hold it. A machine
+   * whose move received no response is on both pages, which is harmless.
    */
   private moveExcess(page: RosterPage): PageWrite[] {
     return this.add(this.excessEntries(page)).map((write) => ({
@@ -111,7 +113,7 @@
     }));
   }
 
-  /** The first entries, until the rest fits, without those that are on another page already. */
+  /** Returns the first entries, until the rest fits, except those that are already on another page. */
   private excessEntries(page: RosterPage): RosterEntry[] {
     const excess: RosterEntry[] = [];
     let bytes = page.bytes;
@@ -162,7 +164,7 @@
     if (page.remove(id)) this.pagesWithSpace.add(page);
   }
 
-  /** A write of the page as it is now; no other begins before its outcome is known. */
+  /** Starts a write of the page as it is now. No other one starts before its outcome is known. */
   private startWrite(page: RosterPage, added: RosterEntry[]): PageWrite {
     page.stale = false;
     page.writing = true;
--- a/src/scheduler/reconcile/agent-responsiveness.ts
+++ b/src/scheduler/reconcile/agent-responsiveness.ts
@@ -1,35 +1,36 @@
-/** Agents whose heartbeats arrive but which nothing that is sent to them reaches. */
+/** Detects agents whose heartbeats arrive but which receive neither responses nor commands. */
 
 import type { RoundTrigger } from '../state/round-trigger.js';
 import type { Machine } from '../state/task-attempt.js';
 
-/** Answers in a row whose starts show no effect before a machine counts as unresponsive. */
+/** Consecutive responses whose starts had no effect, after which a machine counts as unresponsive. */
 const MAX_MISSED_ACKNOWLEDGEMENTS = 2;
 
 /**
- * One lost answer is ordinary; from the second in a row on a machine gets no
- * tasks until it has answered a command: its heartbeats alone would draw ever
- * more starts that never arrive.
+ * Tracks which machines are unresponsive. A single lost response is ordinary.
+ * After the second consecutive one, the machine gets no tasks until a command is
+ * known to have reached it; otherwise it would be assigned more and more starts
+ * that never arrive, because its heartbeats alone make it look healthy.
  */
 export class AgentResponsiveness {
-  /** Unresponsive machines that are yet to be sent an empty command as a probe. */
+  /** Unresponsive machines to be probed with an empty command. */
   readonly pendingProbes = new Set<Machine>();
 
   constructor(private readonly roundTrigger: RoundTrigger) {}
 
-  /** A start that left with the answer to a heartbeat showed no effect in the next one. */
+  /** Records that a start sent in a heartbeat response had no effect by the next heartbeat. */
   recordMissedAcknowledgement(machine: Machine, now: number): void {
     machine.missedAcknowledgements++;
     if (machine.missedAcknowledgements >= MAX_MISSED_ACKNOWLEDGEMENTS)
       this.markUnresponsive(machine, now);
   }
 
-  /** Something that was sent to the machine shows no effect although its heartbeats arrive. */
+  /** Marks the machine unresponsive: a message to it had no effect although its heartbeats arrive. */
   markUnresponsive(machine: Machine, now: number): void {
     machine.unresponsiveSince ??= now;
   }
 
-  /** The machine answered a command or began a task that it was told to start. */
+  /** Marks the machine responsive: it replied to a command or began a task that it was sent. */
   markResponsive(machine: Machine): void {
     machine.missedAcknowledgements = 0;
     this.pendingProbes.delete(machine);
--- a/src/scheduler/reconcile/failure-attribution.ts
+++ b/src/scheduler/reconcile/failure-attribution.ts
@@ -1,22 +1,22 @@
-/** Tells a machine on which several jobs fail from a job that fails on several machines. */
+/** Distinguishes a machine on which several jobs fail from a job that fails on several machines. */
 import type { SchedulerPolicy, SchedulerTiming } from '../../model/policy.js';
 import type { DecisionLogger } from '../state/decision-log.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
 import type { Job, Machine, TaskAttempt } from '../state/task-attempt.js';
 
-/** The back-off of a failing job doubles with each further machine, at most this often. */
+/** The back-off of a failing job doubles with each further machine, up to this many times. */
 const MAX_BACKOFF_DOUBLINGS = 6;
-/** The most that a failing job backs off, in agent leases. */
+/** Maximum back-off of a failing job, in agent leases. */
 const MAX_BACKOFF_LEASES = 1.5;
-/** A failing job is logged at its third failure and then at every eighth. */
+/** A failing job is logged at its third failure and at every eighth failure after that. */
 const LOG_EVERY_FAILURES = 8;
 const FIRST_LOGGED_FAILURE = 3;
-/** A failed task waits for this part of a heartbeat interval for each machine on which its job failed. */
+/** Delay before a failed task is retried, in heartbeat intervals per machine on which its job failed. */
 const RETRY_DELAY_HEARTBEATS = 0.5;
-/** Further machines add nothing to that delay. */
+/** Maximum number of machines that are counted for the retry delay. */
 const MAX_RETRY_DELAY_STEPS = 4;
 
-/** What failures are attributed by. */
+/** Dependencies of `FailureAttribution`. */
 export interface FailureAttributionOptions {
   timing: SchedulerTiming;
   policy: SchedulerPolicy;
@@ -24,7 +24,10 @@
   logDecision: DecisionLogger;
 }
 
-/** Attributes each failed task: a failing job backs off, a failing machine is quarantined. */
+/**
+ * Attributes each task failure to the job or to the machine. A job that fails on
+ * several machines backs off; a machine on which several jobs fail is quarantined.
+ */
 export class FailureAttribution {
   private readonly timing: SchedulerTiming;
   private readonly policy: SchedulerPolicy;
@@ -38,7 +41,7 @@
     this.logDecision = options.logDecision;
   }
 
-  /** A task exited with an error; it is retried after a delay. */
+  /** Records that a task exited with an error, and schedules its retry after a delay. */
   record(attempt: TaskAttempt, now: number): void {
     const { job, machine } = attempt;
     job.failures++;
@@ -49,14 +52,14 @@
     job.removeAttempt(attempt, now + this.timing.heartbeatMs * RETRY_DELAY_HEARTBEATS * delaySteps);
   }
 
-  /** A job that succeeded nowhere and failed on several machines is at fault itself. */
+  /** Reports whether the job itself is at fault: it failed on several machines and succeeded on none. */
   private isFailingJob(job: Job): boolean {
     return !job.succeeded && job.failedMachines.size >= this.policy.failingJobMachines;
   }
 
   private backOff(job: Job, now: number): void {
     const { heartbeatMs, agentLeaseMs } = this.timing;
-    // Its failures no longer speak against the machines.
+    // Failures of this job no longer count against the machines.
     for (const machine of this.machines.machines.values()) machine.failedJobs.delete(job.spec.id);
     const doublings = Math.min(
       MAX_BACKOFF_DOUBLINGS,
@@ -76,7 +79,7 @@
     let failures = 0;
     for (const count of machine.failedJobs.values()) failures += count;
     const severalJobs = machine.failedJobs.size >= this.policy.quarantineJobs;
-    // The job is known to succeed elsewhere.
+    // The job has succeeded elsewhere, so its failures are attributed to the machine.
     const manyFailures = failures >= this.policy.quarantineFailures && job.succeeded;
     if (severalJobs || manyFailures) this.machines.drain(machine, 'quarantined');
   }
--- a/src/scheduler/reconcile/heartbeat-reconciliation.ts
+++ b/src/scheduler/reconcile/heartbeat-reconciliation.ts
@@ -1,4 +1,4 @@
-/** Application of heartbeats to the cluster state: which are newer than what is known, and what they prove. */
+/** Applies heartbeats to the cluster state: ignores outdated ones, and records what the others prove. */
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { DecisionLogger } from '../state/decision-log.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
@@ -11,7 +11,7 @@
 import type { PreemptionNotices } from './preemption-notices.js';
 import type { TaskListReconciliation } from './task-list-reconciliation.js';
 
-/** What heartbeats are applied to. */
+/** Dependencies of `HeartbeatReconciliation`. */
 export interface HeartbeatReconciliationOptions {
   term: number;
   machines: MachineRegistry;
@@ -26,8 +26,8 @@
 
 /**
  * Applies heartbeats in the order of the agent's epoch and sequence number.
- * Invariant: what is older than the last one applied changes nothing, and only
- * a heartbeat under the leader's own term proves anything about tasks.
+ * Invariants: a heartbeat older than the last one applied changes nothing, and
+ * only a heartbeat under this leader's own term proves anything about tasks.
  */
 export class HeartbeatReconciliation {
   private readonly term: number;
@@ -52,9 +52,9 @@
     this.logDecision = options.logDecision;
   }
 
-  /** Applies a heartbeat. Returns false when it is older than what is known, or a late copy. */
+  /** Applies a heartbeat. Returns false when it is outdated or may be a delayed duplicate. */
   apply(heartbeat: Heartbeat, source: HeartbeatSource, now: number): boolean {
-    // A late copy of a heartbeat must not bring a terminated machine back.
+    // A delayed duplicate must not register a terminated machine again.
     if (this.machines.tombstones.has(heartbeat.machineId)) return false;
     const known = this.machines.get(heartbeat.machineId);
     if (!known && !this.provesExistence(heartbeat)) return false;
@@ -71,10 +71,11 @@
   }
 
   /**
-   * Whether the heartbeat of a machine that is not known shows that it exists.
-   * Only under our own term it can't be a late copy from before: an older one
-   * proves neither that the machine is alive nor that it exists. The answer to
-   * that raises the agent's fencing token, and it sends the next one at once.
+   * Reports whether the heartbeat of an unknown machine proves that the machine
+   * exists. Only a heartbeat under this leader's own term can't be a delayed
+   * duplicate from an earlier term; an older one proves neither that the machine
+   * is alive nor that it exists. The response to an older one raises the agent's
+   * fencing token, and the agent sends its next heartbeat at once.
    */
   private provesExistence(heartbeat: Heartbeat): boolean {
     return (
@@ -87,19 +88,19 @@
     return this.machines.register({ id, type, zone, spot, ageS: 0 }, now);
   }
 
-  /** The agent's lease ran out or its machine restarted: all that it ran has ended. */
+  /** Handles an expired agent lease or a restarted machine: all tasks of the earlier epoch have ended. */
   private beginAgentEpoch(machine: Machine, agentEpoch: number, now: number): void {
     if (machine.agentEpoch > 0) {
       const lostTasks = this.attempts.releaseAll(machine);
       this.logDecision('new agent epoch', { machine: machine.id, agentEpoch, lostTasks });
-      // Its heartbeats arrive, but no answer renewed its lease: it has to show that commands reach it.
+      // Its heartbeats arrive, but no response renewed its lease: it must prove that commands reach it.
       this.responsiveness.markUnresponsive(machine, now);
     }
     machine.agentEpoch = agentEpoch;
     machine.confirmed = false;
   }
 
-  /** A heartbeat under our own term: proof that the machine is alive, with the whole list of its tasks. */
+  /** Applies a heartbeat under this leader's own term: the machine is alive, and its task list is complete. */
   private applyCurrentTerm(
     machine: Machine,
     heartbeat: Heartbeat,
@@ -110,7 +111,7 @@
     const newNotice = this.preemptionNotices.record(machine, heartbeat.preemptionNoticeS, now);
     this.confirm(machine);
     this.taskLists.reconcile(machine, heartbeat, source, now);
-    // Only now, since it looks at the tasks as the machine lists them.
+    // Follows the reconciliation, because it depends on the tasks that the machine lists.
     if (newNotice) this.preemptionNotices.evacuate(machine, heartbeat.preemptionNoticeS ?? 0, now);
   }
 
@@ -126,7 +127,7 @@
       machine.drainReason = null;
   }
 
-  /** Until then a command of an earlier leader might still have been executed; from here on the list is whole. */
+  /** Marks that the machine executes no more commands of earlier leaders, so that its task list is complete. */
   private confirm(machine: Machine): void {
     if (machine.confirmed) return;
     machine.confirmed = true;
--- a/src/scheduler/reconcile/heartbeat-source.ts
+++ b/src/scheduler/reconcile/heartbeat-source.ts
@@ -1,8 +1,8 @@
-/** How heartbeats reach the leader. */
+/** The ways in which heartbeats reach the leader. */
 
 /**
- * How a heartbeat came. An agent sends one of its own at a time, so the next
- * one shows that the answer to the one before arrived or was dropped. The one
- * in a command's reply shows nothing about those answers.
+ * The way in which a heartbeat arrived. An agent sends one heartbeat at a time,
+ * so the next one proves that the response to the previous one was received or
+ * dropped. A heartbeat in a command reply proves nothing about those responses.
  */
 export type HeartbeatSource = 'heartbeat' | 'commandReply';
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -1,4 +1,4 @@
-/** Machines that an earlier leader may have given tasks, until each is confirmed or terminated. */
+/** Tracks machines that may run tasks of an earlier leader, until each is confirmed or terminated. */
 import type { JobSpec } from '../../model/job.js';
 import { type MachineType, machinePoolKey } from '../../model/machine.js';
 import type { ResourceUsage } from '../../model/resources.js';
@@ -13,13 +13,13 @@
 
 /**
  * Machines of the durable roster that are neither confirmed nor terminated,
- * counted by type, zone and capacity kind: tasks that an earlier leader started
- * may still run there, and must not be started a second time.
+ * counted by type, zone and capacity kind. Tasks that an earlier leader started
+ * may still run on them and must not be started a second time.
  */
 export class InheritedMachines {
   private readonly pools = new Map<string, InheritedPool>();
 
-  /** The machine stands in the roster of an earlier leader. */
+  /** Adds a machine from the roster of an earlier leader. */
   add(machine: Machine): void {
     if (machine.inherited) return;
     machine.inherited = true;
@@ -30,7 +30,7 @@
     this.pools.set(key, pool);
   }
 
-  /** The machine is confirmed or terminated. */
+  /** Removes a machine that has been confirmed or terminated. */
   resolve(machine: Machine): void {
     if (!machine.inherited) return;
     machine.inherited = false;
@@ -41,14 +41,14 @@
     if (pool.count === 0) this.pools.delete(key);
   }
 
-  /** Whether a task of such a job may run on one of them. */
+  /** Reports whether the job's constraints allow a task of it to be running on an inherited machine. */
   mayHold(spec: JobSpec): boolean {
     for (const { traits } of this.pools.values())
       if (satisfiesConstraints(traits, spec)) return true;
     return false;
   }
 
-  /** All their resources: which tasks run on one is not known before it is confirmed. */
+  /** Returns their total resources, since the usage of a machine is unknown until it is confirmed. */
   capacity(types: ReadonlyMap<string, MachineType>): ResourceUsage {
     const total: ResourceUsage = { cpus: 0, gpus: 0 };
     for (const { traits, count } of this.pools.values()) {
--- a/src/scheduler/reconcile/machine-list-reconciliation.ts
+++ b/src/scheduler/reconcile/machine-list-reconciliation.ts
@@ -1,16 +1,16 @@
-/** Application of the cloud's list of machines, the only proof that a silent machine is terminated. */
+/** Applies the cloud's machine list, the only proof that a machine without heartbeats is terminated. */
 import type { ListedMachine } from '../../model/machine.js';
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { DecisionLogger } from '../state/decision-log.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
 import type { Machine } from '../state/task-attempt.js';
 
-/** A heartbeat interval with its jitter: silence for longer shows that a heartbeat was missed. */
+/** Heartbeat intervals, including jitter, after which a heartbeat counts as missed. */
 const MISSED_HEARTBEATS = 1.5;
 
 /**
- * Applies whole lists. Invariant: absence proves termination only once the
- * list can't be older than the machine's own listing.
+ * Applies complete machine lists. Invariant: absence proves termination only
+ * when the list can't be from before the machine was first listed.
  */
 export class MachineListReconciliation {
   constructor(
@@ -19,7 +19,7 @@
     private readonly logDecision: DecisionLogger,
   ) {}
 
-  /** Applies a whole list that was requested at `requestedAt`. */
+  /** Applies a complete list that was requested at `requestedAt`. */
   apply(list: readonly ListedMachine[], requestedAt: number, now: number): void {
     const listedIds = new Set<string>();
     for (const entry of list) {
@@ -36,7 +36,7 @@
     else this.applyPresence(entry, now);
   }
 
-  /** A machine that never came up is registered all the same, so that its termination is acted on and logged. */
+  /** Registers the machine even if it never came up, so that its termination is handled and logged. */
   private applyFailed(entry: ListedMachine, now: number): void {
     this.machines.register(entry, now);
     this.machines.markTerminated(entry.id, 'listed as failed', now);
@@ -56,13 +56,13 @@
     }
   }
 
-  /** A list that was requested after the machine's last heartbeat does not show it. */
+  /** Handles a machine that is missing from a list requested after its last heartbeat. */
   private applyAbsence(machine: Machine, requestedAt: number, now: number): void {
-    // A machine is listed until it is terminated, and by now this one would have been listed.
+    // The cloud lists a machine until it is terminated, and this one should be listed by now.
     if (requestedAt > machine.knownAt + this.timing.listProofMs)
       this.machines.markTerminated(machine.id, 'absent from the list', now);
-    // A young one may be up before the list shows it. Only silence up to the request counts: the
-    // answer may have waited while this process was not running.
+    // A new machine may be up before the list shows it. Only the time without heartbeats before the
+    // request counts, since this process may have been paused before it read the response.
     else if (machine.inRoster && (machine.inherited || this.missedHeartbeat(machine, requestedAt)))
       machine.missingFromList = true;
   }
--- a/src/scheduler/reconcile/machine-tombstones.ts
+++ b/src/scheduler/reconcile/machine-tombstones.ts
@@ -1,28 +1,29 @@
-/** The memory of terminated machines, against late copies of what was true before. */
+/** Remembers terminated machines, so that outdated messages don't register them again. */
 
 /**
- * Machines whose termination is proven, so that a late copy of a heartbeat or
- * an older list does not bring one back.
+ * Machines whose termination is proven, so that a delayed duplicate of a
+ * heartbeat or an outdated list doesn't register one again.
  *
  * The cloud's list may show a machine for some time after its termination, so
- * ids are kept for a fixed time, however many machines end at once. Copies of
- * heartbeats may come at any later time; for those it is enough that ids rise
- * in the order of creation: once ids have been forgotten, a heartbeat alone
- * registers no machine that is not newer than all of these. One that does exist
- * shows in the cloud's list.
+ * ids are retained for a fixed time, however many machines terminate at once.
+ *
+ * Duplicates of heartbeats may arrive at any later time. Ids increase in the
+ * order of creation, so a heartbeat alone registers no machine whose id is not
+ * higher than all ids that are no longer retained. A machine that does exist
+ * appears in the cloud's list.
  */
 export class MachineTombstones {
-  /** When each termination was proven, in milliseconds; the earliest first. */
+  /** By machine id, the time in milliseconds when its termination was proven; the earliest first. */
   private readonly terminatedAt = new Map<string, number>();
-  /** The highest id that is no longer kept. */
+  /** The highest id that is no longer retained; empty if there is none. */
   private newestForgotten = '';
 
   constructor(
-    /** For how long an id is kept. */
+    /** How long an id is retained, in milliseconds. */
     private readonly keepMs: number,
   ) {}
 
-  /** The machine's termination is proven. Drops the ids that have been kept long enough. */
+  /** Records that the machine's termination is proven, and drops ids that have expired. */
   add(id: string, now: number): void {
     this.terminatedAt.delete(id);
     this.terminatedAt.set(id, now);
@@ -33,17 +34,17 @@
     }
   }
 
-  /** Whether the machine is known to be terminated: a list that shows it is older than that. */
+  /** Reports whether the machine is known to be terminated; a list that shows it is outdated. */
   has(id: string): boolean {
     return this.terminatedAt.has(id);
   }
 
-  /** Whether a heartbeat of a machine that is not known may be a copy from before its termination. */
+  /** Reports whether a heartbeat of an unknown machine may be a duplicate from before its termination. */
   mayBeTerminated(id: string): boolean {
     return this.terminatedAt.has(id) || id <= this.newestForgotten;
   }
 
-  /** How many ids are kept. */
+  /** The number of retained ids. */
   get size(): number {
     return this.terminatedAt.size;
   }
--- a/src/scheduler/reconcile/preemption-notices.ts
+++ b/src/scheduler/reconcile/preemption-notices.ts
@@ -1,14 +1,14 @@
-/** Preemption notices of spot machines: the machine is drained, and its tasks are saved or moved in time. */
+/** Handles preemption notices of spot machines: drains the machine and saves or moves its tasks in time. */
 import type { DecisionLogger } from '../state/decision-log.js';
 import type { MachineRegistry } from '../state/machine-registry.js';
 import type { Machine, TaskAttempt } from '../state/task-attempt.js';
 import type { TaskAttempts } from '../state/task-attempts.js';
 import type { WorkEstimates } from '../state/work-estimates.js';
 
-/** A task without checkpoints that needs more than this many times the notice is restarted elsewhere at once. */
+/** A task without checkpoints is restarted at once if it needs more than this multiple of the notice. */
 const HOPELESS_NOTICE_RATIO = 2;
 
-/** Reacts to the cloud's notice that it will take a spot machine. */
+/** Reacts to the cloud's notices that it will reclaim a spot machine. */
 export class PreemptionNotices {
   constructor(
     private readonly machines: MachineRegistry,
@@ -18,8 +18,9 @@
   ) {}
 
   /**
-   * Records what a heartbeat says of a notice: seconds until the machine is
-   * taken, null without one. Returns true when it is the machine's first.
+   * Records the notice of a heartbeat: `noticeS` is the time in seconds until the
+   * machine is reclaimed, or null when there is no notice. Returns true when it
+   * is the machine's first notice.
    */
   record(machine: Machine, noticeS: number | null, now: number): boolean {
     if (noticeS === null) return false;
@@ -31,9 +32,9 @@
   }
 
   /**
-   * The machine will be taken in `noticeS` seconds: tasks that can save a
-   * checkpoint do so, and those that will hardly finish are stopped at once to
-   * start anew elsewhere. The rest is left to finish.
+   * Prepares the machine's tasks for its loss in `noticeS` seconds. Tasks that
+   * can save a checkpoint do so. Tasks that are unlikely to finish are stopped at
+   * once, to be restarted elsewhere. The others are left to finish.
    */
   evacuate(machine: Machine, noticeS: number, now: number): void {
     for (const attempt of machine.attempts.values()) {
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -1,30 +1,32 @@
 /**
- * The commands that bring a machine in line with the cluster state: in the answer
- * to a heartbeat, or in a direct command for what should not wait for one.
+ * Creates the commands that bring a machine in line with the cluster state. They
+ * are sent in the response to a heartbeat, or in a direct command if they should
+ * not wait for the next heartbeat.
  */
 import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { TaskCommand } from '../../model/task-command.js';
 import type { Job, Machine, TaskAttempt } from '../state/task-attempt.js';
 
-/** Keeps the single line of an answer well below the protocol's 64 KiB. */
+/** Keeps the single line of a response well below the protocol's limit of 64 KiB. */
 const MAX_COMMANDS_PER_MESSAGE = 250;
-/** The fence is raised when this many tasks wait for it: each raise costs the agent a heartbeat. */
+/** The fence is raised once this many tasks wait for it; each raise costs the agent a heartbeat. */
 const FENCE_RAISE_TASKS = 16;
-/** With fewer tasks it is raised when they have waited for this part of an agent lease. */
+/** With fewer waiting tasks, the fence is raised after this time, in agent leases. */
 const FENCE_RAISE_LEASES = 0.25;
 
-/** What a direct command to a machine carries. */
+/** The content of a direct command to a machine. */
 export interface PendingCommands {
   commands: TaskCommand[];
-  /** The attempts whose starts are among them. */
+  /** The attempts started by `commands`. */
   starts: TaskAttempt[];
 }
 
 /**
- * The least that any answer to the heartbeat has to carry: it renews the agent's
- * lease, so it stops what the heartbeat lists of ended jobs. Every task was
- * started by this leader or an earlier one, so its job is live here or has ended.
+ * Returns the commands that every response to the heartbeat must carry. The
+ * response renews the agent's lease, so it has to stop listed tasks of ended jobs.
+ * Every task was started by this leader or an earlier one, so its job is either
+ * live here or has ended.
  */
 export function stopsOfEndedJobs(
   heartbeat: Heartbeat,
@@ -46,8 +48,9 @@
 }
 
 /**
- * The commands for a machine that has just sent a heartbeat, in the order of their
- * execution; none until it is confirmed. The starts among them count as sent.
+ * Returns the commands for a machine that has just sent a heartbeat, in the order
+ * of execution, and records the starts among them as sent. Returns none until the
+ * machine is confirmed.
  */
 export function heartbeatCommands(
   machine: Machine,
@@ -55,7 +58,7 @@
 ): TaskCommand[] {
   const commands: TaskCommand[] = [];
   if (!machine.confirmed) return commands;
-  // Stops of ended jobs come first: what does not fit the answer runs on under a renewed lease.
+  // Stops for ended jobs come first: a task whose stop doesn't fit keeps running under a renewed lease.
   addStopsOfEndedJobs(commands, machine);
   addUnknownTaskCommands(commands, unknownTasks);
   addAttemptCommands(commands, machine);
@@ -88,8 +91,8 @@
 }
 
 /**
- * What the answer to the heartbeat of this sequence number has to say of the attempt,
- * or null; a start counts as sent with it.
+ * Returns the command for the attempt in the response to the heartbeat with this
+ * sequence number, or null when there is none. Records a start as sent.
  */
 function takeCommand(attempt: TaskAttempt, sequence: number): TaskCommand | null {
   const { job, stopRequest } = attempt;
@@ -104,16 +107,17 @@
     return { op: 'start', ...base };
   }
   if (!stopRequest || job.ended) return null;
-  // A task that saves its checkpoint already is stopped again only when it has to end at once.
+  // A task that is already saving its checkpoint is stopped again only if it must end at once.
   if (attempt.state === 'saving' && stopRequest.graceS !== 0) return null;
   return { op: 'stop', ...base, graceS: stopRequest.graceS };
 }
 
 /**
- * Raises the machine's fence when what left by direct commands has to be over
- * for good: attempts to be forgotten, which a copy of the command would start
- * again, and starts whose command had no reply. The answer under the higher
- * fencing token has every earlier command refused from then on, copies too.
+ * Raises the machine's fence when earlier direct commands must no longer take
+ * effect: those of attempts to be forgotten, which a duplicate of the command
+ * would start again, and starts whose command had no reply. Once the agent has
+ * received a response under the higher fencing token, it refuses all earlier
+ * commands and their duplicates.
  */
 export function raiseFenceIfDue(machine: Machine, timing: SchedulerTiming, now: number): void {
   if (!machine.confirmed || machine.fence > machine.acknowledgedFence) return;
@@ -142,14 +146,14 @@
 }
 
 /**
- * Takes what should not wait for the machine's next heartbeat: starts and stops
- * that have not been sent. From here on it is not known whether the starts take
- * effect, until the command is answered.
+ * Returns the unsent starts and stops, which should not wait for the machine's
+ * next heartbeat, and records them as sent. Whether the starts take effect is
+ * unknown until the machine replies to the command.
  */
 export function takePendingCommands(machine: Machine): PendingCommands {
   const commands: TaskCommand[] = [];
   const starts: TaskAttempt[] = [];
-  // A machine that this controller can't reach gets its commands with the answers to its relayed heartbeats.
+  // A machine that this controller can't reach gets its commands in the responses to relayed heartbeats.
   if (!machine.confirmed || machine.relayed) return { commands, starts };
   for (const attempt of machine.attempts.values()) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
@@ -161,7 +165,7 @@
   return { commands, starts };
 }
 
-/** What a direct command under this fence has to say of the attempt, or null; it counts as sent with it. */
+/** Returns the attempt's direct command under this fence and records it as sent; null when there is none. */
 function takePendingCommand(attempt: TaskAttempt, fence: number): TaskCommand | null {
   const { job, index, stopRequest } = attempt;
   const base = { jobId: job.spec.id, index, attempt: attempt.attempt };
@@ -175,7 +179,7 @@
   return { op: 'stop', ...base, graceS: stopRequest.graceS };
 }
 
-/** Whether the attempt's start has left neither with an answer nor with a direct command. */
+/** Reports whether the attempt's start was sent neither in a response nor in a direct command. */
 export function isUnsent(attempt: TaskAttempt): boolean {
   return (
     attempt.state === 'assigned' &&
--- a/src/scheduler/reconcile/task-exits.ts
+++ b/src/scheduler/reconcile/task-exits.ts
@@ -1,4 +1,4 @@
-/** What follows from the exit of a task, by its cause. */
+/** Handles task exits according to their cause. */
 import type { TaskStatus } from '../../model/heartbeat.js';
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { BitmapLayout } from '../../records/bitmap-layout.js';
@@ -8,7 +8,7 @@
 import type { WorkEstimates } from '../state/work-estimates.js';
 import type { FailureAttribution } from './failure-attribution.js';
 
-/** What exits are applied to. */
+/** Dependencies of `TaskExits`. */
 export interface TaskExitsOptions {
   timing: SchedulerTiming;
   bitmaps: BitmapLayout;
@@ -18,8 +18,8 @@
 }
 
 /**
- * Applies exits. Invariant: the agent keeps a successful exit in its list
- * until the task is durably done, so that a failover in between loses nothing.
+ * Applies task exits. Invariant: the agent keeps a successful exit in its list
+ * until the task is durably done, so that a failover in between loses no result.
  */
 export class TaskExits {
   private readonly timing: SchedulerTiming;
@@ -36,7 +36,7 @@
     this.failures = options.failures;
   }
 
-  /** The machine lists the attempt as exited for the first time. */
+  /** Applies the exit of an attempt that the machine lists as exited for the first time. */
   apply(attempt: TaskAttempt, { cause }: TaskStatus, now: number): void {
     const { job, machine } = attempt;
     this.attempts.recordExit(attempt, now);
@@ -78,7 +78,7 @@
     if (firstSuccess && !job.ended) this.awaitDurability(attempt);
   }
 
-  /** The attempt may be forgotten only once the bit of its task is written. */
+  /** Keeps the agent from forgetting the attempt until the bit of its task is written. */
   private awaitDurability(attempt: TaskAttempt): void {
     const { job } = attempt;
     attempt.mayBeForgotten = false;
--- a/src/scheduler/reconcile/task-list-reconciliation.ts
+++ b/src/scheduler/reconcile/task-list-reconciliation.ts
@@ -1,4 +1,4 @@
-/** Brings the task attempts that are known of a machine in line with the list in its heartbeat. */
+/** Reconciles the known task attempts of a machine with the task list in its heartbeat. */
 import type { Heartbeat, TaskStatus } from '../../model/heartbeat.js';
 import { attemptKey, type Job, type Machine, type TaskAttempt } from '../state/task-attempt.js';
 import type { TaskAttempts } from '../state/task-attempts.js';
@@ -7,9 +7,9 @@
 import type { TaskExits } from './task-exits.js';
 import type { UnknownTasks } from './unknown-tasks.js';
 
-/** What task lists are applied to. */
+/** Dependencies of `TaskListReconciliation`. */
 export interface TaskListReconciliationOptions {
-  /** The live jobs. */
+  /** The live jobs by id. */
   jobs: ReadonlyMap<string, Job>;
   attempts: TaskAttempts;
   exits: TaskExits;
@@ -18,8 +18,9 @@
 }
 
 /**
- * Invariant: an attempt that a machine does not list is released only when its
- * start can't take effect any more; otherwise the task could run twice.
+ * Applies task lists. Invariant: an attempt that a machine doesn't list is
+ * released only when its start can no longer take effect; otherwise the task
+ * could run twice.
  */
 export class TaskListReconciliation {
   private readonly jobs: ReadonlyMap<string, Job>;
@@ -36,7 +37,7 @@
     this.responsiveness = options.responsiveness;
   }
 
-  /** Applies the whole task list of a heartbeat under our own term. */
+  /** Applies the complete task list of a heartbeat under this leader's own term. */
   reconcile(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, now: number): void {
     machine.fence = Math.max(machine.fence, heartbeat.fence);
     machine.acknowledgedFence = Math.max(machine.acknowledgedFence, heartbeat.fence);
@@ -54,7 +55,7 @@
     this.releaseUnlisted(machine, listedKeys, answeredSequence, now);
   }
 
-  /** Adopts a listed task of a live job that is not known on this machine; null: there is no such job. */
+  /** Adopts a listed task that is unknown on this machine. Returns null when no live job has such a task. */
   private adopt(task: TaskStatus, machine: Machine, now: number): TaskAttempt | null {
     const job = this.jobs.get(task.jobId);
     if (!job || task.index >= job.spec.tasks) return null;
@@ -66,7 +67,7 @@
       if (attempt.state !== 'exited') this.exits.apply(attempt, task, now);
       return;
     }
-    // The start that was sent has taken effect.
+    // The task has started, so the start command reached the machine.
     if (attempt.state === 'assigned') this.responsiveness.markResponsive(attempt.machine);
     if (task.state === 'running' && attempt.runningSince === null) {
       attempt.runningSince = now;
@@ -76,8 +77,9 @@
   }
 
   /**
-   * Attempts that the list leaves out have ended or never began.
-   * `answeredSequence` is null for the heartbeat in a command's reply.
+   * Releases attempts that the list omits: they have ended or were never started.
+   * `heartbeatSequence` is null for a heartbeat in a command reply, which doesn't
+   * prove that a response was lost.
    */
   private releaseUnlisted(
     machine: Machine,
@@ -97,15 +99,15 @@
   }
 
   /**
-   * Releases an unlisted attempt whose start can't reach the machine any more.
-   * Returns true when it was lost with the answer to a heartbeat.
+   * Releases an unlisted attempt whose start can no longer reach the machine.
+   * Returns true when the start was lost with a heartbeat response.
    */
   private releaseUnstarted(
     attempt: TaskAttempt,
     fencedOff: boolean,
     answeredSequence: number | null,
   ): boolean {
-    // It left by a direct command alone, which is refused from here on.
+    // The start was sent only in a direct command, which the machine refuses from now on.
     const refused = fencedOff && attempt.startSentSequence === null;
     const lost = !refused && answeredSequence !== null && isStartLost(attempt, answeredSequence);
     if (refused || lost) this.attempts.release(attempt, 0);
@@ -113,7 +115,10 @@
   }
 }
 
-/** Whether the machine now refuses the direct command with the attempt's start, copies of it too. */
+/**
+ * Reports whether the machine now refuses the direct command with the attempt's
+ * start, including duplicates of it, and if so clears `directCommandFence`.
+ */
 function clearFencedCommand(attempt: TaskAttempt, machine: Machine): boolean {
   const { directCommandFence } = attempt;
   if (directCommandFence === null || directCommandFence >= machine.acknowledgedFence) return false;
@@ -122,9 +127,9 @@
 }
 
 /**
- * Whether the answer that carried the start was dropped: an agent sends one
- * heartbeat at a time and drops answers that come late, so a later heartbeat
- * that does not list the attempt proves it.
+ * Reports whether the response that carried the start was dropped. An agent sends
+ * one heartbeat at a time and drops late responses, so a later heartbeat that
+ * doesn't list the attempt proves it.
  */
 function isStartLost(attempt: TaskAttempt, sequence: number): boolean {
   return (
--- a/src/scheduler/reconcile/unknown-tasks.ts
+++ b/src/scheduler/reconcile/unknown-tasks.ts
@@ -1,4 +1,4 @@
-/** Tasks that machines list and that belong to no live job. */
+/** Tracks tasks that machines list but that belong to no live job. */
 import type { TaskStatus } from '../../model/heartbeat.js';
 import type { ResourceUsage } from '../../model/resources.js';
 import type { Machine } from '../state/task-attempt.js';
@@ -6,16 +6,16 @@
 const NO_TASKS: readonly TaskStatus[] = [];
 
 /**
- * Unknown tasks by machine, as of its last heartbeat. The answers stop them or
- * let the agent forget them; until then what they use is not known, so all of
- * their machine's remaining resources count as used.
+ * Unknown tasks by machine, as of its last heartbeat. Heartbeat responses stop
+ * them or let the agent forget them. Until then their resource usage is unknown,
+ * so all remaining resources of the machine count as used.
  */
 export class UnknownTasks {
   private readonly byMachine = new Map<string, readonly TaskStatus[]>();
-  /** Machines that list unknown tasks which have not exited. */
+  /** Machines that list unknown tasks that have not exited. */
   private readonly occupiedMachines = new Set<Machine>();
 
-  /** The unknown tasks of a machine's last heartbeat; replaces those of the one before. */
+  /** Replaces the machine's unknown tasks with those of its latest heartbeat. */
   record(machine: Machine, tasks: readonly TaskStatus[]): void {
     machine.hasUnknownTasks = tasks.some((task) => task.state !== 'exited');
     if (machine.hasUnknownTasks) this.occupiedMachines.add(machine);
@@ -24,18 +24,18 @@
     else this.byMachine.delete(machine.id);
   }
 
-  /** The unknown tasks that the machine listed last. */
+  /** Returns the unknown tasks of the machine's latest heartbeat. */
   of(machine: Machine): readonly TaskStatus[] {
     return this.byMachine.get(machine.id) ?? NO_TASKS;
   }
 
-  /** The machine is terminated, and its tasks with it. */
+  /** Removes a terminated machine, whose tasks have ended with it. */
   removeMachine(machine: Machine): void {
     this.byMachine.delete(machine.id);
     this.occupiedMachines.delete(machine);
   }
 
-  /** Adds to `usage` the most that unknown tasks may use. */
+  /** Adds the maximum resource usage of the unknown tasks to `usage`. */
   addUsage(usage: ResourceUsage): void {
     for (const machine of this.occupiedMachines) {
       usage.cpus += (machine.type?.cpus ?? 0) - machine.usedCpus;
--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -25,7 +25,7 @@
   write: DurableWrite;
 }
 
-/** A job of two tasks, one of which is done; the write of that is on its way. */
+/** Creates a job of two tasks, one of which is done, and starts the write of its progress. */
 function startChunkWrite(): ChunkWriteUnderWay {
   const cluster = createCluster();
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
@@ -50,18 +50,21 @@
 
 const OUTCOMES: [name: string, report: (write: DurableWrite) => void][] = [
   ['was not sent', (write) => write.retry(false)],
-  ['had no answer', (write) => write.retry(true)],
-  ['met another version of the chunk', (write) => write.conflict([CHUNK_KEY])],
-  ['found the job ended', (write) => write.conflict([liveJobKey(JOB_ID), CHUNK_KEY])],
+  ['received no response', (write) => write.retry(true)],
+  ['conflicted with another version of the chunk', (write) => write.conflict([CHUNK_KEY])],
+  [
+    'conflicted with the end of the job',
+    (write) => write.conflict([liveJobKey(JOB_ID), CHUNK_KEY]),
+  ],
 ];
 
 for (const [name, report] of OUTCOMES)
-  test(`progress of a job that ended meanwhile is not written again when its write ${name}`, () => {
+  test(`progress of an ended job is not written again after its write ${name}`, () => {
     const { cluster, agent, write } = startChunkWrite();
     cluster.endJob(JOB_ID, { state: 'cancelled', at: null });
     report(write);
     assert.deepEqual(chunksOfUnknownVersion(cluster), []);
-    // The chunk may exist, so it is deleted, and its task may be forgotten.
+    // The chunk may be stored, so its key is deleted; the agent may forget the task.
     assert.deepEqual(
       pendingWrites(cluster, BUDGET).flatMap((pending) => pending.changes),
       [{ op: 'delete', key: CHUNK_KEY }],
@@ -69,7 +72,7 @@
     assert.ok(mayForgetFirstTask(cluster, agent, 30));
   });
 
-test('progress of a job whose end is not known yet is not written again once its record is missing', () => {
+test('progress is not written again once the live record of its job is gone, even before the end is known', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([liveJobKey(JOB_ID)]);
   assert.deepEqual(chunksOfUnknownVersion(cluster), []);
@@ -77,7 +80,7 @@
   assert.ok(mayForgetFirstTask(cluster, agent, 30));
 });
 
-test('progress of a live job is written again over the version that is read back', () => {
+test('after a conflict, progress of a live job is written again over the version that is read back', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([CHUNK_KEY]);
   assert.deepEqual(pendingWrites(cluster, BUDGET), []);
@@ -91,7 +94,7 @@
   assert.ok(mayForgetFirstTask(cluster, agent, 40));
 });
 
-test('a machine of the roster whose move to another page failed is not added once more', () => {
+test('a machine that is already in the roster is not queued again when its move to another page fails', () => {
   const cluster = createCluster();
   cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
   const [machine] = cluster.machines.values();
@@ -104,11 +107,11 @@
   assert.equal(cluster.pendingRosterAdds.size, 0);
 });
 
-test('a machine whose move had no answer is not moved to a third page', () => {
+test('a machine whose move to another page received no response is not moved to a third page', () => {
   const entry = (n: number) => ({ id: `n-${n}`, type: 'm', zone: 'a', spot: true, address: '' });
   const entryBytes = JSON.stringify(entry(1)).length + 1;
   const roster = new Roster(4, 3 * entryBytes);
-  // Written under a higher limit: one machine too many for this one, once another has been terminated.
+  // The page was written under a higher limit and still holds one machine too many without n-5.
   roster.restore('3-1', 10, [1, 2, 3, 4, 5].map(entry));
   roster.removeMachine('n-5');
   const [move] = roster.rewriteStalePages(9);
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -20,7 +20,7 @@
 } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-test('a late copy under an old token proves neither a machine nor its life to a new leader', () => {
+test('a delayed duplicate heartbeat under an old fencing token proves no machine existent or alive to a new leader', () => {
   const cluster = createCluster({ term: 2 });
   cluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   const w = new ScriptedAgent('n-1', 'a', true);
@@ -30,7 +30,7 @@
   assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 8000), true);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
-  // Not alive, no notice, nothing confirmed, its zone not heard.
+  // The heartbeat records no liveness of the machine or its zone, no notice and no confirmation.
   assert.deepEqual(
     [
       machine.lastHeartbeatAt,
@@ -41,14 +41,14 @@
     [0, null, null, false],
   );
   assert.equal(cluster.zoneLiveness.size, 0);
-  // The same copy again, and one of a machine that is not known: dropped.
+  // The same duplicate is ignored, and so is a heartbeat of an unknown machine.
   assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 9000), false);
   assert.equal(
     cluster.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), 'heartbeat', 9000),
     false,
   );
   assert.equal(cluster.machines.has('n-7'), false);
-  // The machine itself, once it knows the term, counts.
+  // A heartbeat counts once the agent knows the new term.
   w.execute(2, []);
   cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 10_000);
   assert.deepEqual(
@@ -57,7 +57,7 @@
   );
 });
 
-test('a late copy does not undo what came after it, nor bring a returned machine back', () => {
+test('a delayed duplicate heartbeat neither reverts newer state nor registers a terminated machine again', () => {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
@@ -74,7 +74,7 @@
   assert.equal(cluster.machines.size, 0);
 });
 
-test('a machine that hears nothing gets no new work until it answers, and is fenced in the end', () => {
+test('an unresponsive machine gets no new tasks until it replies, and is terminated if it stays unresponsive', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
   const deaf = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
@@ -89,7 +89,7 @@
   let starts = 0;
   const pass = () => {
     now += 3000;
-    // Its reports arrive, the answers don't reach it.
+    // Its heartbeats arrive, but the responses don't reach it.
     cluster.applyHeartbeat(deaf.heartbeat(), 'heartbeat', now);
     starts += runPlacementRound(cluster, 32, now).started.length;
     cluster.heartbeatCommands(machine);
@@ -99,11 +99,11 @@
   assert.equal(starts, 2);
   assert.notEqual(machine.unresponsiveSince, null);
   assert.equal(job.readyCount, 1);
-  // An answered command shows that it hears again.
+  // A reply to a command proves that messages reach the machine again.
   cluster.markResponsive(machine);
   pass();
   assert.equal(starts, 3);
-  // Its lease ends although it reports: deaf from there on, and returned when that lasts.
+  // Its lease expires although its heartbeats arrive: it is unresponsive and terminated in the end.
   deaf.lapse();
   pass();
   assert.equal(job.readyCount, 1);
@@ -113,7 +113,7 @@
     [['n-1', 'unresponsive']],
   );
   assert.equal(starts, 3);
-  // When many seem deaf it is the leader that is not heard, and nobody is returned for it.
+  // When many machines seem unresponsive, the fault is with the leader, and none is terminated.
   for (const w of others) {
     const other = cluster.machines.get(w.id);
     if (other) cluster.markUnresponsive(other, 0);
@@ -121,7 +121,7 @@
   assert.deepEqual(scaleIn.plan(now), []);
 });
 
-test('an inherited machine that answers nothing, asked directly or not, is fenced after a report interval', () => {
+test('an inherited machine without heartbeats is terminated after two intervals, or one if its confirmation timed out', () => {
   const endOf = (unanswered: boolean) => {
     const cluster = createCluster({ term: 2 });
     const scaleIn = new ScaleInPlanner(cluster);
@@ -131,7 +131,7 @@
     const silent = cluster.machines.get('n-1');
     assert.ok(silent);
     silent.confirmationUnanswered = unanswered;
-    // Work that it may hold would fill it.
+    // Tasks of this job may run on the silent machine and would fill it.
     cluster.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
     for (let now = 200; now < 60_000; now += 100) {
       sendHeartbeat(cluster, well, now);
@@ -139,14 +139,14 @@
     }
     return null;
   };
-  // Intervals are 3 s with a quarter of jitter; a redirection takes half a second.
+  // Heartbeat intervals are 3 s with a quarter of jitter; a redirection takes half a second.
   const asked = endOf(true) ?? 0;
   assert.ok(asked > 3750 && asked <= 4400, `asked: ${asked}`);
   const notAsked = endOf(false) ?? 0;
   assert.ok(notAsked > 6000 && notAsked <= 6500, `not asked: ${notAsked}`);
 });
 
-test('only a machine that was asked and gave no answer counts as unanswered', async () => {
+test('only a machine whose confirmation request was sent and timed out counts as unanswered', async () => {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   const cluster = createCluster({ term: 2 });
@@ -179,7 +179,7 @@
   assert.deepEqual(unanswered, [true, false, false]);
 });
 
-test('a machine that never learns of the new term holds up only work it could hold, and not for ever', () => {
+test('an inherited machine that never learns of the new term delays only jobs that it may run, until it is terminated', () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
   const cluster = createCluster({ term: 2, teams });
   const scaleIn = new ScaleInPlanner(cluster);
@@ -195,7 +195,7 @@
     true,
   );
   const cheap = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
-  // What it may hold counts against the limit.
+  // What may run on the unconfirmed machine counts against the team's limit.
   assert.equal(runPlacementRound(cluster, 32, 200).started.length, 0);
   let now = 200;
   let gone = 0;
@@ -209,12 +209,12 @@
       gone = now;
     }
   }
-  // As soon as two reports under the new token would have come, since work waits for it.
+  // It is terminated once two heartbeats under the new token are overdue, since work waits for it.
   assert.ok(gone > 6000 && gone <= 8000, `gone at ${gone}`);
   assert.equal(runPlacementRound(cluster, 32, now).started.length, 2);
   assert.deepEqual([ordinary?.readyCount, cheap?.readyCount], [0, 1]);
 
-  // Without a limit, work that may not use spot machines waits for ordinary ones only.
+  // Without a limit, jobs that may not use spot machines wait for non-spot machines only.
   const clusterState = createCluster({ term: 2 });
   clusterState.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   joinCluster(clusterState, new ScriptedAgent('n-2'), 100);
@@ -226,7 +226,7 @@
   );
 });
 
-test('while a cut keeps many machines from a new leader, none of them is fenced for the work that waits', () => {
+test('while a network partition hides many inherited machines from a new leader, none is terminated for waiting work', () => {
   const cluster = createCluster({ term: 2 });
   const scaleIn = new ScaleInPlanner(cluster);
   const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
@@ -238,14 +238,14 @@
   };
   assert.deepEqual(returned(7, 8000), []);
   assert.deepEqual(returned(8, 8500), ['n-8', 'n-9']);
-  // Nothing waits for them: they are given their time.
+  // Without waiting work, they are not terminated early.
   const clusterState = createCluster({ term: 2 });
   for (const w of workers) clusterState.inheritMachine(w.id, 'm16', 'a', false, '', 0);
   for (const w of workers.slice(0, 9)) joinCluster(clusterState, w, 8000);
   assert.deepEqual(new ScaleInPlanner(clusterState).plan(8500), []);
 });
 
-test('a leader that stood still under a kept lease takes no healthy machine for silent or missing', () => {
+test('a leader that was paused and kept its lease treats no healthy machine as unreachable or missing', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
   const workers = Array.from({ length: 6 }, (_, i) =>
@@ -261,7 +261,7 @@
     state: 'running' as const,
     ageS: 100,
   });
-  // The list was asked for just before, and does not show the newest machine yet.
+  // The list was requested just before the pause and does not show the newest machine yet.
   const shown = workers.map(entry);
   const woken = 30_000;
   cluster.applyMachineList(shown, 1000, woken);
@@ -270,14 +270,14 @@
     sendHeartbeat(cluster, w, woken + 100 * i);
     assert.deepEqual(scaleIn.plan(woken + 100 * i), []);
   }
-  // Up within a second or two and heard all the while, but not listed yet.
+  // A machine that is up within a second or two and sends heartbeats, but is not listed yet.
   joinCluster(cluster, new ScriptedAgent('n-9'), woken + 900);
   cluster.applyMachineList([...workers, young].map(entry), woken + 1000, woken + 1100);
   assert.deepEqual(scaleIn.plan(woken + 1200), []);
   assert.ok(cluster.machines.has('n-9'));
 });
 
-test('a node that hears neither state service nor peers says that it is unhealthy, and in an outage it does not', async () => {
+test('a node is unhealthy when it reaches neither the state service nor its peers, and healthy when only the service is down', async () => {
   const clock = new FakeClock();
   const { timing, machineTypes: types } = createContext(
     'n-0',
@@ -297,10 +297,10 @@
   await clock.advance(timing.stateTimeoutMs * 0.4);
   assert.deepEqual([health.isStateServiceFailing(), health.isStateServiceSilent()], [false, false]);
   await clock.advance(timing.stateTimeoutMs);
-  // Nothing has been tried for a while: the next request is.
+  // After a while without requests, the next request is attempted.
   assert.equal(health.isStateServiceSilent(), false);
   state.lastAttemptAt = clock.now();
-  // An outage: the peers are heard, users are answered at once and the node stays.
+  // An outage: the peers are reachable, users get an immediate response and the node stays healthy.
   assert.deepEqual(
     [health.isStateServiceFailing(), health.isStateServiceSilent(), health.isHealthy],
     [true, true, true],
@@ -311,7 +311,7 @@
   assert.equal(health.isHealthy, true);
 });
 
-test('a status that a cut held back tells of the time when it was sent', async () => {
+test('a peer status delayed by a network partition counts as of the time when it was sent', async () => {
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   const terms: number[] = [];
@@ -335,7 +335,7 @@
   const heardAt = clock.now();
   peers.receiveStatus(status(sent));
   await clock.advance(30_000);
-  // Late copies of it, and an older one, move nothing.
+  // Delayed duplicates of it and an older status change nothing.
   peers.receiveStatus(status(sent));
   peers.receiveStatus(status(sent - 5000));
   assert.equal(peers.lastLedAt('n-1', 3), heardAt);
@@ -344,9 +344,9 @@
   assert.deepEqual(terms, [3, 3, 3, 3]);
 });
 
-test('the roster holds many machines to a page and survives writes that are lost or late', () => {
+test('the roster stores many machines on a page and stays correct when writes are lost or applied late', () => {
   const entry = (n: number) => ({ id: `n-${n}`, type: 'm', zone: 'a', spot: true, address: '' });
-  // Room for three of them to a page.
+  // A page has space for three of them.
   const r = new Roster(4, 3 * (JSON.stringify(entry(1)).length + 1));
   const writes = r.add([1, 2, 3, 4].map(entry));
   assert.deepEqual(
@@ -359,11 +359,11 @@
   const [first, second] = writes;
   assert.ok(first && second);
   first.applied(10);
-  // It was refused, so the same page takes its machine and the next one.
+  // The second write was refused, so the same page takes its machine and the next one.
   second.notApplied();
   const [again] = r.add([4, 5].map(entry));
   assert.deepEqual([again?.version, again?.entries.length], [0, 2]);
-  // No answer: whatever comes of it, this page is not written again while it holds anybody.
+  // This write received no response, so its page is not written again while it holds machines.
   again?.outcomeUnknown();
   const [other] = r.add([4, 5].map(entry));
   assert.notEqual(other?.key, again?.key);
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -14,12 +14,12 @@
   teamQuota,
 } from './support/scheduler.js';
 
-test('a task starts once, and its loss on the way makes it ready again', () => {
+test('a task is started once and becomes ready again when its start is lost', () => {
   const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  // The answer that carries the start is lost.
+  // The response that carries the start is lost.
   assert.equal(cluster.heartbeatCommands(machine).length, 1);
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
   cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
@@ -29,13 +29,13 @@
   assert.deepEqual(w.running(), ['req-000001/0']);
 });
 
-test("a command's answer does not prove that a start in a report's answer is lost", () => {
+test('the heartbeat in a command reply does not prove that a start in a heartbeat response was lost', () => {
   const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
   const late = cluster.heartbeatCommands(machine);
-  // A direct command is answered first, without the task.
+  // The reply to a direct command arrives first and does not list the task.
   cluster.applyHeartbeat(w.heartbeat(), 'commandReply', 10);
   assert.equal(job.readyCount, 0);
   w.execute(1, late);
@@ -43,14 +43,14 @@
   assert.equal(job.activeAttempts.get(0)?.state, 'running');
 });
 
-test('an unanswered direct start stays bound and is repeated with its attempt', () => {
+test('a direct start without a reply keeps its task assigned and is repeated with the same attempt number', () => {
   const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
   const { commands: orders } = takePendingCommands(machine);
   assert.equal(orders.length, 1);
-  // No answer came, and several reports do not list it.
+  // The command received no reply, and several heartbeats do not list the attempt.
   cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
   cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 200);
   assert.equal(job.readyCount, 0);
@@ -59,7 +59,7 @@
   w.execute(1, again);
   w.exit([...w.tasks.keys()][0] as string, 'stopped');
   assert.deepEqual(sendHeartbeat(cluster, w, 300), []);
-  // The late command finds the attempt still known, and has no effect.
+  // The delayed command has no effect, because the agent still knows the attempt.
   w.execute(1, orders);
   assert.deepEqual(w.running(), []);
   w.lapse();
@@ -67,7 +67,7 @@
   assert.equal(machine.attempts.size, 0);
 });
 
-test('a direct command that was answered without execution frees its starts', () => {
+test('a direct command that the agent refused releases the attempts that it was to start', () => {
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
@@ -78,7 +78,7 @@
   assert.equal(job.readyCount, 1);
 });
 
-test('an executed direct start is held until a later report could lack it', () => {
+test('an older heartbeat does not release the attempt of an executed direct start', () => {
   const { cluster, w, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
@@ -88,14 +88,14 @@
   w.execute(1, orders);
   const answer = w.heartbeat();
   cluster.applyCommandResult(starts, true, answer.sequence);
-  // A report from before the command must not undo it.
+  // A heartbeat from before the command must not release the attempt.
   cluster.applyHeartbeat(older, 'heartbeat', 10);
   assert.equal(job.readyCount, 0);
   cluster.drain(machine, 'preemption notice');
   assert.equal(job.readyCount, 0);
 });
 
-test('a new leader places inherited tasks only when every roster machine is confirmed or gone', () => {
+test('a new leader places inherited tasks only when every roster machine is confirmed or terminated', () => {
   const old = createCluster({ term: 1 });
   const a = joinCluster(old, new ScriptedAgent('n-1'), 0);
   const b = joinCluster(old, new ScriptedAgent('n-2'), 0);
@@ -110,14 +110,14 @@
   cluster.inheritMachine('n-2', 'm16', 'a', false, '', 100);
   const job = cluster.addJob(jobSpec({ tasks: 6 }), 5, 0, true);
   assert.ok(job);
-  // A report under the old token proves nothing, even when it lists nothing.
+  // A heartbeat under the old fencing token proves nothing, even with an empty task list.
   cluster.applyHeartbeat({ ...a.heartbeat(), tasks: [] }, 'heartbeat', 110);
   assert.equal(runPlacementRound(cluster, 32, 110).started.length, 0);
   a.execute(2, []);
   sendHeartbeat(cluster, a, 120);
   assert.equal(job.activeAttempts.size, a.running().length);
   assert.equal(runPlacementRound(cluster, 32, 120).started.length, 0);
-  // Work accepted after the takeover waits for nobody.
+  // Jobs accepted after the failover do not wait for inherited machines.
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, cpus: 1 }), 9, 0, false);
   assert.equal(runPlacementRound(cluster, 32, 125).started.length, 0);
   a.exit([...a.tasks.keys()][0] as string, 'done');
@@ -127,7 +127,7 @@
     ['req-000002'],
   );
   const inheritedOnA = job.activeAttempts.size;
-  // The rest is ready once the other machine is gone.
+  // The remaining tasks are ready once the other machine is terminated.
   cluster.markTerminated('n-2', 'returned', 130);
   assert.equal(job.readyCount, 6 - 1 - job.activeAttempts.size);
   joinCluster(cluster, new ScriptedAgent('n-3'), 140);
@@ -135,7 +135,7 @@
   assert.equal(job.readyCount, 0);
 });
 
-test('an older leader can start nothing on a machine that has seen the new token', () => {
+test('an earlier leader can start no task on a machine that has seen the new fencing token', () => {
   const old = createCluster({ term: 1 });
   const w = joinCluster(old, new ScriptedAgent('n-1'), 0);
   old.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
@@ -148,7 +148,7 @@
   assert.deepEqual(w.running(), []);
 });
 
-test('reports out of order and of an earlier session are dropped', () => {
+test('heartbeats that are out of order or from an earlier agent epoch are ignored', () => {
   const { cluster, w, job } = clusterWithJob(1);
   const early = w.heartbeat();
   runPlacementRound(cluster, 32, 0);
@@ -162,7 +162,7 @@
   assert.equal(cluster.applyHeartbeat({ ...early, sequence: 999 }, 'heartbeat', 50), false);
 });
 
-test('a finished task is durable before it is forgotten, and the job ends once', () => {
+test('a finished task is durable before the agent may forget it, and its job ends once', () => {
   const { cluster, w, job } = clusterWithJob(2);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
@@ -172,7 +172,7 @@
   assert.deepEqual(sendHeartbeat(cluster, w, 20), []);
   const [bits] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   assert.ok(bits);
-  // Refused: it stands to be written again.
+  // The write was refused, so the progress is still to be written.
   bits.retry(false);
   assert.deepEqual(sendHeartbeat(cluster, w, 30), []);
   const [again] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
@@ -192,7 +192,7 @@
     ],
   );
   assert.deepEqual(end?.conditions, [{ key: 'live/req-000001', version: 5 }]);
-  // Somebody cancelled it first: its end stands, and the worker may forget.
+  // The job was cancelled first: that end remains, and the agent may forget the task.
   end?.conflict(['live/req-000001']);
   assert.equal(cluster.jobs.size, 0);
   assert.deepEqual(
@@ -201,7 +201,7 @@
   );
 });
 
-test('a cancelled job is stopped everywhere, also where its start was still in flight', () => {
+test('all tasks of a cancelled job are stopped, including those whose start was in flight', () => {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
@@ -219,7 +219,7 @@
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
 });
 
-test('a cancelled start in doubt is over for good once the fence has been raised', () => {
+test('a direct start of a cancelled job counts against the quota until a raised fence rules it out', () => {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
@@ -229,18 +229,18 @@
   const { commands: orders } = takePendingCommands(machine);
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
   let now = 0;
-  // It counts against the limit until then, whatever the reports list.
+  // Until then the task counts against the team's limit, whatever the heartbeats list.
   for (; machine.fence === 0; now += 1000) sendHeartbeat(cluster, w, now);
   assert.ok(now <= cluster.timing.agentLeaseMs / 2, `raised after ${now}`);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 4);
   sendHeartbeat(cluster, w, now);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
-  // The command comes out of the cut at last, and is refused.
+  // The command arrives after the end of the network partition and is refused.
   assert.equal(w.execute(1, orders, 0), false);
   assert.deepEqual(w.running(), []);
 });
 
-test('a copy of a direct start that was carried out finds the attempt known, or is refused', () => {
+test('a duplicate of an executed direct start has no effect: the agent knows the attempt or refuses the command', () => {
   const { cluster, w, job } = clusterWithJob(2);
   runPlacementRound(cluster, 1, 0);
   const machine = cluster.machines.get('n-1');
@@ -251,7 +251,7 @@
   sendHeartbeat(cluster, w, 100);
   w.exit([...w.tasks.keys()][0] as string, 'stopped');
   let now = 200;
-  // The attempt is over and could be forgotten, but a copy would start it again beside the next one.
+  // The attempt has ended, but once forgotten, a duplicate would start it beside the next one.
   for (; w.tasks.size > 0; now += 1000) {
     assert.ok(now < 20_000);
     assert.deepEqual(w.running(), []);
@@ -261,14 +261,14 @@
   }
   assert.equal(w.fence, 1);
   assert.equal(w.execute(1, orders, 0), false);
-  // Starts under the raised fence are carried out as before.
+  // Starts under the raised fence are executed as before.
   runPlacementRound(cluster, 32, now);
   const next = takePendingCommands(machine);
   assert.equal(w.execute(1, next.commands, machine.fence), true);
   assert.ok(w.running().length > 0);
 });
 
-test('a late copy of a bitmap takes no finished task back', () => {
+test('a bitmap write that is applied late removes no finished task', () => {
   const { cluster, w, job } = clusterWithJob(3);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
@@ -278,7 +278,7 @@
   sendHeartbeat(cluster, w, 20);
   const [one] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   assert.deepEqual(one?.conditions[1], { key: 'bits/req-000001/0000/0', version: 0 });
-  // No answer: whether it stands is read back before the next write.
+  // The write received no response, so the stored version is read before the next write.
   one?.retry(true);
   assert.deepEqual(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
   assert.deepEqual(chunksOfUnknownVersion(cluster), [{ job, chunk: 0 }]);
@@ -290,7 +290,7 @@
   w.exit(second, 'done');
   sendHeartbeat(cluster, w, 40);
   const [two] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
-  // Over that version alone: the late one, over none, is refused from then on.
+  // The write requires that version; the late one requires an absent key and fails from then on.
   assert.deepEqual(two?.conditions[1], { key: 'bits/req-000001/0000/0', version: 7 });
   two?.applied(9);
   assert.equal(job.chunkVersions.get(0), 9);
@@ -314,13 +314,13 @@
   sendHeartbeat(cluster, w, 0);
   sendHeartbeat(cluster, w, 10);
   assert.deepEqual(w.running(), []);
-  // What it used is in doubt until it is gone.
+  // Its resource usage is unknown until the task is no longer listed.
   assert.equal(cluster.machines.get('n-1')?.hasUnknownTasks, true);
   assert.equal(cluster.unconfirmedUsage().cpus, cluster.machineTypes.get('m16')?.cpus);
   sendHeartbeat(cluster, w, 20);
   assert.equal(cluster.machines.get('n-1')?.hasUnknownTasks, false);
   assert.equal(cluster.unconfirmedUsage().cpus, 0);
-  // Nor is a machine in doubt that has gone with them.
+  // A terminated machine no longer counts as unconfirmed usage.
   w.tasks.set('req-000007/0/3', {
     jobId: 'req-000007',
     index: 0,
@@ -334,7 +334,7 @@
   assert.equal(cluster.unconfirmedUsage().cpus, 0);
 });
 
-test('silence proves nothing; a list proves a machine gone only when it cannot be older than its listing', () => {
+test('missing heartbeats prove nothing; a list proves termination only when it cannot predate the listing of the machine', () => {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 1000);
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
@@ -343,21 +343,21 @@
   cluster.applyMachineList([], 10_000, 10_200);
   assert.ok(cluster.machines.has('n-1'));
   assert.equal(job?.readyCount, 0);
-  // It was up before: the cloud is asked to take it back, which is proof.
+  // The machine was up before, so the cloud is asked to terminate it, which is proof.
   assert.equal(cluster.machines.get('n-1')?.missingFromList, true);
   cluster.applyMachineList([], 1100 + cluster.timing.listProofMs + 1, 40_000);
   assert.equal(cluster.machines.has('n-1'), false);
   assert.equal(job?.readyCount, 1);
-  // Its late report does not bring it back.
+  // A delayed heartbeat does not register it again.
   assert.equal(cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 41_000), false);
   assert.equal(cluster.machines.has('n-1'), false);
 });
 
-test('a terminated machine that a late provisioning answer registers again counts for nothing in heartbeats', () => {
+test('heartbeats of a terminated machine are ignored even if a late provisioning response registers it again', () => {
   const cluster = createCluster();
   const agent = new ScriptedAgent('n-1');
   agent.term = cluster.term;
-  // The list shows that it failed before the cloud's answer names it.
+  // The list shows the machine as failed before the provisioning response names it.
   const failed = { id: 'n-1', address: '', type: 'm16', zone: 'a', spot: false, ageS: 5 };
   cluster.applyMachineList([{ ...failed, state: 'failed' }], 1000, 1100);
   const machine = cluster.ensureMachine('n-1', 'm16', 'a', false, 0, 1200);
@@ -366,7 +366,7 @@
   assert.equal(cluster.pendingRosterAdds.size, 0);
 });
 
-test("doubt counts against a team's limit", () => {
+test("the capacity of an unconfirmed machine counts against a team's limit", () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 16 })];
   const cluster = createCluster({ term: 2, teams });
   cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
@@ -378,7 +378,7 @@
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
 });
 
-test('a spot notice saves what can be saved, and moves what will hardly finish', () => {
+test('a preemption notice saves tasks with checkpoints and restarts tasks that are unlikely to finish', () => {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   const small = { tasks: 1, cpus: 1, memoryGb: 1 };
@@ -411,7 +411,7 @@
   assert.equal(runPlacementRound(cluster, 32, 5000).started.length, 0);
 });
 
-test('a refused command of an earlier session does not free its room twice', () => {
+test('a refused command of an earlier agent epoch does not release its quota twice', () => {
   const cluster = createCluster();
   const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
