--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -8,7 +8,7 @@
 import type { DurableWrite } from './durable-write.js';
 
 /** Size of a chunk's write without the bitmap and the job's id, which is in both keys. */
-const CHUNK_BYTES = 500;
+const CHUNK_OVERHEAD_BYTES = 500;
 
 /** A chunk of a job's bitmap. */
 export interface BitmapChunk {
@@ -34,15 +34,15 @@
  * while the version of the chunk is unknown. The chunk counts as saved until the
  * outcome of the write is known.
  */
-export function takeChunkWrite(
+export function createChunkWrite(
   cluster: ClusterState,
   job: Job,
   chunk: number,
-  finished: TaskAttempt[],
+  finishedAttempts: TaskAttempt[],
 ): DurableWrite | null {
   const version = job.chunkVersions.get(chunk);
   if (version === null) return null;
-  const write = new BitmapChunkWrite(cluster, job, chunk, finished, version ?? 0);
+  const write = new BitmapChunkWrite(cluster, job, chunk, finishedAttempts, version ?? 0);
   job.unsavedChunks.delete(chunk);
   // A first write without a response may still create the key, which must be deleted with the job.
   job.chunkVersions.set(chunk, version ?? 0);
@@ -65,7 +65,7 @@
     private readonly job: Job,
     private readonly chunk: number,
     /** Attempts that may be forgotten once their tasks are durably done. */
-    private readonly finished: TaskAttempt[],
+    private readonly finishedAttempts: TaskAttempt[],
     /** Version of the chunk that is replaced; 0 if it does not exist. */
     private readonly version: number,
   ) {
@@ -77,12 +77,12 @@
       { key, version },
     ];
     this.changes = [{ op: 'put', key, value }];
-    this.size = CHUNK_BYTES + 2 * id.length + value.length;
+    this.size = CHUNK_OVERHEAD_BYTES + 2 * id.length + value.length;
   }
 
   applied(revision: number): void {
     this.job.chunkVersions.set(this.chunk, revision);
-    this.letForget();
+    this.allowForgetting();
   }
 
   /**
@@ -90,7 +90,7 @@
    * not be kept. Otherwise another version of the chunk exists and has to be read.
    */
   conflict(failedKeys: string[]): void {
-    if (failedKeys.includes(liveJobKey(this.job.spec.id))) this.letForget();
+    if (failedKeys.includes(liveJobKey(this.job.spec.id))) this.allowForgetting();
     else this.markUnsaved(null);
   }
 
@@ -102,15 +102,18 @@
   private markUnsaved(version: number | null): void {
     const { job, chunk } = this;
     if (job.ended) {
-      this.letForget();
+      this.allowForgetting();
       return;
     }
     job.chunkVersions.set(chunk, version);
     // Further tasks of the chunk may have finished in the meantime.
-    job.unsavedChunks.set(chunk, [...this.finished, ...(job.unsavedChunks.get(chunk) ?? [])]);
+    job.unsavedChunks.set(chunk, [
+      ...this.finishedAttempts,
+      ...(job.unsavedChunks.get(chunk) ?? []),
+    ]);
   }
 
-  private letForget(): void {
-    for (const attempt of this.finished) attempt.mayBeForgotten = true;
+  private allowForgetting(): void {
+    for (const attempt of this.finishedAttempts) attempt.mayBeForgotten = true;
   }
 }
--- a/src/scheduler/persistence/job-end-writes.ts
+++ b/src/scheduler/persistence/job-end-writes.ts
@@ -17,7 +17,7 @@
 import type { DurableWrite } from './durable-write.js';
 
 /** Size of the write of a job's end without its id, which is in both keys. */
-const END_BYTES = 400;
+const END_OVERHEAD_BYTES = 400;
 
 /** Moves a job to the ended jobs. The cluster state changes only after the end is durable. */
 abstract class JobEndWrite implements DurableWrite {
@@ -36,7 +36,7 @@
       { op: 'put', key: endedJobKey(id), value: encodeJobEnd(end, tasks) },
       { op: 'delete', key: liveJobKey(id) },
     ];
-    this.size = END_BYTES + 2 * id.length;
+    this.size = END_OVERHEAD_BYTES + 2 * id.length;
   }
 
   /** Removes the job from the live jobs and stops its running tasks. */
--- a/src/scheduler/persistence/key-deletion-write.ts
+++ b/src/scheduler/persistence/key-deletion-write.ts
@@ -5,7 +5,7 @@
 import type { DurableWrite } from './durable-write.js';
 
 /** Size of a deletion without its key. */
-const DELETION_BYTES = 250;
+const DELETION_OVERHEAD_BYTES = 250;
 
 /**
  * Deletes one key of an ended job. It needs no condition: the key belongs to that
@@ -21,7 +21,7 @@
     private readonly key: string,
   ) {
     this.changes = [{ op: 'delete', key }];
-    this.size = DELETION_BYTES + key.length;
+    this.size = DELETION_OVERHEAD_BYTES + key.length;
   }
 
   /** Removes the key from the keys to be deleted. */
--- a/src/scheduler/persistence/pending-writes.ts
+++ b/src/scheduler/persistence/pending-writes.ts
@@ -2,11 +2,11 @@
 
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/task-attempt.js';
-import { takeChunkWrite } from './bitmap-chunk-write.js';
+import { createChunkWrite } from './bitmap-chunk-write.js';
 import type { DurableWrite } from './durable-write.js';
 import { CascadedCancellationWrite, JobCompletionWrite } from './job-end-writes.js';
 import { KeyDeletionWrite } from './key-deletion-write.js';
-import { RosterPageWrite, takeRosterAdditions } from './roster-page-write.js';
+import { createRosterAdditionWrites, RosterPageWrite } from './roster-page-write.js';
 
 /** Budget and time for the writes that are due. */
 export interface WriteBudget {
@@ -31,12 +31,12 @@
  * the outcome of each write: a chunk or page is not written again before that.
  */
 export function pendingWrites(cluster: ClusterState, budget: WriteBudget): DurableWrite[] {
-  const rosterAdditions = takeRosterAdditions(cluster);
-  const jobs = takeJobWrites(cluster, budget);
+  const rosterAdditions = createRosterAdditionWrites(cluster);
+  const jobs = collectJobWrites(cluster, budget);
   const stalePages = cluster.roster
     .rewriteStalePages(jobs.changesLeft)
     .map((pageWrite) => new RosterPageWrite(cluster, pageWrite));
-  const deletions = keyDeletions(cluster, jobs.changesLeft - stalePages.length);
+  const deletions = createKeyDeletions(cluster, jobs.changesLeft - stalePages.length);
   return [
     ...rosterAdditions,
     ...jobs.awaitedEnds,
@@ -47,7 +47,7 @@
   ];
 }
 
-function takeJobWrites(cluster: ClusterState, budget: WriteBudget): JobWrites {
+function collectJobWrites(cluster: ClusterState, budget: WriteBudget): JobWrites {
   const writes: JobWrites = {
     awaitedEnds: [],
     otherEnds: [],
@@ -57,19 +57,19 @@
   for (const job of cluster.jobs.values()) {
     if (job.dependencyCancelled) writes.otherEnds.push(new CascadedCancellationWrite(cluster, job));
     else if (job.isComplete) {
-      const isAwaited = cluster.dependencies.hasDependents(job.spec.id);
-      const ends = isAwaited ? writes.awaitedEnds : writes.otherEnds;
+      const hasDependents = cluster.dependencies.hasDependents(job.spec.id);
+      const ends = hasDependents ? writes.awaitedEnds : writes.otherEnds;
       ends.push(new JobCompletionWrite(cluster, job, budget.wallNow));
-    } else takeProgress(cluster, job, writes);
+    } else collectProgressWrites(cluster, job, writes);
   }
   return writes;
 }
 
 /** Collects writes of the job's unsaved chunks while the budget lasts. */
-function takeProgress(cluster: ClusterState, job: Job, writes: JobWrites): void {
-  for (const [chunk, finished] of job.unsavedChunks) {
+function collectProgressWrites(cluster: ClusterState, job: Job, writes: JobWrites): void {
+  for (const [chunk, finishedAttempts] of job.unsavedChunks) {
     if (writes.changesLeft < 1) return;
-    const write = takeChunkWrite(cluster, job, chunk, finished);
+    const write = createChunkWrite(cluster, job, chunk, finishedAttempts);
     if (!write) continue;
     writes.changesLeft--;
     writes.progress.push(write);
@@ -77,7 +77,7 @@
 }
 
 /** Creates deletions of obsolete keys; a key stays listed until its deletion has been applied. */
-function keyDeletions(cluster: ClusterState, budgetLeft: number): DurableWrite[] {
+function createKeyDeletions(cluster: ClusterState, budgetLeft: number): DurableWrite[] {
   const deletions: DurableWrite[] = [];
   let changesLeft = budgetLeft;
   for (const key of cluster.obsoleteKeys) {
--- a/src/scheduler/persistence/roster-page-write.ts
+++ b/src/scheduler/persistence/roster-page-write.ts
@@ -10,13 +10,13 @@
 import type { PageWrite } from './roster.js';
 
 /** Size of a page's write without its machines. */
-const PAGE_BYTES = 400;
+const PAGE_OVERHEAD_BYTES = 400;
 
 /**
  * Adds the pending machines to the roster and creates the writes of their pages.
  * No task starts on these machines until the writes have been applied.
  */
-export function takeRosterAdditions(cluster: ClusterState): DurableWrite[] {
+export function createRosterAdditionWrites(cluster: ClusterState): DurableWrite[] {
   const machines = [...cluster.pendingRosterAdds];
   cluster.pendingRosterAdds.clear();
   for (const machine of machines) machine.rosterWritePending = true;
@@ -57,36 +57,36 @@
     const value = encodeRosterPage(entries);
     this.conditions = version === null ? [] : [{ key, version }];
     this.changes = [entries.length > 0 ? { op: 'put', key, value } : { op: 'delete', key }];
-    this.size = PAGE_BYTES + JSON.stringify(value.machines).length;
+    this.size = PAGE_OVERHEAD_BYTES + JSON.stringify(value.machines).length;
   }
 
   /** Allows tasks to start on the added machines. */
   applied(revision: number): void {
     this.pageWrite.applied(revision);
-    for (const machine of this.endPendingWrites()) machine.inRoster = true;
+    for (const machine of this.clearPendingWrites()) machine.inRoster = true;
     this.cluster.roundDue = true;
   }
 
   /** Handles another stored version of the page, as after a write without a response. */
   conflict(): void {
     this.pageWrite.outcomeUnknown();
-    this.addAgain();
+    this.requeueAdditions();
   }
 
   /** Repeats the write; after one without a response, the machines are added to another page. */
   retry(mayBeApplied: boolean): void {
     if (mayBeApplied) this.pageWrite.outcomeUnknown();
     else this.pageWrite.notApplied();
-    this.addAgain();
+    this.requeueAdditions();
   }
 
-  private addAgain(): void {
-    for (const machine of this.endPendingWrites())
+  private requeueAdditions(): void {
+    for (const machine of this.clearPendingWrites())
       if (!machine.inRoster) this.cluster.pendingRosterAdds.add(machine);
   }
 
   /** Clears the pending write of the added machines; returns those not terminated in the meantime. */
-  private endPendingWrites(): Machine[] {
+  private clearPendingWrites(): Machine[] {
     const machines: Machine[] = [];
     for (const { id } of this.pageWrite.added) {
       const machine = this.cluster.machines.get(id);
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -44,13 +44,13 @@
   /** Pages that may have space. A page that lacked space is left out until it loses a machine. */
   private readonly pagesWithSpace = new Set<RosterPage>();
   /** Number of pages created in this term. */
-  private pageCount = 0;
+  private createdPageCount = 0;
 
   constructor(
     /** The leader's term, which makes the keys of new pages unique. */
     private readonly term: number,
     /** Maximum size of the entries of a page, in bytes. */
-    private readonly pageBytes: number,
+    private readonly maxPageBytes: number,
   ) {}
 
   /** Restores a page that an earlier leader wrote. */
@@ -92,7 +92,7 @@
       if (writes.length + 1 > budget) break;
       if (!page.stale || page.writing) continue;
       if (page.version === null && page.entries.size > 0) continue;
-      if (page.bytes > this.pageBytes) writes.push(...this.moveExcess(page));
+      if (page.bytes > this.maxPageBytes) writes.push(...this.moveExcessEntries(page));
       else writes.push(this.startWrite(page, []));
     }
     return writes;
@@ -103,7 +103,7 @@
    * removed from the page only once another page is known to hold it. A machine
    * whose move received no response is on both pages, which is harmless.
    */
-  private moveExcess(page: RosterPage): PageWrite[] {
+  private moveExcessEntries(page: RosterPage): PageWrite[] {
     return this.add(this.excessEntries(page)).map((write) => ({
       ...write,
       applied: (revision) => {
@@ -118,7 +118,7 @@
     const excess: RosterEntry[] = [];
     let bytes = page.bytes;
     for (const [id, entry] of page.entries) {
-      if (bytes <= this.pageBytes) break;
+      if (bytes <= this.maxPageBytes) break;
       if (this.pagesOfMachine.get(id)?.size === 1) excess.push(entry);
       bytes -= entryBytes(entry);
     }
@@ -127,11 +127,11 @@
 
   private pageWithSpace(bytes: number): RosterPage {
     for (const page of this.pagesWithSpace) {
-      const fits = page.bytes + bytes <= this.pageBytes;
+      const fits = page.bytes + bytes <= this.maxPageBytes;
       if (!fits || page.version === null) this.pagesWithSpace.delete(page);
       else if (!page.writing) return page;
     }
-    return this.createPage(`${this.term}-${++this.pageCount}`, 0);
+    return this.createPage(`${this.term}-${++this.createdPageCount}`, 0);
   }
 
   private createPage(key: string, version: number): RosterPage {
@@ -176,7 +176,7 @@
       added,
       applied: (revision) => this.writeApplied(page, entries, revision),
       notApplied: () => this.writeNotApplied(page, added),
-      outcomeUnknown: () => this.writeUnknown(page),
+      outcomeUnknown: () => this.writeOutcomeUnknown(page),
     };
   }
 
@@ -193,7 +193,7 @@
     if (page.version === 0 && page.entries.size === 0) this.deletePage(page);
   }
 
-  private writeUnknown(page: RosterPage): void {
+  private writeOutcomeUnknown(page: RosterPage): void {
     page.writing = false;
     page.stale = true;
     page.version = null;
--- a/src/scheduler/reconcile/heartbeat-reconciliation.ts
+++ b/src/scheduler/reconcile/heartbeat-reconciliation.ts
@@ -56,9 +56,9 @@
   apply(heartbeat: Heartbeat, source: HeartbeatSource, now: number): boolean {
     // A delayed duplicate must not register a terminated machine again.
     if (this.machines.tombstones.has(heartbeat.machineId)) return false;
-    const known = this.machines.get(heartbeat.machineId);
-    if (!known && !this.provesExistence(heartbeat)) return false;
-    const machine = known ?? this.register(heartbeat, now);
+    const existing = this.machines.get(heartbeat.machineId);
+    if (!existing && !this.provesExistence(heartbeat)) return false;
+    const machine = existing ?? this.register(heartbeat, now);
     if (!isNewer(heartbeat, machine)) return false;
     if (heartbeat.agentEpoch > machine.agentEpoch)
       this.beginAgentEpoch(machine, heartbeat.agentEpoch, now);
--- a/src/scheduler/reconcile/machine-list-reconciliation.ts
+++ b/src/scheduler/reconcile/machine-list-reconciliation.ts
@@ -6,7 +6,7 @@
 import type { Machine } from '../state/task-attempt.js';
 
 /** Heartbeat intervals, including jitter, after which a heartbeat counts as missed. */
-const MISSED_HEARTBEATS = 1.5;
+const MISSED_HEARTBEAT_INTERVALS = 1.5;
 
 /**
  * Applies complete machine lists. Invariant: absence proves termination only
@@ -44,9 +44,9 @@
 
   private applyPresence(entry: ListedMachine, now: number): void {
     const { id, type, zone } = entry;
-    const known = this.machines.get(id);
-    if (!known) this.logDecision('unexpected machine adopted', { machine: id, type, zone });
-    const machine = known ?? this.machines.register(entry, now);
+    const existing = this.machines.get(id);
+    if (!existing) this.logDecision('unexpected machine adopted', { machine: id, type, zone });
+    const machine = existing ?? this.machines.register(entry, now);
     machine.missingFromList = false;
     if (entry.address) machine.address = entry.address;
     if (entry.state === 'running' && machine.upAt === null) {
@@ -63,11 +63,14 @@
       this.machines.markTerminated(machine.id, 'absent from the list', now);
     // A new machine may be up before the list shows it. Only the time without heartbeats before the
     // request counts, since this process may have been paused before it read the response.
-    else if (machine.inRoster && (machine.inherited || this.missedHeartbeat(machine, requestedAt)))
+    else if (
+      machine.inRoster &&
+      (machine.inherited || this.hasMissedHeartbeat(machine, requestedAt))
+    )
       machine.missingFromList = true;
   }
 
-  private missedHeartbeat(machine: Machine, at: number): boolean {
-    return at - machine.lastHeartbeatAt > this.timing.heartbeatMs * MISSED_HEARTBEATS;
+  private hasMissedHeartbeat(machine: Machine, at: number): boolean {
+    return at - machine.lastHeartbeatAt > this.timing.heartbeatMs * MISSED_HEARTBEAT_INTERVALS;
   }
 }
--- a/src/scheduler/reconcile/machine-tombstones.ts
+++ b/src/scheduler/reconcile/machine-tombstones.ts
@@ -16,11 +16,11 @@
   /** By machine id, the time in milliseconds when its termination was proven; the earliest first. */
   private readonly terminatedAt = new Map<string, number>();
   /** The highest id that is no longer retained; empty if there is none. */
-  private newestForgotten = '';
+  private highestExpiredId = '';
 
   constructor(
     /** How long an id is retained, in milliseconds. */
-    private readonly keepMs: number,
+    private readonly retentionMs: number,
   ) {}
 
   /** Records that the machine's termination is proven, and drops ids that have expired. */
@@ -28,9 +28,9 @@
     this.terminatedAt.delete(id);
     this.terminatedAt.set(id, now);
     for (const [oldId, terminatedAt] of this.terminatedAt) {
-      if (now - terminatedAt < this.keepMs) break;
+      if (now - terminatedAt < this.retentionMs) break;
       this.terminatedAt.delete(oldId);
-      if (oldId > this.newestForgotten) this.newestForgotten = oldId;
+      if (oldId > this.highestExpiredId) this.highestExpiredId = oldId;
     }
   }
 
@@ -41,7 +41,7 @@
 
   /** Reports whether a heartbeat of an unknown machine may be a duplicate from before its termination. */
   mayBeTerminated(id: string): boolean {
-    return this.terminatedAt.has(id) || id <= this.newestForgotten;
+    return this.terminatedAt.has(id) || id <= this.highestExpiredId;
   }
 
   /** The number of retained ids. */
--- a/src/scheduler/reconcile/preemption-notices.ts
+++ b/src/scheduler/reconcile/preemption-notices.ts
@@ -6,7 +6,7 @@
 import type { WorkEstimates } from '../state/work-estimates.js';
 
 /** A task without checkpoints is restarted at once if it needs more than this multiple of the notice. */
-const HOPELESS_NOTICE_RATIO = 2;
+const RESTART_NOTICE_RATIO = 2;
 
 /** Reacts to the cloud's notices that it will reclaim a spot machine. */
 export class PreemptionNotices {
@@ -48,7 +48,7 @@
     const { checkpointIntervalS, checkpointCostS } = attempt.job.spec;
     const remainingS = this.estimates.remainingS(attempt, now);
     if (checkpointIntervalS === 0) {
-      if (remainingS > noticeS * HOPELESS_NOTICE_RATIO) this.attempts.stop(attempt, 0);
+      if (remainingS > noticeS * RESTART_NOTICE_RATIO) this.attempts.stop(attempt, 0);
     } else if (checkpointIntervalS > 0 && checkpointCostS < noticeS && remainingS > noticeS)
       this.attempts.stop(attempt, checkpointCostS);
   }
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -59,13 +59,13 @@
   const commands: TaskCommand[] = [];
   if (!machine.confirmed) return commands;
   // Stops for ended jobs come first: a task whose stop doesn't fit keeps running under a renewed lease.
-  addStopsOfEndedJobs(commands, machine);
+  addStopsForEndedJobs(commands, machine);
   addUnknownTaskCommands(commands, unknownTasks);
   addAttemptCommands(commands, machine);
   return commands;
 }
 
-function addStopsOfEndedJobs(commands: TaskCommand[], machine: Machine): void {
+function addStopsForEndedJobs(commands: TaskCommand[], machine: Machine): void {
   for (const { job, index, attempt, state, stopRequest } of machine.attempts.values())
     if (job.ended && stopRequest && state !== 'exited' && state !== 'assigned')
       commands.push({ op: 'stop', jobId: job.spec.id, index, attempt, graceS: 0 });
@@ -85,7 +85,7 @@
 function addAttemptCommands(commands: TaskCommand[], machine: Machine): void {
   for (const attempt of machine.attempts.values()) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
-    const command = takeCommand(attempt, machine.lastSequence);
+    const command = createHeartbeatCommand(attempt, machine.lastSequence);
     if (command) commands.push(command);
   }
 }
@@ -94,7 +94,7 @@
  * Returns the command for the attempt in the response to the heartbeat with this
  * sequence number, or null when there is none. Records a start as sent.
  */
-function takeCommand(attempt: TaskAttempt, sequence: number): TaskCommand | null {
+function createHeartbeatCommand(attempt: TaskAttempt, sequence: number): TaskCommand | null {
   const { job, stopRequest } = attempt;
   const base = { jobId: job.spec.id, index: attempt.index, attempt: attempt.attempt };
   if (attempt.state === 'exited')
@@ -121,19 +121,24 @@
  */
 export function raiseFenceIfDue(machine: Machine, timing: SchedulerTiming, now: number): void {
   if (!machine.confirmed || machine.fence > machine.acknowledgedFence) return;
-  const waiting = countWaitingForFence(machine, timing, now);
+  const waiting = countAttemptsWaitingForFence(machine, timing, now);
   if (waiting === 0) {
     machine.fenceRaiseDueSince = null;
     return;
   }
   machine.fenceRaiseDueSince ??= now;
-  const waitedLong = now - machine.fenceRaiseDueSince >= timing.agentLeaseMs * FENCE_RAISE_LEASES;
-  if (waiting < FENCE_RAISE_TASKS && !waitedLong) return;
+  const waitedTooLong =
+    now - machine.fenceRaiseDueSince >= timing.agentLeaseMs * FENCE_RAISE_LEASES;
+  if (waiting < FENCE_RAISE_TASKS && !waitedTooLong) return;
   machine.fence++;
   machine.fenceRaiseDueSince = null;
 }
 
-function countWaitingForFence(machine: Machine, timing: SchedulerTiming, now: number): number {
+function countAttemptsWaitingForFence(
+  machine: Machine,
+  timing: SchedulerTiming,
+  now: number,
+): number {
   let waiting = 0;
   for (const attempt of machine.attempts.values()) {
     if (attempt.directCommandFence === null) continue;
@@ -157,7 +162,7 @@
   if (!machine.confirmed || machine.relayed) return { commands, starts };
   for (const attempt of machine.attempts.values()) {
     if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
-    const command = takePendingCommand(attempt, machine.fence);
+    const command = dequeuePendingCommand(attempt, machine.fence);
     if (!command) continue;
     commands.push(command);
     if (command.op === 'start') starts.push(attempt);
@@ -166,7 +171,7 @@
 }
 
 /** Returns the attempt's direct command under this fence and records it as sent; null when there is none. */
-function takePendingCommand(attempt: TaskAttempt, fence: number): TaskCommand | null {
+function dequeuePendingCommand(attempt: TaskAttempt, fence: number): TaskCommand | null {
   const { job, index, stopRequest } = attempt;
   const base = { jobId: job.spec.id, index, attempt: attempt.attempt };
   if (attempt.state === 'assigned') {
--- a/src/scheduler/reconcile/task-exits.ts
+++ b/src/scheduler/reconcile/task-exits.ts
@@ -71,10 +71,10 @@
     job.failures = 0;
     job.succeeded = true;
     machine.failedJobs.clear();
-    const other = job.activeAttempts.get(attempt.index);
+    const otherAttempt = job.activeAttempts.get(attempt.index);
     const firstSuccess = job.markDone(attempt.index);
     job.removeAttempt(attempt, 0);
-    if (other && other !== attempt) this.attempts.stop(other, 0);
+    if (otherAttempt && otherAttempt !== attempt) this.attempts.stop(otherAttempt, 0);
     if (firstSuccess && !job.ended) this.awaitDurability(attempt);
   }
 
@@ -83,8 +83,8 @@
     const { job } = attempt;
     attempt.mayBeForgotten = false;
     const chunk = this.bitmaps.chunkOf(attempt.index);
-    const waiting = job.unsavedChunks.get(chunk);
-    if (waiting) waiting.push(attempt);
+    const unsavedAttempts = job.unsavedChunks.get(chunk);
+    if (unsavedAttempts) unsavedAttempts.push(attempt);
     else job.unsavedChunks.set(chunk, [attempt]);
   }
 }
--- a/src/scheduler/reconcile/task-list-reconciliation.ts
+++ b/src/scheduler/reconcile/task-list-reconciliation.ts
@@ -51,8 +51,8 @@
       else unknownTasks.push(task);
     }
     this.unknownTasks.record(machine, unknownTasks);
-    const answeredSequence = source === 'heartbeat' ? heartbeat.sequence : null;
-    this.releaseUnlisted(machine, listedKeys, answeredSequence, now);
+    const heartbeatSequence = source === 'heartbeat' ? heartbeat.sequence : null;
+    this.releaseUnlisted(machine, listedKeys, heartbeatSequence, now);
   }
 
   /** Adopts a listed task that is unknown on this machine. Returns null when no live job has such a task. */
@@ -84,7 +84,7 @@
   private releaseUnlisted(
     machine: Machine,
     listedKeys: ReadonlySet<string>,
-    answeredSequence: number | null,
+    heartbeatSequence: number | null,
     now: number,
   ): void {
     let startLost = false;
@@ -93,7 +93,7 @@
       if (listedKeys.has(key)) continue;
       if (attempt.state === 'exited') machine.removeAttempt(attempt);
       else if (attempt.state !== 'assigned') this.attempts.release(attempt, 0);
-      else if (this.releaseUnstarted(attempt, fencedOff, answeredSequence)) startLost = true;
+      else if (this.releaseUnstarted(attempt, fencedOff, heartbeatSequence)) startLost = true;
     }
     if (startLost) this.responsiveness.recordMissedAcknowledgement(machine, now);
   }
@@ -105,11 +105,11 @@
   private releaseUnstarted(
     attempt: TaskAttempt,
     fencedOff: boolean,
-    answeredSequence: number | null,
+    heartbeatSequence: number | null,
   ): boolean {
     // The start was sent only in a direct command, which the machine refuses from now on.
     const refused = fencedOff && attempt.startSentSequence === null;
-    const lost = !refused && answeredSequence !== null && isStartLost(attempt, answeredSequence);
+    const lost = !refused && heartbeatSequence !== null && isStartLost(attempt, heartbeatSequence);
     if (refused || lost) this.attempts.release(attempt, 0);
     return lost;
   }
@@ -131,10 +131,10 @@
  * one heartbeat at a time and drops late responses, so a later heartbeat that
  * doesn't list the attempt proves it.
  */
-function isStartLost(attempt: TaskAttempt, sequence: number): boolean {
+function isStartLost(attempt: TaskAttempt, heartbeatSequence: number): boolean {
   return (
     attempt.startSentSequence !== null &&
-    sequence > attempt.startSentSequence &&
+    heartbeatSequence > attempt.startSentSequence &&
     attempt.directCommandFence === null
   );
 }
--- a/src/scheduler/reconcile/unknown-tasks.ts
+++ b/src/scheduler/reconcile/unknown-tasks.ts
@@ -11,7 +11,7 @@
  * so all remaining resources of the machine count as used.
  */
 export class UnknownTasks {
-  private readonly byMachine = new Map<string, readonly TaskStatus[]>();
+  private readonly tasksByMachineId = new Map<string, readonly TaskStatus[]>();
   /** Machines that list unknown tasks that have not exited. */
   private readonly occupiedMachines = new Set<Machine>();
 
@@ -20,18 +20,18 @@
     machine.hasUnknownTasks = tasks.some((task) => task.state !== 'exited');
     if (machine.hasUnknownTasks) this.occupiedMachines.add(machine);
     else this.occupiedMachines.delete(machine);
-    if (tasks.length > 0) this.byMachine.set(machine.id, tasks);
-    else this.byMachine.delete(machine.id);
+    if (tasks.length > 0) this.tasksByMachineId.set(machine.id, tasks);
+    else this.tasksByMachineId.delete(machine.id);
   }
 
   /** Returns the unknown tasks of the machine's latest heartbeat. */
   of(machine: Machine): readonly TaskStatus[] {
-    return this.byMachine.get(machine.id) ?? NO_TASKS;
+    return this.tasksByMachineId.get(machine.id) ?? NO_TASKS;
   }
 
   /** Removes a terminated machine, whose tasks have ended with it. */
   removeMachine(machine: Machine): void {
-    this.byMachine.delete(machine.id);
+    this.tasksByMachineId.delete(machine.id);
     this.occupiedMachines.delete(machine);
   }
 
