--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -19,14 +19,14 @@
 const JOB_ID = 'req-000001';
 const CHUNK_KEY = `bits/${JOB_ID}/0000/0`;
 
-interface ChunkWriteUnderWay {
+interface PendingChunkWrite {
   cluster: ClusterState;
   agent: ScriptedAgent;
   write: DurableWrite;
 }
 
 /** Creates a job of two tasks, one of which is done, and starts the write of its progress. */
-function startChunkWrite(): ChunkWriteUnderWay {
+function startChunkWrite(): PendingChunkWrite {
   const cluster = createCluster();
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
@@ -43,7 +43,11 @@
   return { cluster, agent, write };
 }
 
-function mayForgetFirstTask(cluster: ClusterState, agent: ScriptedAgent, now: number): boolean {
+function receivesForgetOfFirstTask(
+  cluster: ClusterState,
+  agent: ScriptedAgent,
+  now: number,
+): boolean {
   const commands = sendHeartbeat(cluster, agent, now);
   return commands.some((command) => command.op === 'forget' && command.index === 0);
 }
@@ -69,7 +73,7 @@
       pendingWrites(cluster, BUDGET).flatMap((pending) => pending.changes),
       [{ op: 'delete', key: CHUNK_KEY }],
     );
-    assert.ok(mayForgetFirstTask(cluster, agent, 30));
+    assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
   });
 
 test('progress is not written again once the live record of its job is gone, even before the end is known', () => {
@@ -77,21 +81,21 @@
   write.conflict([liveJobKey(JOB_ID)]);
   assert.deepEqual(chunksOfUnknownVersion(cluster), []);
   assert.deepEqual(pendingWrites(cluster, BUDGET), []);
-  assert.ok(mayForgetFirstTask(cluster, agent, 30));
+  assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
 });
 
 test('after a conflict, progress of a live job is written again over the version that is read back', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([CHUNK_KEY]);
   assert.deepEqual(pendingWrites(cluster, BUDGET), []);
-  const [unknown] = chunksOfUnknownVersion(cluster);
-  unknown?.job.chunkVersions.set(unknown.chunk, 7);
+  const [unknownChunk] = chunksOfUnknownVersion(cluster);
+  unknownChunk?.job.chunkVersions.set(unknownChunk.chunk, 7);
   const [repeated] = pendingWrites(cluster, BUDGET);
   assert.deepEqual(repeated?.changes, write.changes);
   assert.deepEqual(repeated?.conditions[1], { key: CHUNK_KEY, version: 7 });
-  assert.equal(mayForgetFirstTask(cluster, agent, 30), false);
+  assert.equal(receivesForgetOfFirstTask(cluster, agent, 30), false);
   repeated?.applied(8);
-  assert.ok(mayForgetFirstTask(cluster, agent, 40));
+  assert.ok(receivesForgetOfFirstTask(cluster, agent, 40));
 });
 
 test('a machine that is already in the roster is not queued again when its move to another page fails', () => {
@@ -108,7 +112,13 @@
 });
 
 test('a machine whose move to another page received no response is not moved to a third page', () => {
-  const entry = (n: number) => ({ id: `n-${n}`, type: 'm', zone: 'a', spot: true, address: '' });
+  const entry = (index: number) => ({
+    id: `n-${index}`,
+    type: 'm',
+    zone: 'a',
+    spot: true,
+    address: '',
+  });
   const entryBytes = JSON.stringify(entry(1)).length + 1;
   const roster = new Roster(4, 3 * entryBytes);
   // The page was written under a higher limit and still holds one machine too many without n-5.
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -20,14 +20,14 @@
 } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-test('a delayed duplicate heartbeat under an old fencing token proves no machine existent or alive to a new leader', () => {
+test('a duplicate heartbeat under an old fencing token does not prove to a new leader that a machine exists or is alive', () => {
   const cluster = createCluster({ term: 2 });
   cluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
-  const w = new ScriptedAgent('n-1', 'a', true);
-  w.term = 1;
-  w.preemptionNoticeS = 5;
-  const copy = w.heartbeat();
-  assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 8000), true);
+  const agent = new ScriptedAgent('n-1', 'a', true);
+  agent.term = 1;
+  agent.preemptionNoticeS = 5;
+  const duplicate = agent.heartbeat();
+  assert.equal(cluster.applyHeartbeat(duplicate, 'heartbeat', 8000), true);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
   // The heartbeat records no liveness of the machine or its zone, no notice and no confirmation.
@@ -42,15 +42,15 @@
   );
   assert.equal(cluster.zoneLiveness.size, 0);
   // The same duplicate is ignored, and so is a heartbeat of an unknown machine.
-  assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 9000), false);
+  assert.equal(cluster.applyHeartbeat(duplicate, 'heartbeat', 9000), false);
   assert.equal(
     cluster.applyHeartbeat(new ScriptedAgent('n-7').heartbeat(), 'heartbeat', 9000),
     false,
   );
   assert.equal(cluster.machines.has('n-7'), false);
   // A heartbeat counts once the agent knows the new term.
-  w.execute(2, []);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 10_000);
+  agent.execute(2, []);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 10_000);
   assert.deepEqual(
     [machine.lastHeartbeatAt, machine.drainReason, machine.confirmed],
     [10_000, 'preemption notice', true],
@@ -59,25 +59,25 @@
 
 test('a delayed duplicate heartbeat neither reverts newer state nor registers a terminated machine again', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 1, 0, false);
-  const copy = w.heartbeat();
-  cluster.applyHeartbeat(copy, 'heartbeat', 100);
+  const duplicate = agent.heartbeat();
+  cluster.applyHeartbeat(duplicate, 'heartbeat', 100);
   runPlacementRound(cluster, 32, 100);
-  sendHeartbeat(cluster, w, 200);
-  sendHeartbeat(cluster, w, 300);
-  assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 60_000), false);
+  sendHeartbeat(cluster, agent, 200);
+  sendHeartbeat(cluster, agent, 300);
+  assert.equal(cluster.applyHeartbeat(duplicate, 'heartbeat', 60_000), false);
   assert.equal(cluster.machines.get('n-1')?.lastHeartbeatAt, 300);
   assert.equal(job?.activeAttempts.get(0)?.state, 'running');
   cluster.markTerminated('n-1', 'returned', 60_050);
-  assert.equal(cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 60_100), false);
+  assert.equal(cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 60_100), false);
   assert.equal(cluster.machines.size, 0);
 });
 
 test('an unresponsive machine gets no new tasks until it replies, and is terminated if it stays unresponsive', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
-  const deaf = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const unresponsive = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const others = ['n-2', 'n-3', 'n-4', 'n-5', 'n-6'].map((id) =>
     joinCluster(cluster, new ScriptedAgent(id, 'b'), 0),
   );
@@ -87,63 +87,69 @@
   assert.ok(job);
   let now = 0;
   let starts = 0;
-  const pass = () => {
+  const runInterval = () => {
     now += 3000;
     // Its heartbeats arrive, but the responses don't reach it.
-    cluster.applyHeartbeat(deaf.heartbeat(), 'heartbeat', now);
+    cluster.applyHeartbeat(unresponsive.heartbeat(), 'heartbeat', now);
     starts += runPlacementRound(cluster, 32, now).started.length;
     cluster.heartbeatCommands(machine);
-    for (const w of others) sendHeartbeat(cluster, w, now);
+    for (const agent of others) sendHeartbeat(cluster, agent, now);
   };
-  for (let i = 0; i < 5; i++) pass();
+  for (let i = 0; i < 5; i++) runInterval();
   assert.equal(starts, 2);
   assert.notEqual(machine.unresponsiveSince, null);
   assert.equal(job.readyCount, 1);
   // A reply to a command proves that messages reach the machine again.
   cluster.markResponsive(machine);
-  pass();
+  runInterval();
   assert.equal(starts, 3);
   // Its lease expires although its heartbeats arrive: it is unresponsive and terminated in the end.
-  deaf.lapse();
-  pass();
+  unresponsive.lapse();
+  runInterval();
   assert.equal(job.readyCount, 1);
-  while (now < 60_000 && scaleIn.plan(now).length === 0) pass();
+  while (now < 60_000 && scaleIn.plan(now).length === 0) runInterval();
   assert.deepEqual(
-    scaleIn.plan(now).map((x) => [x.machine.id, x.reason]),
+    scaleIn.plan(now).map((termination) => [termination.machine.id, termination.reason]),
     [['n-1', 'unresponsive']],
   );
   assert.equal(starts, 3);
   // When many machines seem unresponsive, the fault is with the leader, and none is terminated.
-  for (const w of others) {
-    const other = cluster.machines.get(w.id);
-    if (other) cluster.markUnresponsive(other, 0);
+  for (const agent of others) {
+    const otherMachine = cluster.machines.get(agent.id);
+    if (otherMachine) cluster.markUnresponsive(otherMachine, 0);
   }
   assert.deepEqual(scaleIn.plan(now), []);
 });
 
 test('an inherited machine without heartbeats is terminated after two intervals, or one if its confirmation timed out', () => {
-  const endOf = (unanswered: boolean) => {
+  const terminationTime = (unanswered: boolean) => {
     const cluster = createCluster({ term: 2 });
     const scaleIn = new ScaleInPlanner(cluster);
     cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
     cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
-    const well = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
+    const healthy = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
     const silent = cluster.machines.get('n-1');
     assert.ok(silent);
     silent.confirmationUnanswered = unanswered;
     // Tasks of this job may run on the silent machine and would fill it.
     cluster.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
     for (let now = 200; now < 60_000; now += 100) {
-      sendHeartbeat(cluster, well, now);
-      if (scaleIn.plan(now).some((x) => x.machine === silent)) return now;
+      sendHeartbeat(cluster, healthy, now);
+      if (scaleIn.plan(now).some((termination) => termination.machine === silent)) return now;
     }
     return null;
   };
   // Heartbeat intervals are 3 s with a quarter of jitter; a redirection takes half a second.
-  const asked = endOf(true) ?? 0;
-  assert.ok(asked > 3750 && asked <= 4400, `asked: ${asked}`);
-  const notAsked = endOf(false) ?? 0;
-  assert.ok(notAsked > 6000 && notAsked <= 6500, `not asked: ${notAsked}`);
+  const timedOutMs = terminationTime(true) ?? 0;
+  assert.ok(
+    timedOutMs > 3750 && timedOutMs <= 4400,
+    `terminated at ${timedOutMs} after a timed-out confirmation`,
+  );
+  const notSentMs = terminationTime(false) ?? 0;
+  assert.ok(
+    notSentMs > 6000 && notSentMs <= 6500,
+    `terminated at ${notSentMs} without a confirmation request`,
+  );
 });
 
 test('only a machine whose confirmation request was sent and timed out counts as unanswered', async () => {
@@ -153,13 +159,13 @@
   for (const id of ['n-1', 'n-2', 'n-3'])
     cluster.inheritMachine(id, 'm16', 'a', false, `10.0.0.1:${id}`, 0);
   const stop = new AbortController();
-  const workers = {
+  const agentClient = {
     command: async (address: string) => {
       if (address.endsWith('n-1')) throw new NoResponseError('timed out');
       if (address.endsWith('n-2')) throw new NotAttemptedError('every socket is in use');
-      const worker = new ScriptedAgent('n-3');
-      worker.term = 2;
-      return { executed: true, heartbeat: worker.heartbeat() };
+      const agent = new ScriptedAgent('n-3');
+      agent.term = 2;
+      return { executed: true, heartbeat: agent.heartbeat() };
     },
   };
   const term = { number: 2, signal: stop.signal, isProven: () => true } as never;
@@ -167,7 +173,7 @@
     ctx,
     term,
     cluster,
-    agents: workers,
+    agents: agentClient,
     sockets: { commands: 9, confirmations: 9 },
   });
   void commands.confirmInheritedMachines(stop.signal).catch(() => {});
@@ -185,34 +191,34 @@
   const scaleIn = new ScaleInPlanner(cluster);
   cluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
-  const oneWay = new ScriptedAgent('n-1', 'a', true);
-  oneWay.term = 1;
-  const well = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
-  const ordinary = cluster.addJob(
+  const partitioned = new ScriptedAgent('n-1', 'a', true);
+  partitioned.term = 1;
+  const healthy = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
+  const nonSpotJob = cluster.addJob(
     jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }),
     1,
     0,
     true,
   );
-  const cheap = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
+  const spotJob = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
   // What may run on the unconfirmed machine counts against the team's limit.
   assert.equal(runPlacementRound(cluster, 32, 200).started.length, 0);
   let now = 200;
-  let gone = 0;
-  while (now < 60_000 && gone === 0) {
+  let terminatedAt = 0;
+  while (now < 60_000 && terminatedAt === 0) {
     now += 1000;
-    cluster.applyHeartbeat(oneWay.heartbeat(), 'heartbeat', now);
-    sendHeartbeat(cluster, well, now);
-    for (const x of scaleIn.plan(now)) {
-      assert.deepEqual([x.machine.id, x.reason], ['n-1', 'unreachable']);
-      cluster.markTerminated(x.machine.id, 'returned', now);
-      gone = now;
+    cluster.applyHeartbeat(partitioned.heartbeat(), 'heartbeat', now);
+    sendHeartbeat(cluster, healthy, now);
+    for (const termination of scaleIn.plan(now)) {
+      assert.deepEqual([termination.machine.id, termination.reason], ['n-1', 'unreachable']);
+      cluster.markTerminated(termination.machine.id, 'returned', now);
+      terminatedAt = now;
     }
   }
   // It is terminated once two heartbeats under the new token are overdue, since work waits for it.
-  assert.ok(gone > 6000 && gone <= 8000, `gone at ${gone}`);
+  assert.ok(terminatedAt > 6000 && terminatedAt <= 8000, `terminated at ${terminatedAt}`);
   assert.equal(runPlacementRound(cluster, 32, now).started.length, 2);
-  assert.deepEqual([ordinary?.readyCount, cheap?.readyCount], [0, 1]);
+  assert.deepEqual([nonSpotJob?.readyCount, spotJob?.readyCount], [0, 1]);
 
   // Without a limit, jobs that may not use spot machines wait for non-spot machines only.
   const clusterState = createCluster({ term: 2 });
@@ -229,51 +235,51 @@
 test('while a network partition hides many inherited machines from a new leader, none is terminated for waiting work', () => {
   const cluster = createCluster({ term: 2 });
   const scaleIn = new ScaleInPlanner(cluster);
-  const workers = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
-  for (const w of workers) cluster.inheritMachine(w.id, 'm16', 'a', false, '', 0);
+  const agents = Array.from({ length: 10 }, (_, i) => new ScriptedAgent(`n-${i}`));
+  for (const agent of agents) cluster.inheritMachine(agent.id, 'm16', 'a', false, '', 0);
   cluster.addJob(jobSpec({ tasks: 50 }), 1, 0, true);
-  const returned = (heard: number, now: number) => {
-    for (const w of workers.slice(0, heard)) joinCluster(cluster, w, now);
-    return scaleIn.plan(now).map((x) => x.machine.id);
+  const plannedTerminations = (joinedCount: number, now: number) => {
+    for (const agent of agents.slice(0, joinedCount)) joinCluster(cluster, agent, now);
+    return scaleIn.plan(now).map((termination) => termination.machine.id);
   };
-  assert.deepEqual(returned(7, 8000), []);
-  assert.deepEqual(returned(8, 8500), ['n-8', 'n-9']);
+  assert.deepEqual(plannedTerminations(7, 8000), []);
+  assert.deepEqual(plannedTerminations(8, 8500), ['n-8', 'n-9']);
   // Without waiting work, they are not terminated early.
   const clusterState = createCluster({ term: 2 });
-  for (const w of workers) clusterState.inheritMachine(w.id, 'm16', 'a', false, '', 0);
-  for (const w of workers.slice(0, 9)) joinCluster(clusterState, w, 8000);
+  for (const agent of agents) clusterState.inheritMachine(agent.id, 'm16', 'a', false, '', 0);
+  for (const agent of agents.slice(0, 9)) joinCluster(clusterState, agent, 8000);
   assert.deepEqual(new ScaleInPlanner(clusterState).plan(8500), []);
 });
 
 test('a leader that was paused and kept its lease treats no healthy machine as unreachable or missing', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
-  const workers = Array.from({ length: 6 }, (_, i) =>
+  const agents = Array.from({ length: 6 }, (_, i) =>
     joinCluster(cluster, new ScriptedAgent(`n-${i}`, i < 3 ? 'a' : 'b'), 0),
   );
-  const young = joinCluster(cluster, new ScriptedAgent('n-8'), 900);
-  const entry = (w: ScriptedAgent) => ({
-    id: w.id,
+  const newest = joinCluster(cluster, new ScriptedAgent('n-8'), 900);
+  const entry = (agent: ScriptedAgent) => ({
+    id: agent.id,
     address: '',
     type: 'm16',
-    zone: w.zone,
+    zone: agent.zone,
     spot: false,
     state: 'running' as const,
     ageS: 100,
   });
   // The list was requested just before the pause and does not show the newest machine yet.
-  const shown = workers.map(entry);
-  const woken = 30_000;
-  cluster.applyMachineList(shown, 1000, woken);
-  assert.deepEqual(scaleIn.plan(woken), []);
-  for (const [i, w] of [...workers, young].entries()) {
-    sendHeartbeat(cluster, w, woken + 100 * i);
-    assert.deepEqual(scaleIn.plan(woken + 100 * i), []);
+  const listed = agents.map(entry);
+  const resumedAt = 30_000;
+  cluster.applyMachineList(listed, 1000, resumedAt);
+  assert.deepEqual(scaleIn.plan(resumedAt), []);
+  for (const [i, agent] of [...agents, newest].entries()) {
+    sendHeartbeat(cluster, agent, resumedAt + 100 * i);
+    assert.deepEqual(scaleIn.plan(resumedAt + 100 * i), []);
   }
   // A machine that is up within a second or two and sends heartbeats, but is not listed yet.
-  joinCluster(cluster, new ScriptedAgent('n-9'), woken + 900);
-  cluster.applyMachineList([...workers, young].map(entry), woken + 1000, woken + 1100);
-  assert.deepEqual(scaleIn.plan(woken + 1200), []);
+  joinCluster(cluster, new ScriptedAgent('n-9'), resumedAt + 900);
+  cluster.applyMachineList([...agents, newest].map(entry), resumedAt + 1000, resumedAt + 1100);
+  assert.deepEqual(scaleIn.plan(resumedAt + 1200), []);
   assert.ok(cluster.machines.has('n-9'));
 });
 
@@ -289,7 +295,7 @@
     unansweredSince: null as number | null,
     lastAttemptAt: clock.now(),
   };
-  const peers = { heard: true, isIsolated: () => !peers.heard };
+  const peers = { reachable: true, isIsolated: () => !peers.reachable };
   const health = new ControllerHealth({ clock, timing, machineTypes: types }, state, peers);
   assert.equal(health.isHealthy, true);
   state.failingSince = clock.now();
@@ -305,7 +311,7 @@
     [health.isStateServiceFailing(), health.isStateServiceSilent(), health.isHealthy],
     [true, true, true],
   );
-  peers.heard = false;
+  peers.reachable = false;
   assert.equal(health.isHealthy, false);
   state.failingSince = null;
   assert.equal(health.isHealthy, true);
@@ -318,8 +324,8 @@
   const peers = createPeers(ctx, {
     currentStatus: () => status(0),
     observeTerm: (term) => terms.push(term),
-    serveUser: () => Promise.reject(new Error('not asked')),
-    handleHeartbeat: () => Promise.reject(new Error('not asked')),
+    serveUser: () => Promise.reject(new Error('unexpected call')),
+    handleHeartbeat: () => Promise.reject(new Error('unexpected call')),
     announceCancellation: () => {},
   });
   const status = (sentAt: number): PeerStatus => ({
@@ -332,23 +338,29 @@
     counts: [],
   });
   const sent = clock.wall();
-  const heardAt = clock.now();
+  const receivedAt = clock.now();
   peers.receiveStatus(status(sent));
   await clock.advance(30_000);
   // Delayed duplicates of it and an older status change nothing.
   peers.receiveStatus(status(sent));
   peers.receiveStatus(status(sent - 5000));
-  assert.equal(peers.lastLedAt('n-1', 3), heardAt);
+  assert.equal(peers.lastLedAt('n-1', 3), receivedAt);
   peers.receiveStatus(status(clock.wall()));
   assert.equal(peers.lastLedAt('n-1', 3), clock.now());
   assert.deepEqual(terms, [3, 3, 3, 3]);
 });
 
 test('the roster stores many machines on a page and stays correct when writes are lost or applied late', () => {
-  const entry = (n: number) => ({ id: `n-${n}`, type: 'm', zone: 'a', spot: true, address: '' });
+  const entry = (index: number) => ({
+    id: `n-${index}`,
+    type: 'm',
+    zone: 'a',
+    spot: true,
+    address: '',
+  });
   // A page has space for three of them.
-  const r = new Roster(4, 3 * (JSON.stringify(entry(1)).length + 1));
-  const writes = r.add([1, 2, 3, 4].map(entry));
+  const roster = new Roster(4, 3 * (JSON.stringify(entry(1)).length + 1));
+  const writes = roster.add([1, 2, 3, 4].map(entry));
   assert.deepEqual(
     writes.map((pageWrite) => [pageWrite.key, pageWrite.version, pageWrite.entries.length]),
     [
@@ -361,25 +373,25 @@
   first.applied(10);
   // The second write was refused, so the same page takes its machine and the next one.
   second.notApplied();
-  const [again] = r.add([4, 5].map(entry));
-  assert.deepEqual([again?.version, again?.entries.length], [0, 2]);
+  const [repeated] = roster.add([4, 5].map(entry));
+  assert.deepEqual([repeated?.version, repeated?.entries.length], [0, 2]);
   // This write received no response, so its page is not written again while it holds machines.
-  again?.outcomeUnknown();
-  const [other] = r.add([4, 5].map(entry));
-  assert.notEqual(other?.key, again?.key);
-  other?.applied(12);
-  assert.deepEqual(r.rewriteStalePages(9), []);
-  r.removeMachine('n-1');
-  const [rest] = r.rewriteStalePages(9);
-  assert.deepEqual([rest?.key, rest?.version, rest?.entries.length], ['4-1', 10, 2]);
-  rest?.applied(13);
-  for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) r.removeMachine(id);
-  const ends = r.rewriteStalePages(9);
+  repeated?.outcomeUnknown();
+  const [replacement] = roster.add([4, 5].map(entry));
+  assert.notEqual(replacement?.key, repeated?.key);
+  replacement?.applied(12);
+  assert.deepEqual(roster.rewriteStalePages(9), []);
+  roster.removeMachine('n-1');
+  const [rewrite] = roster.rewriteStalePages(9);
+  assert.deepEqual([rewrite?.key, rewrite?.version, rewrite?.entries.length], ['4-1', 10, 2]);
+  rewrite?.applied(13);
+  for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) roster.removeMachine(id);
+  const deletions = roster.rewriteStalePages(9);
   assert.deepEqual(
-    new Set(ends.map((pageWrite) => pageWrite.key)),
-    new Set([first.key, again?.key, other?.key]),
+    new Set(deletions.map((pageWrite) => pageWrite.key)),
+    new Set([first.key, repeated?.key, replacement?.key]),
   );
-  assert.ok(ends.every((pageWrite) => pageWrite.entries.length === 0));
-  for (const pageWrite of ends) pageWrite.applied(14);
-  assert.deepEqual(r.rewriteStalePages(9), []);
+  assert.ok(deletions.every((pageWrite) => pageWrite.entries.length === 0));
+  for (const pageWrite of deletions) pageWrite.applied(14);
+  assert.deepEqual(roster.rewriteStalePages(9), []);
 });
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -15,55 +15,55 @@
 } from './support/scheduler.js';
 
 test('a task is started once and becomes ready again when its start is lost', () => {
-  const { cluster, w, job } = clusterWithJob(1);
+  const { cluster, w: agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
   // The response that carries the start is lost.
   assert.equal(cluster.heartbeatCommands(machine).length, 1);
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
   assert.equal(job.readyCount, 1);
   runPlacementRound(cluster, 32, 100);
-  sendHeartbeat(cluster, w, 200);
-  assert.deepEqual(w.running(), ['req-000001/0']);
+  sendHeartbeat(cluster, agent, 200);
+  assert.deepEqual(agent.running(), ['req-000001/0']);
 });
 
 test('the heartbeat in a command reply does not prove that a start in a heartbeat response was lost', () => {
-  const { cluster, w, job } = clusterWithJob(1);
+  const { cluster, w: agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  const late = cluster.heartbeatCommands(machine);
+  const lateCommands = cluster.heartbeatCommands(machine);
   // The reply to a direct command arrives first and does not list the task.
-  cluster.applyHeartbeat(w.heartbeat(), 'commandReply', 10);
+  cluster.applyHeartbeat(agent.heartbeat(), 'commandReply', 10);
   assert.equal(job.readyCount, 0);
-  w.execute(1, late);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 20);
+  agent.execute(1, lateCommands);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 20);
   assert.equal(job.activeAttempts.get(0)?.state, 'running');
 });
 
 test('a direct start without a reply keeps its task assigned and is repeated with the same attempt number', () => {
-  const { cluster, w, job } = clusterWithJob(1);
+  const { cluster, w: agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  const { commands: orders } = takePendingCommands(machine);
-  assert.equal(orders.length, 1);
+  const { commands } = takePendingCommands(machine);
+  assert.equal(commands.length, 1);
   // The command received no reply, and several heartbeats do not list the attempt.
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 100);
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 200);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 200);
   assert.equal(job.readyCount, 0);
-  const again = cluster.heartbeatCommands(machine);
-  assert.deepEqual(again, orders);
-  w.execute(1, again);
-  w.exit([...w.tasks.keys()][0] as string, 'stopped');
-  assert.deepEqual(sendHeartbeat(cluster, w, 300), []);
+  const repeatedCommands = cluster.heartbeatCommands(machine);
+  assert.deepEqual(repeatedCommands, commands);
+  agent.execute(1, repeatedCommands);
+  agent.exit([...agent.tasks.keys()][0] as string, 'stopped');
+  assert.deepEqual(sendHeartbeat(cluster, agent, 300), []);
   // The delayed command has no effect, because the agent still knows the attempt.
-  w.execute(1, orders);
-  assert.deepEqual(w.running(), []);
-  w.lapse();
-  sendHeartbeat(cluster, w, 400);
+  agent.execute(1, commands);
+  assert.deepEqual(agent.running(), []);
+  agent.lapse();
+  sendHeartbeat(cluster, agent, 400);
   assert.equal(machine.attempts.size, 0);
 });
 
@@ -79,31 +79,31 @@
 });
 
 test('an older heartbeat does not release the attempt of an executed direct start', () => {
-  const { cluster, w, job } = clusterWithJob(1);
+  const { cluster, w: agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  const older = w.heartbeat();
-  const { commands: orders, starts } = takePendingCommands(machine);
-  w.execute(1, orders);
-  const answer = w.heartbeat();
-  cluster.applyCommandResult(starts, true, answer.sequence);
+  const olderHeartbeat = agent.heartbeat();
+  const { commands, starts } = takePendingCommands(machine);
+  agent.execute(1, commands);
+  const reply = agent.heartbeat();
+  cluster.applyCommandResult(starts, true, reply.sequence);
   // A heartbeat from before the command must not release the attempt.
-  cluster.applyHeartbeat(older, 'heartbeat', 10);
+  cluster.applyHeartbeat(olderHeartbeat, 'heartbeat', 10);
   assert.equal(job.readyCount, 0);
   cluster.drain(machine, 'preemption notice');
   assert.equal(job.readyCount, 0);
 });
 
 test('a new leader places inherited tasks only when every roster machine is confirmed or terminated', () => {
-  const old = createCluster({ term: 1 });
-  const a = joinCluster(old, new ScriptedAgent('n-1'), 0);
-  const b = joinCluster(old, new ScriptedAgent('n-2'), 0);
-  old.addJob(jobSpec({ tasks: 6 }), 5, 0, false);
-  runPlacementRound(old, 32, 0);
-  sendHeartbeat(old, a, 10);
-  sendHeartbeat(old, b, 10);
-  assert.equal(a.running().length + b.running().length, 6);
+  const oldCluster = createCluster({ term: 1 });
+  const agentA = joinCluster(oldCluster, new ScriptedAgent('n-1'), 0);
+  const agentB = joinCluster(oldCluster, new ScriptedAgent('n-2'), 0);
+  oldCluster.addJob(jobSpec({ tasks: 6 }), 5, 0, false);
+  runPlacementRound(oldCluster, 32, 0);
+  sendHeartbeat(oldCluster, agentA, 10);
+  sendHeartbeat(oldCluster, agentB, 10);
+  assert.equal(agentA.running().length + agentB.running().length, 6);
 
   const cluster = createCluster({ term: 2 });
   cluster.inheritMachine('n-1', 'm16', 'a', false, '', 100);
@@ -111,17 +111,17 @@
   const job = cluster.addJob(jobSpec({ tasks: 6 }), 5, 0, true);
   assert.ok(job);
   // A heartbeat under the old fencing token proves nothing, even with an empty task list.
-  cluster.applyHeartbeat({ ...a.heartbeat(), tasks: [] }, 'heartbeat', 110);
+  cluster.applyHeartbeat({ ...agentA.heartbeat(), tasks: [] }, 'heartbeat', 110);
   assert.equal(runPlacementRound(cluster, 32, 110).started.length, 0);
-  a.execute(2, []);
-  sendHeartbeat(cluster, a, 120);
-  assert.equal(job.activeAttempts.size, a.running().length);
+  agentA.execute(2, []);
+  sendHeartbeat(cluster, agentA, 120);
+  assert.equal(job.activeAttempts.size, agentA.running().length);
   assert.equal(runPlacementRound(cluster, 32, 120).started.length, 0);
   // Jobs accepted after the failover do not wait for inherited machines.
   cluster.addJob(jobSpec({ id: 'req-000002', tasks: 1, cpus: 1 }), 9, 0, false);
   assert.equal(runPlacementRound(cluster, 32, 125).started.length, 0);
-  a.exit([...a.tasks.keys()][0] as string, 'done');
-  sendHeartbeat(cluster, a, 130);
+  agentA.exit([...agentA.tasks.keys()][0] as string, 'done');
+  sendHeartbeat(cluster, agentA, 130);
   assert.deepEqual(
     runPlacementRound(cluster, 32, 130).started.map((attempt) => attempt.job.spec.id),
     ['req-000002'],
@@ -136,166 +136,169 @@
 });
 
 test('an earlier leader can start no task on a machine that has seen the new fencing token', () => {
-  const old = createCluster({ term: 1 });
-  const w = joinCluster(old, new ScriptedAgent('n-1'), 0);
-  old.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
-  runPlacementRound(old, 32, 0);
-  const machine = old.machines.get('n-1');
+  const oldCluster = createCluster({ term: 1 });
+  const agent = joinCluster(oldCluster, new ScriptedAgent('n-1'), 0);
+  oldCluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
+  runPlacementRound(oldCluster, 32, 0);
+  const machine = oldCluster.machines.get('n-1');
   assert.ok(machine);
-  const late = old.heartbeatCommands(machine);
-  w.execute(2, []);
-  assert.equal(w.execute(1, late), false);
-  assert.deepEqual(w.running(), []);
+  const lateCommands = oldCluster.heartbeatCommands(machine);
+  agent.execute(2, []);
+  assert.equal(agent.execute(1, lateCommands), false);
+  assert.deepEqual(agent.running(), []);
 });
 
 test('heartbeats that are out of order or from an earlier agent epoch are ignored', () => {
-  const { cluster, w, job } = clusterWithJob(1);
-  const early = w.heartbeat();
+  const { cluster, w: agent, job } = clusterWithJob(1);
+  const earlyHeartbeat = agent.heartbeat();
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 10);
-  sendHeartbeat(cluster, w, 20);
-  assert.equal(cluster.applyHeartbeat(early, 'heartbeat', 30), false);
+  sendHeartbeat(cluster, agent, 10);
+  sendHeartbeat(cluster, agent, 20);
+  assert.equal(cluster.applyHeartbeat(earlyHeartbeat, 'heartbeat', 30), false);
   assert.equal(job?.activeAttempts.size, 1);
-  w.lapse();
-  sendHeartbeat(cluster, w, 40);
+  agent.lapse();
+  sendHeartbeat(cluster, agent, 40);
   assert.equal(job?.readyCount, 1);
-  assert.equal(cluster.applyHeartbeat({ ...early, sequence: 999 }, 'heartbeat', 50), false);
+  assert.equal(
+    cluster.applyHeartbeat({ ...earlyHeartbeat, sequence: 999 }, 'heartbeat', 50),
+    false,
+  );
 });
 
 test('a finished task is durable before the agent may forget it, and its job ends once', () => {
-  const { cluster, w, job } = clusterWithJob(2);
+  const { cluster, w: agent, job } = clusterWithJob(2);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 10);
-  const [first, second] = [...w.tasks.keys()] as [string, string];
-  w.exit(first, 'done');
-  assert.deepEqual(sendHeartbeat(cluster, w, 20), []);
-  const [bits] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
-  assert.ok(bits);
+  sendHeartbeat(cluster, agent, 10);
+  const [first, second] = [...agent.tasks.keys()] as [string, string];
+  agent.exit(first, 'done');
+  assert.deepEqual(sendHeartbeat(cluster, agent, 20), []);
+  const [progressWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  assert.ok(progressWrite);
   // The write was refused, so the progress is still to be written.
-  bits.retry(false);
-  assert.deepEqual(sendHeartbeat(cluster, w, 30), []);
-  const [again] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
-  again?.applied(9);
+  progressWrite.retry(false);
+  assert.deepEqual(sendHeartbeat(cluster, agent, 30), []);
+  const [repeatedWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  repeatedWrite?.applied(9);
   assert.deepEqual(
-    sendHeartbeat(cluster, w, 40).map((command) => command.op),
+    sendHeartbeat(cluster, agent, 40).map((command) => command.op),
     ['forget'],
   );
-  w.exit(second, 'done');
-  sendHeartbeat(cluster, w, 50);
-  const [end] = pendingWrites(cluster, { progressChanges: 0, wallNow: 0 });
+  agent.exit(second, 'done');
+  sendHeartbeat(cluster, agent, 50);
+  const [endWrite] = pendingWrites(cluster, { progressChanges: 0, wallNow: 0 });
   assert.deepEqual(
-    end?.changes.map((x) => [x.op, x.key]),
+    endWrite?.changes.map((change) => [change.op, change.key]),
     [
       ['put', 'over/req-000001'],
       ['delete', 'live/req-000001'],
     ],
   );
-  assert.deepEqual(end?.conditions, [{ key: 'live/req-000001', version: 5 }]);
+  assert.deepEqual(endWrite?.conditions, [{ key: 'live/req-000001', version: 5 }]);
   // The job was cancelled first: that end remains, and the agent may forget the task.
-  end?.conflict(['live/req-000001']);
+  endWrite?.conflict(['live/req-000001']);
   assert.equal(cluster.jobs.size, 0);
   assert.deepEqual(
-    sendHeartbeat(cluster, w, 60).map((command) => command.op),
+    sendHeartbeat(cluster, agent, 60).map((command) => command.op),
     ['forget'],
   );
 });
 
 test('all tasks of a cancelled job are stopped, including those whose start was in flight', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
-  const inFlight = cluster.heartbeatCommands(machine);
+  const inFlightCommands = cluster.heartbeatCommands(machine);
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
-  w.execute(1, inFlight);
-  assert.equal(w.running().length, 2);
-  sendHeartbeat(cluster, w, 20);
-  assert.deepEqual(w.running(), []);
+  agent.execute(1, inFlightCommands);
+  assert.equal(agent.running().length, 2);
+  sendHeartbeat(cluster, agent, 20);
+  assert.deepEqual(agent.running(), []);
   assert.equal(runPlacementRound(cluster, 32, 30).started.length, 0);
-  sendHeartbeat(cluster, w, 40);
+  sendHeartbeat(cluster, agent, 40);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
 });
 
 test('a direct start of a cancelled job counts against the quota until a raised fence rules it out', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
-  const { commands: orders } = takePendingCommands(machine);
+  const { commands } = takePendingCommands(machine);
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
   let now = 0;
   // Until then the task counts against the team's limit, whatever the heartbeats list.
-  for (; machine.fence === 0; now += 1000) sendHeartbeat(cluster, w, now);
-  assert.ok(now <= cluster.timing.agentLeaseMs / 2, `raised after ${now}`);
+  for (; machine.fence === 0; now += 1000) sendHeartbeat(cluster, agent, now);
+  assert.ok(now <= cluster.timing.agentLeaseMs / 2, `fence raised at ${now}`);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 4);
-  sendHeartbeat(cluster, w, now);
+  sendHeartbeat(cluster, agent, now);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
   // The command arrives after the end of the network partition and is refused.
-  assert.equal(w.execute(1, orders, 0), false);
-  assert.deepEqual(w.running(), []);
+  assert.equal(agent.execute(1, commands, 0), false);
+  assert.deepEqual(agent.running(), []);
 });
 
 test('a duplicate of an executed direct start has no effect: the agent knows the attempt or refuses the command', () => {
-  const { cluster, w, job } = clusterWithJob(2);
+  const { cluster, w: agent, job } = clusterWithJob(2);
   runPlacementRound(cluster, 1, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  const { commands: orders, starts } = takePendingCommands(machine);
-  w.execute(1, orders);
-  cluster.applyCommandResult(starts, true, w.heartbeat().sequence);
-  sendHeartbeat(cluster, w, 100);
-  w.exit([...w.tasks.keys()][0] as string, 'stopped');
+  const { commands, starts } = takePendingCommands(machine);
+  agent.execute(1, commands);
+  cluster.applyCommandResult(starts, true, agent.heartbeat().sequence);
+  sendHeartbeat(cluster, agent, 100);
+  agent.exit([...agent.tasks.keys()][0] as string, 'stopped');
   let now = 200;
   // The attempt has ended, but once forgotten, a duplicate would start it beside the next one.
-  for (; w.tasks.size > 0; now += 1000) {
+  for (; agent.tasks.size > 0; now += 1000) {
     assert.ok(now < 20_000);
-    assert.deepEqual(w.running(), []);
-    w.execute(1, orders, 0);
-    assert.deepEqual(w.running(), []);
-    sendHeartbeat(cluster, w, now);
+    assert.deepEqual(agent.running(), []);
+    agent.execute(1, commands, 0);
+    assert.deepEqual(agent.running(), []);
+    sendHeartbeat(cluster, agent, now);
   }
-  assert.equal(w.fence, 1);
-  assert.equal(w.execute(1, orders, 0), false);
+  assert.equal(agent.fence, 1);
+  assert.equal(agent.execute(1, commands, 0), false);
   // Starts under the raised fence are executed as before.
   runPlacementRound(cluster, 32, now);
   const next = takePendingCommands(machine);
-  assert.equal(w.execute(1, next.commands, machine.fence), true);
-  assert.ok(w.running().length > 0);
+  assert.equal(agent.execute(1, next.commands, machine.fence), true);
+  assert.ok(agent.running().length > 0);
 });
 
 test('a bitmap write that is applied late removes no finished task', () => {
-  const { cluster, w, job } = clusterWithJob(3);
+  const { cluster, w: agent, job } = clusterWithJob(3);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 10);
-  const [first, second] = [...w.tasks.keys()] as [string, string];
-  w.exit(first, 'done');
-  sendHeartbeat(cluster, w, 20);
-  const [one] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
-  assert.deepEqual(one?.conditions[1], { key: 'bits/req-000001/0000/0', version: 0 });
+  sendHeartbeat(cluster, agent, 10);
+  const [first, second] = [...agent.tasks.keys()] as [string, string];
+  agent.exit(first, 'done');
+  sendHeartbeat(cluster, agent, 20);
+  const [firstWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  assert.deepEqual(firstWrite?.conditions[1], { key: 'bits/req-000001/0000/0', version: 0 });
   // The write received no response, so the stored version is read before the next write.
-  one?.retry(true);
+  firstWrite?.retry(true);
   assert.deepEqual(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
   assert.deepEqual(chunksOfUnknownVersion(cluster), [{ job, chunk: 0 }]);
   assert.deepEqual(
-    sendHeartbeat(cluster, w, 30).filter((command) => command.op === 'forget'),
+    sendHeartbeat(cluster, agent, 30).filter((command) => command.op === 'forget'),
     [],
   );
   job.chunkVersions.set(0, 7);
-  w.exit(second, 'done');
-  sendHeartbeat(cluster, w, 40);
-  const [two] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  agent.exit(second, 'done');
+  sendHeartbeat(cluster, agent, 40);
+  const [secondWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   // The write requires that version; the late one requires an absent key and fails from then on.
-  assert.deepEqual(two?.conditions[1], { key: 'bits/req-000001/0000/0', version: 7 });
-  two?.applied(9);
+  assert.deepEqual(secondWrite?.conditions[1], { key: 'bits/req-000001/0000/0', version: 7 });
+  secondWrite?.applied(9);
   assert.equal(job.chunkVersions.get(0), 9);
   assert.equal(
-    sendHeartbeat(cluster, w, 50).filter((command) => command.op === 'forget').length,
+    sendHeartbeat(cluster, agent, 50).filter((command) => command.op === 'forget').length,
     2,
   );
 });
@@ -303,32 +306,32 @@
 test('a task that an earlier leader started for an ended job is stopped', () => {
   const cluster = createCluster({ term: 2 });
   cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
-  const w = new ScriptedAgent('n-1');
-  w.tasks.set('req-000007/0/3', {
+  const agent = new ScriptedAgent('n-1');
+  agent.tasks.set('req-000007/0/3', {
     jobId: 'req-000007',
     index: 0,
     attempt: 3,
     state: 'running',
     cause: null,
   });
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 10);
-  assert.deepEqual(w.running(), []);
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 10);
+  assert.deepEqual(agent.running(), []);
   // Its resource usage is unknown until the task is no longer listed.
   assert.equal(cluster.machines.get('n-1')?.hasUnknownTasks, true);
   assert.equal(cluster.unconfirmedUsage().cpus, cluster.machineTypes.get('m16')?.cpus);
-  sendHeartbeat(cluster, w, 20);
+  sendHeartbeat(cluster, agent, 20);
   assert.equal(cluster.machines.get('n-1')?.hasUnknownTasks, false);
   assert.equal(cluster.unconfirmedUsage().cpus, 0);
   // A terminated machine no longer counts as unconfirmed usage.
-  w.tasks.set('req-000007/0/3', {
+  agent.tasks.set('req-000007/0/3', {
     jobId: 'req-000007',
     index: 0,
     attempt: 3,
     state: 'running',
     cause: null,
   });
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 30);
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 30);
   assert.ok(cluster.unconfirmedUsage().cpus > 0);
   cluster.markTerminated('n-1', 'returned', 40);
   assert.equal(cluster.unconfirmedUsage().cpus, 0);
@@ -336,10 +339,10 @@
 
 test('missing heartbeats prove nothing; a list proves termination only when it cannot predate the listing of the machine', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 1000);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 1000);
   const job = cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   runPlacementRound(cluster, 32, 1000);
-  sendHeartbeat(cluster, w, 1100);
+  sendHeartbeat(cluster, agent, 1100);
   cluster.applyMachineList([], 10_000, 10_200);
   assert.ok(cluster.machines.has('n-1'));
   assert.equal(job?.readyCount, 0);
@@ -349,7 +352,7 @@
   assert.equal(cluster.machines.has('n-1'), false);
   assert.equal(job?.readyCount, 1);
   // A delayed heartbeat does not register it again.
-  assert.equal(cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 41_000), false);
+  assert.equal(cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 41_000), false);
   assert.equal(cluster.machines.has('n-1'), false);
 });
 
@@ -380,7 +383,7 @@
 
 test('a preemption notice saves tasks with checkpoints and restarts tasks that are unlikely to finish', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   const small = { tasks: 1, cpus: 1, memoryGb: 1 };
   cluster.addJob(
     jobSpec({
@@ -397,10 +400,10 @@
   cluster.addJob(jobSpec({ ...small, id: 'req-2', estimatedDurationS: 60 }), 2, 0, false);
   cluster.addJob(jobSpec({ ...small, id: 'req-3', estimatedDurationS: 15 }), 3, 0, false);
   runPlacementRound(cluster, 32, 0);
-  sendHeartbeat(cluster, w, 0);
-  sendHeartbeat(cluster, w, 0);
-  w.preemptionNoticeS = 10;
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 5000);
+  sendHeartbeat(cluster, agent, 0);
+  sendHeartbeat(cluster, agent, 0);
+  agent.preemptionNoticeS = 10;
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 5000);
   const stops = [...(cluster.machines.get('n-1')?.attempts.values() ?? [])]
     .filter((attempt) => attempt.stopRequest)
     .map((attempt) => [attempt.job.spec.id, attempt.stopRequest?.graceS]);
@@ -413,15 +416,15 @@
 
 test('a refused command of an earlier agent epoch does not release its quota twice', () => {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
   const { starts } = takePendingCommands(machine);
-  w.lapse();
-  cluster.applyHeartbeat(w.heartbeat(), 'heartbeat', 10);
+  agent.lapse();
+  cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 10);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
-  cluster.applyCommandResult(starts, false, w.sequence);
+  cluster.applyCommandResult(starts, false, agent.sequence);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
 });
