--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -50,10 +50,10 @@
 }
 
 /**
- * A write of a chunk, on condition of its known version. Without this condition,
- * an older write that is applied late would remove finished tasks that their
- * agents have already forgotten. The condition on the live job prevents a late
- * write from creating a key for a job that has ended.
+ * A write of a chunk that is conditional on its known version. Without this
+ * condition, an older write that is applied late would remove finished tasks that
+ * their agents were allowed to forget. The condition on the live job prevents a
+ * late write from creating a key for a job that has ended.
  */
 class BitmapChunkWrite implements DurableWrite {
   readonly conditions: Condition[];
--- a/src/scheduler/persistence/roster-page-write.ts
+++ b/src/scheduler/persistence/roster-page-write.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * A write of a page, on condition of its known version, so that a late copy of an
- * older write fails and drops no machine from the roster.
+ * A write of a page that is conditional on its known version, so that a late copy
+ * of an older write fails and drops no machine from the roster.
  *
  * A page of unknown version is only ever deleted, without a condition. A late
  * copy of the deletion is harmless, since all machines on the page have been
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -54,8 +54,8 @@
   ) {}
 
   /** Restores a page that an earlier leader wrote. */
-  restore(key: string, version: number, entries: RosterEntry[]): void {
-    const page = this.createPage(key, version);
+  restore(keySuffix: string, version: number, entries: RosterEntry[]): void {
+    const page = this.createPage(keySuffix, version);
     for (const entry of entries) this.addToPage(page, entry);
   }
 
@@ -134,8 +134,8 @@
     return this.createPage(`${this.term}-${++this.createdPageCount}`, 0);
   }
 
-  private createPage(key: string, version: number): RosterPage {
-    const page = new RosterPage(key, version);
+  private createPage(keySuffix: string, version: number): RosterPage {
+    const page = new RosterPage(keySuffix, version);
     this.pages.add(page);
     this.pagesWithSpace.add(page);
     return page;
