--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -221,13 +221,13 @@
   assert.deepEqual([nonSpotJob?.readyCount, spotJob?.readyCount], [0, 1]);
 
   // Without a limit, jobs that may not use spot machines wait for non-spot machines only.
-  const clusterState = createCluster({ term: 2 });
-  clusterState.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
-  joinCluster(clusterState, new ScriptedAgent('n-2'), 100);
-  clusterState.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
-  clusterState.addJob(jobSpec({ id: 'req-000002', tasks: 1 }), 2, 0, true);
+  const unlimitedCluster = createCluster({ term: 2 });
+  unlimitedCluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
+  joinCluster(unlimitedCluster, new ScriptedAgent('n-2'), 100);
+  unlimitedCluster.addJob(jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }), 1, 0, true);
+  unlimitedCluster.addJob(jobSpec({ id: 'req-000002', tasks: 1 }), 2, 0, true);
   assert.deepEqual(
-    runPlacementRound(clusterState, 32, 200).started.map((attempt) => attempt.job.spec.id),
+    runPlacementRound(unlimitedCluster, 32, 200).started.map((attempt) => attempt.job.spec.id),
     ['req-000001'],
   );
 });
@@ -245,10 +245,10 @@
   assert.deepEqual(plannedTerminations(7, 8000), []);
   assert.deepEqual(plannedTerminations(8, 8500), ['n-8', 'n-9']);
   // Without waiting work, they are not terminated early.
-  const clusterState = createCluster({ term: 2 });
-  for (const agent of agents) clusterState.inheritMachine(agent.id, 'm16', 'a', false, '', 0);
-  for (const agent of agents.slice(0, 9)) joinCluster(clusterState, agent, 8000);
-  assert.deepEqual(new ScaleInPlanner(clusterState).plan(8500), []);
+  const clusterWithoutWork = createCluster({ term: 2 });
+  for (const agent of agents) clusterWithoutWork.inheritMachine(agent.id, 'm16', 'a', false, '', 0);
+  for (const agent of agents.slice(0, 9)) joinCluster(clusterWithoutWork, agent, 8000);
+  assert.deepEqual(new ScaleInPlanner(clusterWithoutWork).plan(8500), []);
 });
 
 test('a leader that was paused and kept its lease treats no healthy machine as unreachable or missing', () => {
@@ -276,7 +276,7 @@
     sendHeartbeat(cluster, agent, resumedAt + 100 * i);
     assert.deepEqual(scaleIn.plan(resumedAt + 100 * i), []);
   }
-  // A machine that is up within a second or two and sends heartbeats, but is not listed yet.
+  // This machine is up within a second or two and sends heartbeats, but is not listed yet.
   joinCluster(cluster, new ScriptedAgent('n-9'), resumedAt + 900);
   cluster.applyMachineList([...agents, newest].map(entry), resumedAt + 1000, resumedAt + 1100);
   assert.deepEqual(scaleIn.plan(resumedAt + 1200), []);
@@ -337,13 +337,13 @@
     stateOk: true,
     counts: [],
   });
-  const sent = clock.wall();
+  const sentAt = clock.wall();
   const receivedAt = clock.now();
-  peers.receiveStatus(status(sent));
+  peers.receiveStatus(status(sentAt));
   await clock.advance(30_000);
   // Delayed duplicates of it and an older status change nothing.
-  peers.receiveStatus(status(sent));
-  peers.receiveStatus(status(sent - 5000));
+  peers.receiveStatus(status(sentAt));
+  peers.receiveStatus(status(sentAt - 5000));
   assert.equal(peers.lastLedAt('n-1', 3), receivedAt);
   peers.receiveStatus(status(clock.wall()));
   assert.equal(peers.lastLedAt('n-1', 3), clock.now());
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -254,7 +254,7 @@
   sendHeartbeat(cluster, agent, 100);
   agent.exit([...agent.tasks.keys()][0] as string, 'stopped');
   let now = 200;
-  // The attempt has ended, but once forgotten, a duplicate would start it beside the next one.
+  // The attempt has ended, but a duplicate would restart a forgotten one beside the next attempt.
   for (; agent.tasks.size > 0; now += 1000) {
     assert.ok(now < 20_000);
     assert.deepEqual(agent.running(), []);
