--- a/src/scheduler/persistence/pending-writes.ts
+++ b/src/scheduler/persistence/pending-writes.ts
@@ -1,43 +1,42 @@
-/** Which durable writes are due, in the order of their urgency. */
+/** Collects the durable writes that are due, in the order of their urgency. */
 
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Job } from '../state/task-attempt.js';
-import { takeChunkWrite } from './bitmap-chunk-write.js';
+import { createChunkWrite } from './bitmap-chunk-write.js';
 import type { DurableWrite } from './durable-write.js';
 import { CascadedCancellationWrite, JobCompletionWrite } from './job-end-writes.js';
 import { KeyDeletionWrite } from './key-deletion-write.js';
-import { RosterPageWrite, takeRosterAdditions } from './roster-page-write.js';
+import { createRosterAdditionWrites, RosterPageWrite } from './roster-page-write.js';
 
-/** What the writes may cost now. */
+/** Budget and time for the writes that are due. */
 export interface WriteBudget {
-  /** Changes for progress and for cleaning up; ends of jobs and additions to the roster are always written. */
+  /** Maximum changes for progress and cleanup; ends of jobs and additions to the roster are always written. */
   progressChanges: number;
-  /** Time of day in milliseconds, for the records of ends. */
+  /** Wall-clock time for the records of ended jobs, in milliseconds. */
   wallNow: number;
 }
 
 /** Writes of jobs, by urgency. */
 interface JobWrites {
-  /** Completions of jobs that others depend on: they go first. */
+  /** Completions of jobs that other jobs depend on, which are written first. */
   awaitedEnds: DurableWrite[];
   otherEnds: DurableWrite[];
   progress: DurableWrite[];
-  /** Changes that are left of the budget. */
+  /** Remaining changes of the budget. */
   changesLeft: number;
 }
 
 /**
- * Takes what has to be made durable now, the most urgent first. The caller
- * reports the outcome of each write: chunks and pages without one are not
- * written again.
+ * Collects the writes that are due, the most urgent first. The caller must report
+ * the outcome of each write: a chunk or page is not written again before that.
  */
 export function pendingWrites(cluster: ClusterState, budget: WriteBudget): DurableWrite[] {
-  const rosterAdditions = takeRosterAdditions(cluster);
-  const jobs = takeJobWrites(cluster, budget);
+  const rosterAdditions = createRosterAdditionWrites(cluster);
+  const jobs = collectJobWrites(cluster, budget);
   const stalePages = cluster.roster
     .rewriteStalePages(jobs.changesLeft)
     .map((pageWrite) => new RosterPageWrite(cluster, pageWrite));
-  const deletions = keyDeletions(cluster, jobs.changesLeft - stalePages.length);
+  const deletions = createKeyDeletions(cluster, jobs.changesLeft - stalePages.length);
   return [
     ...rosterAdditions,
     ...jobs.awaitedEnds,
@@ -48,7 +47,7 @@
   ];
 }
 
-function takeJobWrites(cluster: ClusterState, budget: WriteBudget): JobWrites {
+function collectJobWrites(cluster: ClusterState, budget: WriteBudget): JobWrites {
   const writes: JobWrites = {
     awaitedEnds: [],
     otherEnds: [],
@@ -58,27 +57,27 @@
   for (const job of cluster.jobs.values()) {
     if (job.dependencyCancelled) writes.otherEnds.push(new CascadedCancellationWrite(cluster, job));
     else if (job.isComplete) {
-      const isAwaited = cluster.dependencies.hasDependents(job.spec.id);
-      const ends = isAwaited ? writes.awaitedEnds : writes.otherEnds;
+      const hasDependents = cluster.dependencies.hasDependents(job.spec.id);
+      const ends = hasDependents ? writes.awaitedEnds : writes.otherEnds;
       ends.push(new JobCompletionWrite(cluster, job, budget.wallNow));
-    } else takeProgress(cluster, job, writes);
+    } else collectProgressWrites(cluster, job, writes);
   }
   return writes;
 }
 
-/** Takes the job's unsaved chunks while the budget lasts. */
-function takeProgress(cluster: ClusterState, job: Job, writes: JobWrites): void {
-  for (const [chunk, finished] of job.unsavedChunks) {
+/** Collects writes of the job's unsaved chunks while the budget lasts. */
+function collectProgressWrites(cluster: ClusterState, job: Job, writes: JobWrites): void {
+  for (const [chunk, finishedAttempts] of job.unsavedChunks) {
     if (writes.changesLeft < 1) return;
-    const write = takeChunkWrite(cluster, job, chunk, finished);
+    const write = createChunkWrite(cluster, job, chunk, finishedAttempts);
     if (!write) continue;
     writes.changesLeft--;
     writes.progress.push(write);
   }
 }
 
-/** Deletions of keys that ended jobs have left; the keys stay listed until one is applied. */
-function keyDeletions(cluster: ClusterState, budgetLeft: number): DurableWrite[] {
+/** Creates deletions of obsolete keys; a key stays listed until its deletion has been applied. */
+function createKeyDeletions(cluster: ClusterState, budgetLeft: number): DurableWrite[] {
   const deletions: DurableWrite[] = [];
   let changesLeft = budgetLeft;
   for (const key of cluster.obsoleteKeys) {
--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -19,14 +19,14 @@
 const JOB_ID = 'req-000001';
 const CHUNK_KEY = `bits/${JOB_ID}/0000/0`;
 
-interface ChunkWriteUnderWay {
+interface PendingChunkWrite {
   cluster: ClusterState;
   agent: ScriptedAgent;
   write: DurableWrite;
 }
 
-/** A job of two tasks, one of which is done; the write of that is on its way. */
-function startChunkWrite(): ChunkWriteUnderWay {
+/** Creates a job of two tasks, one of which is done, and starts the write of its progress. */
+function startChunkWrite(): PendingChunkWrite {
   const cluster = createCluster();
   const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(jobSpec({ tasks: 2 }), 5, 0, false);
@@ -43,55 +43,62 @@
   return { cluster, agent, write };
 }
 
-function mayForgetFirstTask(cluster: ClusterState, agent: ScriptedAgent, now: number): boolean {
+function receivesForgetOfFirstTask(
+  cluster: ClusterState,
+  agent: ScriptedAgent,
+  now: number,
+): boolean {
   const commands = sendHeartbeat(cluster, agent, now);
   return commands.some((command) => command.op === 'forget' && command.index === 0);
 }
 
 const OUTCOMES: [name: string, report: (write: DurableWrite) => void][] = [
   ['was not sent', (write) => write.retry(false)],
-  ['had no answer', (write) => write.retry(true)],
-  ['met another version of the chunk', (write) => write.conflict([CHUNK_KEY])],
-  ['found the job ended', (write) => write.conflict([liveJobKey(JOB_ID), CHUNK_KEY])],
+  ['received no response', (write) => write.retry(true)],
+  ['conflicted with another version of the chunk', (write) => write.conflict([CHUNK_KEY])],
+  [
+    'conflicted with the end of the job',
+    (write) => write.conflict([liveJobKey(JOB_ID), CHUNK_KEY]),
+  ],
 ];
 
 for (const [name, report] of OUTCOMES)
-  test(`progress of a job that ended meanwhile is not written again when its write ${name}`, () => {
+  test(`progress of an ended job is not written again after its write ${name}`, () => {
     const { cluster, agent, write } = startChunkWrite();
     cluster.endJob(JOB_ID, { state: 'cancelled', at: null });
     report(write);
     assert.deepEqual(chunksOfUnknownVersion(cluster), []);
-    // The chunk may exist, so it is deleted, and its task may be forgotten.
+    // The chunk may be stored, so its key is deleted; the agent may forget the task.
     assert.deepEqual(
       pendingWrites(cluster, BUDGET).flatMap((pending) => pending.changes),
       [{ op: 'delete', key: CHUNK_KEY }],
     );
-    assert.ok(mayForgetFirstTask(cluster, agent, 30));
+    assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
   });
 
-test('progress of a job whose end is not known yet is not written again once its record is missing', () => {
+test('progress is not written again once the live record of its job is gone, even before the end is known', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([liveJobKey(JOB_ID)]);
   assert.deepEqual(chunksOfUnknownVersion(cluster), []);
   assert.deepEqual(pendingWrites(cluster, BUDGET), []);
-  assert.ok(mayForgetFirstTask(cluster, agent, 30));
+  assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
 });
 
-test('progress of a live job is written again over the version that is read back', () => {
+test('after a conflict, progress of a live job is written again over the version that is read back', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([CHUNK_KEY]);
   assert.deepEqual(pendingWrites(cluster, BUDGET), []);
-  const [unknown] = chunksOfUnknownVersion(cluster);
-  unknown?.job.chunkVersions.set(unknown.chunk, 7);
+  const [unknownChunk] = chunksOfUnknownVersion(cluster);
+  unknownChunk?.job.chunkVersions.set(unknownChunk.chunk, 7);
   const [repeated] = pendingWrites(cluster, BUDGET);
   assert.deepEqual(repeated?.changes, write.changes);
   assert.deepEqual(repeated?.conditions[1], { key: CHUNK_KEY, version: 7 });
-  assert.equal(mayForgetFirstTask(cluster, agent, 30), false);
+  assert.equal(receivesForgetOfFirstTask(cluster, agent, 30), false);
   repeated?.applied(8);
-  assert.ok(mayForgetFirstTask(cluster, agent, 40));
+  assert.ok(receivesForgetOfFirstTask(cluster, agent, 40));
 });
 
-test('a machine of the roster whose move to another page failed is not added once more', () => {
+test('a machine that is already in the roster is not queued again when its move to another page fails', () => {
   const cluster = createCluster();
   cluster.inheritMachine('n-1', 'm16', 'a', false, '', 0);
   const [machine] = cluster.machines.values();
@@ -104,11 +111,17 @@
   assert.equal(cluster.pendingRosterAdds.size, 0);
 });
 
-test('a machine whose move had no answer is not moved to a third page', () => {
-  const entry = (n: number) => ({ id: `n-${n}`, type: 'm', zone: 'a', spot: true, address: '' });
+test('a machine whose move to another page received no response is not moved to a third page', () => {
+  const entry = (index: number) => ({
+    id: `n-${index}`,
+    type: 'm',
+    zone: 'a',
+    spot: true,
+    address: '',
+  });
   const entryBytes = JSON.stringify(entry(1)).length + 1;
   const roster = new Roster(4, 3 * entryBytes);
-  // Written under a higher limit: one machine too many for this one, once another has been terminated.
+  // The page was written under a higher limit and still holds one machine too many without n-5.
   roster.restore('3-1', 10, [1, 2, 3, 4, 5].map(entry));
   roster.removeMachine('n-5');
   const [move] = roster.rewriteStalePages(9);
