--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -1,12 +1,12 @@
 /**
- * Lists of dependencies that are too long for one transaction: pages that are
- * written before the record of the job, which then names them.
+ * Dependency lists that are too long for one transaction. Their pages are
+ * written before the record of the job, which then refers to them.
  *
- * The version of the list's header keeps writing and removal apart. A page is
+ * The version of the list's header isolates writing from removal. A page is
  * added, and the record is written, only while the header has the version that
- * the writer saw before it looked which pages exist. Removal first gives the
- * header another version, and every deletion requires that one. So no record
- * ever names a page that is missing, whatever is carried out late, and pages
+ * the writer saw before it checked which pages exist. Removal first gives the
+ * header a new version, and every deletion requires that version. So no record
+ * ever refers to a missing page, even when requests are applied late, and pages
  * never outlast their header.
  */
 import { createHash } from 'node:crypto';
@@ -31,13 +31,13 @@
 import type { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 
-/** A list whose pages all exist for as long as the condition is met. */
+/** A list whose pages all exist as long as the condition holds. */
 export interface StoredDependencyList {
   ref: DependencyListRef;
   condition: Condition;
 }
 
-/** A list as its header was read. */
+/** A list with its header as it was read. */
 export interface ObservedDependencyList {
   jobId: string;
   token: string;
@@ -46,23 +46,23 @@
   header: DependencyListHeader;
 }
 
-/** Another node writes or removes the same list at the same time. */
+/** Another node is writing or removing the same list. */
 export class DependencyListContendedError extends Error {
   constructor(jobId: string) {
-    super(`the dependency list of job ${jobId} is changed by another node`);
+    super(`dependency list of job ${jobId} was changed concurrently by another node`);
   }
 }
 
-/** Hexadecimal digits of a token, which need tell apart no more than the lists of one job. */
-const TOKEN_LENGTH = 16;
+/** Hexadecimal digits of a token, which only has to distinguish the lists of one job. */
+const TOKEN_HEX_DIGITS = 16;
 
 /** Writes, reads and removes dependency lists. */
 export class DependencyLists {
   constructor(private readonly ctx: Pick<ControllerContext, 'state' | 'limits'>) {}
 
   /**
-   * Writes what is missing of the list. The token is a hash of the content, so
-   * an attempt continues what earlier ones at any node have written. Throws
+   * Writes the missing pages of the list. The token is a hash of the content, so
+   * an attempt continues what earlier ones on any node have written. Throws
    * DependencyListContendedError.
    */
   async write(
@@ -71,25 +71,25 @@
     priority: RequestPriority,
   ): Promise<StoredDependencyList> {
     const { state, limits } = this.ctx;
-    const room = valueCapacityBytes(limits);
-    const pages = splitIntoPages([...ids].sort(), room, room);
+    const capacityBytes = valueCapacityBytes(limits);
+    const pages = splitIntoPages([...ids].sort(), capacityBytes, capacityBytes);
     const token = contentHash(pages);
-    const condition = await this.openHeader(jobId, token, pages.length, priority);
-    const written = await readPrefix(state, listPagesPrefix(jobId, token), priority);
-    const missing = missingPages(jobId, token, pages, written);
-    const perTransaction = Math.min(
+    const condition = await this.ensureHeader(jobId, token, pages.length, priority);
+    const existing = await readPrefix(state, listPagesPrefix(jobId, token), priority);
+    const missing = missingPages(jobId, token, pages, existing);
+    const pagesPerTransaction = Math.min(
       limits.changes,
-      Math.max(1, Math.floor(TRANSACTION_BYTES / room)),
+      Math.max(1, Math.floor(TRANSACTION_BYTES / capacityBytes)),
     );
-    for (let from = 0; from < missing.length; from += perTransaction) {
-      const part = missing.slice(from, from + perTransaction);
-      const result = await state.transact([condition], part, priority);
+    for (let start = 0; start < missing.length; start += pagesPerTransaction) {
+      const batch = missing.slice(start, start + pagesPerTransaction);
+      const result = await state.transact([condition], batch, priority);
       if (!result.ok) throw new DependencyListContendedError(jobId);
     }
     return { ref: { token, pages: pages.length }, condition };
   }
 
-  /** The ids of a list; null when it was removed with its ended job. */
+  /** Returns the ids of a list; null when it was removed after its job ended. */
   async read(
     jobId: string,
     ref: DependencyListRef,
@@ -104,9 +104,9 @@
 
   /**
    * Removes a list whose job is not live: marks its header, then deletes the
-   * pages and at last the header. Stops without an error when the header has
-   * another version by now or the job is live; a removal that was interrupted
-   * is continued by the next one.
+   * pages and finally the header. Stops without an error when the header has a
+   * different version by now or the job is live. An interrupted removal is
+   * continued by the next one.
    */
   async remove(
     list: ObservedDependencyList,
@@ -132,17 +132,20 @@
     }
     const condition: Condition = { key, version };
     const pages = await readPrefix(state, listPagesPrefix(jobId, token), priority, signal);
-    for (let from = 0; from < pages.length; from += limits.changes) {
-      const part = pages.slice(from, from + limits.changes);
-      const deletions = part.map((entry): Change => ({ op: 'delete', key: entry.key }));
+    for (let start = 0; start < pages.length; start += limits.changes) {
+      const batch = pages.slice(start, start + limits.changes);
+      const deletions = batch.map((entry): Change => ({ op: 'delete', key: entry.key }));
       const deleted = await state.transact([condition], deletions, priority, signal);
       if (!deleted.ok) return;
     }
     await state.transact([condition], [{ op: 'delete', key }], priority, signal);
   }
 
-  /** Makes sure that the header exists and is not being removed; the condition holds while it stays so. */
-  private async openHeader(
+  /**
+   * Ensures that the header exists and is not marked for removal. The returned
+   * condition holds as long as the header stays unchanged.
+   */
+  private async ensureHeader(
     jobId: string,
     token: string,
     pages: number,
@@ -164,22 +167,25 @@
   }
 }
 
-/** The changes that add the pages which do not exist yet. */
+/** Returns the changes that add the missing pages. */
 function missingPages(
   jobId: string,
   token: string,
   pages: readonly string[][],
-  written: readonly { key: string }[],
+  existing: readonly { key: string }[],
 ): Change[] {
-  const writtenKeys = new Set(written.map((entry) => entry.key));
+  const existingKeys = new Set(existing.map((entry) => entry.key));
   return pages
     .map((ids, page): Change => {
       const key = listPageKey(jobId, token, page);
       return { op: 'put', key, value: encodeJobIds(ids) };
     })
-    .filter((change) => !writtenKeys.has(change.key));
+    .filter((change) => !existingKeys.has(change.key));
 }
 
 function contentHash(pages: readonly string[][]): string {
-  return createHash('sha256').update(JSON.stringify(pages)).digest('hex').slice(0, TOKEN_LENGTH);
+  return createHash('sha256')
+    .update(JSON.stringify(pages))
+    .digest('hex')
+    .slice(0, TOKEN_HEX_DIGITS);
 }
--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -1,11 +1,11 @@
 /**
- * All live jobs with their dependencies at one moment, and which of them
- * depend on a cancelled job, directly or through others.
+ * A snapshot of all live jobs with their dependencies, and which of them depend
+ * on a cancelled job, directly or transitively.
  *
- * Taking a snapshot costs a request for each few hundred live jobs, whatever
+ * Reading a snapshot takes one request for every few hundred live jobs, whatever
  * the depth of their dependency chains, and serves all requests for a while.
  * The dependencies and the end of a job never change, so the next snapshot
- * takes over what this one has read of them.
+ * reuses what this one has read of them.
  */
 import { readPrefix, SINGLE_READS } from '../../clients/key-ranges.js';
 import type { EndedJobRecord } from '../../records/job-end-record.js';
@@ -16,23 +16,23 @@
 import type { ControllerContext } from '../context.js';
 import { hasInlineDependencies, type JobStore } from './job-store.js';
 
-/** How jobs ended, by id. */
+/** Final states of ended jobs, by job id. */
 type EndStates = Map<string, EndedJobRecord['state']>;
 
-/** Ids of other jobs, by a job's id. */
+/** Lists of job ids, by job id. */
 type JobIdLists = Map<string, readonly string[]>;
 
-/** What a snapshot holds. */
+/** Contents of a snapshot. */
 interface SnapshotContents {
-  /** When its reading began, by this node's clock. */
-  askedAt: number;
+  /** Time at which the read began, by this node's clock. */
+  readStartedAt: number;
   /** The dependencies of each live job. */
   dependencies: JobIdLists;
-  /** How those dependencies of live jobs ended that have. */
+  /** Final states of those dependencies of live jobs that have ended. */
   endStates: EndStates;
-  /** The dependencies that were read apart from their job's record. */
+  /** Dependencies that are stored outside their job's record, by the id of that job. */
   separateLists: JobIdLists;
-  /** The live jobs that depend on a cancelled one, directly or through others. */
+  /** The live jobs that depend on a cancelled one, directly or transitively. */
   cancelled: ReadonlySet<string>;
 }
 
@@ -40,15 +40,15 @@
 export class DependencySnapshot {
   private constructor(private readonly contents: SnapshotContents) {}
 
-  /** When its reading began, by this node's clock: it shows all that was written before. */
-  get askedAt(): number {
-    return this.contents.askedAt;
+  /** Time at which the read began, by this node's clock. All earlier writes are included. */
+  get readStartedAt(): number {
+    return this.contents.readStartedAt;
   }
 
   /**
-   * Whether the job was cancelled or depends on one that was; null when the
-   * snapshot does not know it: it was not live then, and no live job depended
-   * on it.
+   * Reports whether the job was cancelled or depends on a cancelled one. Returns
+   * null when the snapshot does not cover the job: it was not live, and no live
+   * job depended on it.
    */
   isCancelled(id: string): boolean | null {
     const { dependencies, endStates, cancelled } = this.contents;
@@ -57,94 +57,100 @@
     return endState ? endState === 'cancelled' : null;
   }
 
-  /** Takes a snapshot; what the previous one knows for good is not read again. */
-  static async take(
+  /** Reads a snapshot, reusing the immutable data of the previous one. */
+  static async read(
     ctx: Pick<ControllerContext, 'clock' | 'state'>,
     store: JobStore,
     previous: DependencySnapshot | null,
     priority: RequestPriority,
   ): Promise<DependencySnapshot> {
-    const askedAt = ctx.clock.now();
+    const readStartedAt = ctx.clock.now();
     const entries = await readPrefix(ctx.state, LIVE_JOB_PREFIX, priority);
     const records = new Map<string, LiveJobRecord>();
     for (const entry of entries)
       records.set(entry.key.slice(LIVE_JOB_PREFIX.length), mapIfObject(entry.value, decodeLiveJob));
-    const knownLists: JobIdLists = previous?.contents.separateLists ?? new Map();
-    const separateLists = await readSeparateLists(store, records, knownLists, priority);
+    const previousLists: JobIdLists = previous?.contents.separateLists ?? new Map();
+    const separateLists = await readSeparateLists(store, records, previousLists, priority);
     const dependencies: JobIdLists = new Map();
     for (const [id, record] of records)
       dependencies.set(id, separateLists.get(id) ?? record.dependencies ?? []);
-    const knownEnds: EndStates = previous?.contents.endStates ?? new Map();
-    const endStates = await readEndStates(store, dependencies, knownEnds, priority);
+    const previousEndStates: EndStates = previous?.contents.endStates ?? new Map();
+    const endStates = await readEndStates(store, dependencies, previousEndStates, priority);
     const cancelled = dependentsOfCancelled(dependencies, endStates);
-    return new DependencySnapshot({ askedAt, dependencies, endStates, separateLists, cancelled });
+    return new DependencySnapshot({
+      readStartedAt,
+      dependencies,
+      endStates,
+      separateLists,
+      cancelled,
+    });
   }
 }
 
-/** The dependencies of the jobs whose records do not hold all of them. */
+/** Returns the dependencies of the jobs whose records do not hold all of them. */
 async function readSeparateLists(
   store: JobStore,
   records: ReadonlyMap<string, LiveJobRecord>,
-  known: JobIdLists,
+  previousLists: JobIdLists,
   priority: RequestPriority,
 ): Promise<JobIdLists> {
   const lists: JobIdLists = new Map();
   const unread: string[] = [];
   for (const [id, record] of records) {
     if (hasInlineDependencies(record)) continue;
-    const list = known.get(id);
+    const list = previousLists.get(id);
     if (list) lists.set(id, list);
     else unread.push(id);
   }
-  for (let from = 0; from < unread.length; from += SINGLE_READS) {
-    const part = unread.slice(from, from + SINGLE_READS);
+  for (let start = 0; start < unread.length; start += SINGLE_READS) {
+    const batch = unread.slice(start, start + SINGLE_READS);
     const read = await Promise.all(
-      part.map((id) => store.dependenciesOf(id, records.get(id) as LiveJobRecord, priority)),
+      batch.map((id) => store.dependenciesOf(id, records.get(id) as LiveJobRecord, priority)),
     );
-    // A job whose list was removed has ended itself.
-    for (const [i, id] of part.entries()) lists.set(id, read[i] ?? []);
+    // A list is removed only after its job has ended.
+    for (const [i, id] of batch.entries()) lists.set(id, read[i] ?? []);
   }
   return lists;
 }
 
 /**
- * How the dependencies ended that are not live. Jobs that were accepted while
- * the live ones were read are added to `dependencies`, and theirs are looked
- * up as well.
+ * Returns the final states of the dependencies that are not live. Jobs accepted
+ * while the live ones were read are added to `dependencies`, and their own
+ * dependencies are looked up as well.
  */
 async function readEndStates(
   store: JobStore,
   dependencies: JobIdLists,
-  known: EndStates,
+  previousEndStates: EndStates,
   priority: RequestPriority,
 ): Promise<EndStates> {
   const endStates: EndStates = new Map();
-  let open = distinctIds(dependencies.values());
-  while (open.size > 0) {
-    const unknown = addKnownEnds(endStates, open, known, dependencies);
+  let unresolved = distinctIds(dependencies.values());
+  while (unresolved.size > 0) {
+    const unknown = addKnownEndStates(endStates, unresolved, previousEndStates, dependencies);
     const ended = await store.findEnds(unknown, priority);
     for (const [id, job] of ended) endStates.set(id, job.record.state);
-    const acceptedLate = await store.findMany(
+    const acceptedDuringRead = await store.findMany(
       unknown.filter((id) => !ended.has(id)),
       priority,
     );
-    const added: (readonly string[])[] = [];
-    for (const [id, job] of acceptedLate) {
+    const newLists: (readonly string[])[] = [];
+    for (const [id, job] of acceptedDuringRead) {
       if (!job.live) {
         endStates.set(id, job.record.state);
         continue;
       }
       const list = (await store.dependenciesOf(id, job.record, priority)) ?? [];
       dependencies.set(id, list);
-      added.push(list);
+      newLists.push(list);
     }
-    open = distinctIds(added);
+    unresolved = distinctIds(newLists);
   }
   return endStates;
 }
 
-/** Adds the ends that are known already; returns the jobs that are neither live nor known to have ended. */
-function addKnownEnds(
+/** Adds the final states already known. Returns the jobs neither live nor known to have ended. */
+function addKnownEndStates(
   endStates: EndStates,
   ids: Iterable<string>,
   known: EndStates,
@@ -165,7 +171,7 @@
   return ids;
 }
 
-/** The direct dependents of each job that has any. */
+/** Returns the direct dependents of each job that has any. */
 function directDependents(dependencies: JobIdLists): Map<string, string[]> {
   const dependents = new Map<string, string[]>();
   for (const [id, list] of dependencies)
@@ -177,17 +183,17 @@
   return dependents;
 }
 
-/** The live jobs that depend on a cancelled one, directly or through others. */
+/** Returns the live jobs that depend on a cancelled one, directly or transitively. */
 function dependentsOfCancelled(dependencies: JobIdLists, endStates: EndStates): Set<string> {
   const dependents = directDependents(dependencies);
   const cancelled = new Set<string>();
-  const open: string[] = [];
-  for (const [id, endState] of endStates) if (endState === 'cancelled') open.push(id);
-  for (let id = open.pop(); id !== undefined; id = open.pop())
+  const frontier: string[] = [];
+  for (const [id, endState] of endStates) if (endState === 'cancelled') frontier.push(id);
+  for (let id = frontier.pop(); id !== undefined; id = frontier.pop())
     for (const dependent of dependents.get(id) ?? []) {
       if (cancelled.has(dependent)) continue;
       cancelled.add(dependent);
-      open.push(dependent);
+      frontier.push(dependent);
     }
   return cancelled;
 }
--- a/src/controller/api/dependency-status.ts
+++ b/src/controller/api/dependency-status.ts
@@ -1,22 +1,24 @@
 /**
- * Whether dependencies of a job were cancelled, as a node without leadership
- * finds out for itself.
+ * Determines whether dependencies of a job were cancelled, on any node and
+ * without the leader.
  *
- * The leader cancels the dependents of a cancelled job, but it may be away for
- * longer than users may be told that such a job is queued. So a node that is
- * about to call a waiting job queued looks at its dependencies: a few jobs one
- * by one, larger graphs in a snapshot of all live jobs that requests share.
+ * The leader cancels the dependents of a cancelled job, but it may be
+ * unavailable for longer than users may be told that such a job is queued. So a
+ * node checks the dependencies before it reports a waiting job as queued: a few
+ * jobs individually, larger graphs in a snapshot of all live jobs that requests
+ * share.
  *
  * What is cached, for how long and why that is safe:
  *
- * - That a job has ended, and how: for as long as there is room, since an end
- *   is never rewritten.
- * - That a job is live, with its dependencies, and the snapshot: for
- *   `dependencyFreshMs` from when its reading was asked for, a fraction of
- *   `cancel_s`. A dependent may be called queued for that long after the
- *   cancellation of its dependency, which is well within the time that
- *   cancellations are given. Nothing is called cancelled by the cache alone:
- *   the caller makes it durable first.
+ * - The final state of an ended job: until it is evicted, since an end is never
+ *   rewritten.
+ * - The dependencies of a live job, and the snapshot: for `dependencyFreshMs`
+ *   from the start of the read, a fraction of `cancel_s`. A dependent may be
+ *   reported as queued for that long after the cancellation of its dependency,
+ *   which is well within the time allowed for cancellations.
+ *
+ * No job is reported as cancelled on the basis of the cache alone: the caller
+ * makes the cancellation durable first.
  */
 import { SINGLE_READS } from '../../clients/key-ranges.js';
 import type { LiveJobRecord } from '../../records/job-record.js';
@@ -25,44 +27,44 @@
 import { DependencySnapshot } from './dependency-snapshot.js';
 import { hasInlineDependencies, type JobStore, type StoredJob } from './job-store.js';
 
-/** What was read of a job. Ends are final; that it is live counts for a while only. */
-type ObservedJob =
+/** A job as it was last read. An end is final; a live state expires after `dependencyFreshMs`. */
+type CachedJob =
   | { state: 'done' | 'cancelled' }
-  | { state: 'live'; dependencies: readonly string[]; readAt: number };
+  | { state: 'live'; dependencies: readonly string[]; readStartedAt: number };
 
-/** The states of the dependencies that a submission names. */
+/** States of the dependencies of a submission. */
 export interface DependencySummary {
-  /** Never accepted by any node. */
+  /** Dependencies that were never accepted by any node. */
   missing: string[];
-  /** One of them was cancelled or depends on a job that was. */
+  /** Whether one of them was cancelled or depends on a cancelled job. */
   cancelled: boolean;
-  /** Live when they were read. */
+  /** Dependencies that were live when they were read. */
   pending: string[];
 }
 
-/** Observed jobs that are kept; the least recently read is evicted, which costs another read. */
-const MAX_OBSERVED_JOBS = 5000;
+/** Maximum number of cached jobs; the least recently read is evicted, which costs another read. */
+const MAX_CACHED_JOBS = 5000;
 
-/** Jobs read one by one for one request, before all live ones are read in a snapshot. */
+/** Jobs read individually for one request before all live jobs are read in a snapshot. */
 const MAX_SINGLE_READS = 16;
 
-/** More would have to be read one by one than a request may. */
-class ReadAllowanceExceededError extends Error {}
+/** The request needs more individual reads than it may make. */
+class ReadBudgetExceededError extends Error {}
 
-/** What one request may still read one by one. */
-interface ReadAllowance {
-  left: number;
-  /** Also while many other reads are in flight; otherwise a snapshot is the better choice then. */
-  whileOthersRead: boolean;
+/** Limits the individual reads of one request. */
+interface ReadBudget {
+  remaining: number;
+  /** Allows a read while many others are in flight. Otherwise a snapshot is preferred then. */
+  ignoreReadsInFlight: boolean;
 }
 
-/** Answers for one node whether dependencies were cancelled. */
+/** Determines whether dependencies were cancelled, with a cache for one node. */
 export class DependencyStatus {
-  /** In the order of their reads, the least recent first. */
-  private readonly observed = new Map<string, ObservedJob>();
+  /** Cached jobs by id, the least recently read first. */
+  private readonly cachedJobs = new Map<string, CachedJob>();
   private snapshot: DependencySnapshot | null = null;
   private snapshotInProgress: Promise<DependencySnapshot> | null = null;
-  /** Reads of single jobs in flight. */
+  /** Number of individual reads in flight. */
   private readsInFlight = 0;
 
   constructor(
@@ -71,12 +73,12 @@
   ) {}
 
   /**
-   * The states of the dependencies that a submission names. Each is read anew;
-   * only whether those that are live depend on a cancelled job may rest on the
-   * cache.
+   * Returns the states of a submission's dependencies. Each dependency is read
+   * from the state service; the cache is used only to determine whether the live
+   * ones depend on a cancelled job.
    */
   async summarize(ids: readonly string[], priority: RequestPriority): Promise<DependencySummary> {
-    const readAt = this.ctx.clock.now();
+    const readStartedAt = this.ctx.clock.now();
     const jobs = await this.store.findMany(ids, priority);
     const missing: string[] = [];
     const pending: string[] = [];
@@ -88,61 +90,64 @@
       else if (job.record.state === 'cancelled') cancelled = true;
     }
     if (missing.length > 0 || cancelled) return { missing, cancelled, pending };
-    for (const [id, job] of jobs) this.rememberIfComplete(id, job, readAt);
+    for (const [id, job] of jobs) this.cacheIfComplete(id, job, readStartedAt);
     cancelled = await this.anyCancelled(pending, priority);
     return { missing, cancelled, pending };
   }
 
-  /** Whether a dependency of this live job, direct or through others, was cancelled. */
+  /** Reports whether a direct or transitive dependency of this live job was cancelled. */
   async isCancelledByDependency(
     id: string,
     record: LiveJobRecord,
     priority: RequestPriority,
   ): Promise<boolean> {
-    const known = this.freshSnapshot()?.isCancelled(id) ?? null;
-    if (known !== null) return known;
+    const cancelled = this.freshSnapshot()?.isCancelled(id) ?? null;
+    if (cancelled !== null) return cancelled;
     const ids = await this.store.dependenciesOf(id, record, priority);
     return ids !== null && this.anyCancelled(ids, priority);
   }
 
-  /** Whether one of the jobs was cancelled or depends on one that was. */
+  /** Reports whether one of the jobs was cancelled or depends on a cancelled one. */
   private async anyCancelled(ids: readonly string[], priority: RequestPriority): Promise<boolean> {
     try {
-      return await this.searchCancelled(ids, priority, {
-        left: MAX_SINGLE_READS,
-        whileOthersRead: false,
+      return await this.searchForCancelled(ids, priority, {
+        remaining: MAX_SINGLE_READS,
+        ignoreReadsInFlight: false,
       });
     } catch (error) {
-      if (!(error instanceof ReadAllowanceExceededError)) throw error;
+      if (!(error instanceof ReadBudgetExceededError)) throw error;
     }
-    await this.takeSnapshot(priority);
-    // The few jobs that were accepted after the snapshot are left to be read one by one.
-    return this.searchCancelled(ids, priority, { left: MAX_SINGLE_READS, whileOthersRead: true });
+    await this.refreshSnapshot(priority);
+    // Only the few jobs accepted after the snapshot remain to be read individually.
+    return this.searchForCancelled(ids, priority, {
+      remaining: MAX_SINGLE_READS,
+      ignoreReadsInFlight: true,
+    });
   }
 
   /**
-   * Walks the jobs and all that they depend on, as far as no snapshot knows
-   * them. Throws ReadAllowanceExceededError.
+   * Walks the jobs and their dependencies, down to those that a fresh snapshot
+   * covers. Throws ReadBudgetExceededError.
    */
-  private async searchCancelled(
+  private async searchForCancelled(
     ids: readonly string[],
     priority: RequestPriority,
-    allowance: ReadAllowance,
+    budget: ReadBudget,
   ): Promise<boolean> {
     const snapshot = this.freshSnapshot();
     const visited = new Set(ids);
-    const open = [...visited];
-    for (let id = open.pop(); id !== undefined; id = open.pop()) {
-      const known = snapshot?.isCancelled(id) ?? null;
-      if (known) return true;
-      if (known === false) continue;
-      const job = await this.observe(id, priority, allowance);
+    const frontier = [...visited];
+    for (let id = frontier.pop(); id !== undefined; id = frontier.pop()) {
+      const cancelled = snapshot?.isCancelled(id) ?? null;
+      if (cancelled) return true;
+      if (cancelled === false) continue;
+      const job = await this.getOrRead(id, priority, budget);
       if (job?.state === 'cancelled') return true;
       if (job?.state !== 'live') continue;
       for (const dependency of job.dependencies) {
         if (visited.has(dependency)) continue;
         visited.add(dependency);
-        open.push(dependency);
+        frontier.push(dependency);
       }
     }
     return false;
@@ -151,13 +156,14 @@
   private freshSnapshot(): DependencySnapshot | null {
     const { clock, timing } = this.ctx;
     const { snapshot } = this;
-    if (snapshot && clock.now() - snapshot.askedAt < timing.dependencyFreshMs) return snapshot;
+    if (snapshot && clock.now() - snapshot.readStartedAt < timing.dependencyFreshMs)
+      return snapshot;
     return null;
   }
 
-  /** Takes a snapshot, or waits for the one in progress: one at a time serves all requests. */
-  private async takeSnapshot(priority: RequestPriority): Promise<void> {
-    this.snapshotInProgress ??= DependencySnapshot.take(
+  /** Reads a snapshot, or waits for the read in progress, which serves all requests. */
+  private async refreshSnapshot(priority: RequestPriority): Promise<void> {
+    this.snapshotInProgress ??= DependencySnapshot.read(
       this.ctx,
       this.store,
       this.snapshot,
@@ -171,46 +177,49 @@
     }
   }
 
-  /** The job from the cache or read now; null when it was never accepted. */
-  private async observe(
+  /** Returns the job from the cache or the state service; null when it was never accepted. */
+  private async getOrRead(
     id: string,
     priority: RequestPriority,
-    allowance: ReadAllowance,
-  ): Promise<ObservedJob | null> {
+    budget: ReadBudget,
+  ): Promise<CachedJob | null> {
     const { clock, timing } = this.ctx;
-    const known = this.observed.get(id);
-    const readAt = clock.now();
-    if (known && (known.state !== 'live' || readAt - known.readAt < timing.dependencyFreshMs))
-      return known;
-    const crowded = this.readsInFlight >= SINGLE_READS && !allowance.whileOthersRead;
-    if (--allowance.left < 0 || crowded) throw new ReadAllowanceExceededError();
+    const cached = this.cachedJobs.get(id);
+    const readStartedAt = clock.now();
+    if (
+      cached &&
+      (cached.state !== 'live' || readStartedAt - cached.readStartedAt < timing.dependencyFreshMs)
+    )
+      return cached;
+    const tooManyInFlight = this.readsInFlight >= SINGLE_READS && !budget.ignoreReadsInFlight;
+    if (--budget.remaining < 0 || tooManyInFlight) throw new ReadBudgetExceededError();
     this.readsInFlight++;
     try {
       const job = await this.store.find(id, priority);
       if (!job) return null;
-      if (!job.live) return this.remember(id, { state: job.record.state });
+      if (!job.live) return this.cacheJob(id, { state: job.record.state });
       const dependencies = (await this.store.dependenciesOf(id, job.record, priority)) ?? [];
-      return this.remember(id, { state: 'live', dependencies, readAt });
+      return this.cacheJob(id, { state: 'live', dependencies, readStartedAt });
     } finally {
       this.readsInFlight--;
     }
   }
 
-  /** Caches a job that was just read, unless its dependencies would have to be read as well. */
-  private rememberIfComplete(id: string, job: StoredJob, readAt: number): void {
-    if (!job.live) this.remember(id, { state: job.record.state });
+  /** Caches a job that was just read, unless its dependencies would need further reads. */
+  private cacheIfComplete(id: string, job: StoredJob, readStartedAt: number): void {
+    if (!job.live) this.cacheJob(id, { state: job.record.state });
     else if (hasInlineDependencies(job.record)) {
       const dependencies = job.record.dependencies ?? [];
-      this.remember(id, { state: 'live', dependencies, readAt });
+      this.cacheJob(id, { state: 'live', dependencies, readStartedAt });
     }
   }
 
-  private remember(id: string, job: ObservedJob): ObservedJob {
-    this.observed.delete(id);
-    this.observed.set(id, job);
-    if (this.observed.size > MAX_OBSERVED_JOBS) {
-      const leastRecent = this.observed.keys().next().value;
-      if (leastRecent !== undefined) this.observed.delete(leastRecent);
+  private cacheJob(id: string, job: CachedJob): CachedJob {
+    this.cachedJobs.delete(id);
+    this.cachedJobs.set(id, job);
+    if (this.cachedJobs.size > MAX_CACHED_JOBS) {
+      const leastRecent = this.cachedJobs.keys().next().value;
+      if (leastRecent !== undefined) this.cachedJobs.delete(leastRecent);
     }
     return job;
   }
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -1,7 +1,7 @@
 /**
- * Submission, query and cancellation of jobs, served by any node, leader or
- * not: every reply rests on the state service, none on this node's memory, so
- * an accepted job is known at every node at once.
+ * Submission, query and cancellation of jobs on any node, leader or follower.
+ * Every reply is based on the state service rather than on this node's memory,
+ * so an accepted job is visible at every node at once.
  */
 import type { Reply } from '../../http/server.js';
 import type { JobSpec } from '../../model/job.js';
@@ -26,32 +26,32 @@
 import { JobStore } from './job-store.js';
 import { refuse, refuseMalformed, refuseUnknownDependencies } from './refusals.js';
 
-/** A live job may have ended between its reading and its cancellation; the second reading sees that. */
+/** A live job may end between the read and the cancellation; the second attempt reads its end. */
 const MAX_CANCEL_ATTEMPTS = 2;
 
 const NO_DEPENDENCIES: SubmittedDependencies = { pending: [], named: [] };
 
-/** Tells the leader of cancellations. */
+/** Announces cancellations to the leader. */
 export interface CancellationAnnouncer {
   /**
-   * Has whoever leads stop the job before its user is told that it is
-   * cancelled. Resolves after a bounded time also when no leader can be told.
+   * Makes the current leader stop the job before the cancellation is confirmed to
+   * the user. Resolves within a bounded time even when no leader is reachable.
    */
   announceCancellation(jobId: string, revision: number): Promise<void>;
 }
 
-/** What the job API needs of the rest of its controller. */
+/** Dependencies of JobApi. */
 export interface JobApiOptions {
   taskCounts: TaskCountSource;
   cancellations: CancellationAnnouncer;
-  /** Whether this node or the leader has no memory for further jobs; by default never. */
+  /** Reports whether this node or the leader has no memory for further jobs; default: false. */
   isMemoryLow?: () => boolean;
 }
 
-/** A submission that parses and could run. */
+/** A well-formed submission whose job could run. */
 interface Submission {
   spec: JobSpec;
-  /** Ids of the jobs that it names as its dependencies. */
+  /** Ids of the job's dependencies as submitted. */
   dependencies: string[];
 }
 
@@ -59,11 +59,11 @@
   refusal: Reply;
 }
 
-/** The job API of one controller. Its methods never reject: failures become 503. */
+/** The job API of one controller. Its methods never reject; a failure is answered with 503. */
 export class JobApi {
   private readonly store: JobStore;
   private readonly dependencies: DependencyStatus;
-  private readonly statuses: JobStatusReader;
+  private readonly statusReader: JobStatusReader;
   private readonly lookups: JobLookups;
 
   constructor(
@@ -72,7 +72,7 @@
   ) {
     this.store = new JobStore(ctx);
     this.dependencies = new DependencyStatus(ctx, this.store);
-    this.statuses = new JobStatusReader(ctx, {
+    this.statusReader = new JobStatusReader(ctx, {
       store: this.store,
       dependencies: this.dependencies,
       taskCounts: options.taskCounts,
@@ -81,9 +81,9 @@
   }
 
   /**
-   * Accepts a job: 201 with its state. Idempotent: a known id is answered 200
-   * with the job's state, whatever else the repetition says, before anything
-   * in it is refused.
+   * Accepts a job and replies 201 with its state. Idempotent: an id that was
+   * accepted before is answered with 200 and the job's state, even when the rest
+   * of the repeated submission would be refused.
    */
   async submit(body: Buffer): Promise<Reply> {
     let json: unknown;
@@ -100,19 +100,19 @@
       const { spec, dependencies } = submission;
       return dependencies.length === 0
         ? await this.accept(spec, NO_DEPENDENCIES)
-        : await this.acceptDependent(spec, dependencies);
+        : await this.acceptWithDependencies(spec, dependencies);
     } catch (error) {
       return this.replyToFailure(error);
     }
   }
 
-  /** The job's state and task counts: 200, or 404 when it was never accepted. */
+  /** Replies 200 with the job's state and task counts, or 404 when it was never accepted. */
   async query(id: string): Promise<Reply> {
     if (!JOB_ID_PATTERN.test(id)) return refuse('unknownJob');
     try {
       const job = await this.lookups.find(id);
       if (!job) return refuse('unknownJob');
-      const status = await this.statuses.statusOf(id, job, RequestPriority.queries);
+      const status = await this.statusReader.statusOf(id, job, RequestPriority.queries);
       const counts = status.live ? this.options.taskCounts.taskCountsOf(id) : null;
       const done = status.state === 'done' ? status.tasks : (counts?.done ?? 0);
       return {
@@ -125,15 +125,15 @@
   }
 
   /**
-   * Cancels a job: 200 with the state that it ended in, which is 'done' when
-   * its last task was faster. Idempotent: an end is never rewritten; a repeated
+   * Cancels a job and replies 200 with its final state, which is 'done' when its
+   * last task finished first. Idempotent: an end is never rewritten. A repeated
    * cancellation is announced again, since the first announcement may be lost.
    */
   async cancel(id: string): Promise<Reply> {
     if (!JOB_ID_PATTERN.test(id)) return refuse('unknownJob');
     try {
       for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
-        const status = await this.statuses.find(id, RequestPriority.submissions);
+        const status = await this.statusReader.find(id, RequestPriority.submissions);
         if (!status) return refuse('unknownJob');
         if (!status.live) {
           if (status.state === 'cancelled') await this.announceCancellation(id, status.version);
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Checks all of a submission that can be checked without the state service. */
+  /** Checks everything in a submission that can be checked without the state service. */
   private validate(json: unknown): Submission | RefusedSubmission {
     try {
       const spec = parseSubmission(json);
@@ -169,9 +169,9 @@
     }
   }
 
-  /** 200 with the job's state; null when its id was never accepted. */
+  /** Returns a 200 with the job's state; null when its id was never accepted. */
   private async replyIfKnown(id: string): Promise<Reply | null> {
-    const status = await this.statuses.find(id, RequestPriority.submissions);
+    const status = await this.statusReader.find(id, RequestPriority.submissions);
     return status && { status: 200, body: jobStateBody(id, status.state) };
   }
 
@@ -179,19 +179,20 @@
    * Accepts a job with dependencies, each of which must have been accepted
    * before. When one of them is cancelled, the job is accepted as cancelled.
    */
-  private async acceptDependent(spec: JobSpec, named: string[]): Promise<Reply> {
+  private async acceptWithDependencies(spec: JobSpec, dependencies: string[]): Promise<Reply> {
     const known = await this.replyIfKnown(spec.id);
     if (known) return known;
-    if (named.includes(spec.id)) return refuse('dependsOnItself');
-    const summary = await this.dependencies.summarize(named, RequestPriority.submissions);
+    if (dependencies.includes(spec.id)) return refuse('dependsOnItself');
+    const summary = await this.dependencies.summarize(dependencies, RequestPriority.submissions);
     if (summary.missing.length > 0) return refuseUnknownDependencies(summary.missing);
-    if (!summary.cancelled) return this.accept(spec, { pending: summary.pending, named });
+    if (!summary.cancelled)
+      return this.accept(spec, { pending: summary.pending, named: dependencies });
     const created = await this.store.createCancelled(spec, RequestPriority.submissions);
     if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
     return { status: 201, body: jobStateBody(spec.id, 'cancelled') };
   }
 
-  /** Writes the job; a transaction that loses means that another request has accepted the id. */
+  /** Writes the job. A failed transaction means that another request has accepted the id. */
   private async accept(spec: JobSpec, dependencies: SubmittedDependencies): Promise<Reply> {
     const record: LiveJobRecord = { spec, acceptedAt: this.ctx.clock.wall() };
     try {
@@ -210,9 +211,9 @@
     return this.options.cancellations.announceCancellation(id, revision);
   }
 
-  /** Nothing is known of what a request that failed has done: the user is asked to repeat it. */
+  /** The outcome of a failed request is unknown, so the reply asks the user to repeat it. */
   private replyToFailure(error: unknown): Reply {
-    this.ctx.log.debug({ err: error }, 'user request not served');
+    this.ctx.log.debug({ err: error }, 'job API request failed; replying 503');
     return refuse('stateServiceUnreachable');
   }
 }
--- a/src/controller/api/job-creation.ts
+++ b/src/controller/api/job-creation.ts
@@ -1,6 +1,6 @@
 /**
- * What one transaction writes to accept a job: its record and, where a value
- * has no room for all ids of its dependencies, pages with the further ones.
+ * Builds the transaction that accepts a job: its record and, when that can't
+ * hold the ids of all its dependencies, pages with the remaining ones.
  */
 import type { StateLimits } from '../../config/state-limits.js';
 import type { Change } from '../../protocol/key-value-protocol.js';
@@ -14,29 +14,29 @@
   valueCapacityBytes,
 } from '../../records/value-sizes.js';
 
-/** A value of the state service can't hold the job's description. */
+/** The job's record is larger than a value of the state service may be. */
 export class JobTooLargeError extends Error {}
 
 /** The dependencies of a submission. */
 export interface SubmittedDependencies {
-  /** Those that were live when they were looked up: the job waits for these. */
+  /** Dependencies that were live when they were looked up; the job waits for these. */
   pending: readonly string[];
-  /** All that the submission names, in its own order, the same in each repetition of it. */
+  /** All dependencies in the order of the submission; the same in each repetition of it. */
   named: readonly string[];
 }
 
 /**
- * The only dependency in a record whose list stands elsewhere. No job has such
- * an id, so a version that does not know of lists waits for it for ever and
- * starts nothing too early.
+ * Returns the only dependency in a record whose dependencies are in a list. No
+ * job has such an id, so a version without support for lists waits for it
+ * forever and does not start the job too early.
  */
 export function dependencyListPlaceholder(id: string): string {
   return `${id}/list`;
 }
 
 /**
- * The changes that accept the job with these pending dependencies; null when
- * they are more than one transaction holds. Throws JobTooLargeError.
+ * Returns the changes that accept the job with these pending dependencies; null
+ * when one transaction can't hold them. Throws JobTooLargeError.
  */
 export function creationChanges(
   record: LiveJobRecord,
@@ -44,8 +44,8 @@
   limits: Pick<StateLimits, 'valueBytes' | 'changes'>,
 ): Change[] | null {
   const { id } = record.spec;
-  const room = valueCapacityBytes(limits);
-  // The largest form of the record besides the ids themselves.
+  const capacityBytes = valueCapacityBytes(limits);
+  // The record at its largest, without the ids of dependencies.
   const base: LiveJobRecord =
     pending.length === 0
       ? record
@@ -55,11 +55,13 @@
           dependencyPages: limits.changes,
         };
   const baseBytes = storedBytes(encodeLiveJob(base));
-  if (baseBytes > room)
-    throw new JobTooLargeError(`job ${id} takes ${baseBytes} of ${Math.floor(room)} bytes`);
-  const [inline = [], ...pages] = splitIntoPages(pending, room - baseBytes, room);
+  if (baseBytes > capacityBytes)
+    throw new JobTooLargeError(
+      `record of job ${id} takes ${baseBytes} bytes; the limit is ${Math.floor(capacityBytes)} bytes`,
+    );
+  const [inline = [], ...pages] = splitIntoPages(pending, capacityBytes - baseBytes, capacityBytes);
   if (pages.length + 1 > limits.changes) return null;
-  if (pages.length * room > TRANSACTION_BYTES - room) return null;
+  if (pages.length * capacityBytes > TRANSACTION_BYTES - capacityBytes) return null;
   const value: LiveJobRecord = {
     ...record,
     ...(inline.length > 0 ? { dependencies: inline } : {}),
--- a/src/controller/api/job-lookups.ts
+++ b/src/controller/api/job-lookups.ts
@@ -1,27 +1,27 @@
-/** Coalesced reads of jobs that users query. */
+/** Coalesces reads of jobs for user queries. */
 import { SINGLE_READS } from '../../clients/key-ranges.js';
 import type { RequestPriority } from '../../runtime/request-budget.js';
 import type { JobStore, StoredJob } from './job-store.js';
 
-/** A query that waits for the next batch. */
+/** A query waiting for the next batch. */
 interface PendingLookup {
   resolve(job: StoredJob | null): void;
   reject(error: unknown): void;
 }
 
 /**
- * Looks up jobs. Up to SINGLE_READS lookups are read one by one; what is asked
- * for meanwhile waits until one of these ends and is then read in one batch,
- * each job once. So a flood of queries costs requests by the number of jobs
- * that are queried, not of queries.
+ * Looks up jobs. Up to SINGLE_READS lookups are read individually. Further ones
+ * wait until one of these reads ends and are then read in one batch, each job
+ * once. So the requests caused by a flood of queries depend on the number of
+ * jobs that are queried, not on the number of queries.
  *
  * Nothing is cached: each result comes from a read that began after its query,
- * so a query never shows a state from before an end that its user knows of.
+ * so a query never returns a state older than an end that its user has seen.
  */
 export class JobLookups {
-  /** Reads in flight, a batch counted as one. */
+  /** Number of reads in flight; a batch counts as one. */
   private readsInFlight = 0;
-  /** By job id. */
+  /** Lookups waiting for the next batch, by job id. */
   private readonly waiting = new Map<string, PendingLookup[]>();
 
   constructor(
@@ -29,10 +29,10 @@
     private readonly priority: RequestPriority,
   ) {}
 
-  /** The job; null when it was never accepted. Rejects with what its read fails with. */
+  /** Returns the job; null when it was never accepted. Rejects with the error of a failed read. */
   find(id: string): Promise<StoredJob | null> {
     if (this.readsInFlight < SINGLE_READS)
-      return this.countRead(() => this.store.find(id, this.priority));
+      return this.trackRead(() => this.store.find(id, this.priority));
     return new Promise((resolve, reject) => {
       const lookups = this.waiting.get(id);
       if (lookups) lookups.push({ resolve, reject });
@@ -40,7 +40,7 @@
     });
   }
 
-  private async countRead<T>(read: () => Promise<T>): Promise<T> {
+  private async trackRead<T>(read: () => Promise<T>): Promise<T> {
     this.readsInFlight++;
     try {
       return await read();
@@ -50,13 +50,13 @@
     }
   }
 
-  /** Reads all jobs that are waited for. Never rejects: a failure goes to each of the lookups. */
+  /** Reads all waiting jobs in one batch. Never rejects; a failure rejects each of the lookups. */
   private async readBatch(): Promise<void> {
     const batch = new Map(this.waiting);
     this.waiting.clear();
     try {
       const ids = [...batch.keys()];
-      const found = await this.countRead(() => this.store.findMany(ids, this.priority));
+      const found = await this.trackRead(() => this.store.findMany(ids, this.priority));
       for (const [id, lookups] of batch)
         for (const lookup of lookups) lookup.resolve(found.get(id) ?? null);
     } catch (error) {
--- a/src/controller/api/job-status.ts
+++ b/src/controller/api/job-status.ts
@@ -1,4 +1,4 @@
-/** The state of a job as users are told it, from its record and the leader's counts. */
+/** Determines the state of a job as users see it, from its record and the leader's counts. */
 import type { JobState } from '../../protocol/job-protocol.js';
 import type { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
@@ -12,15 +12,15 @@
   type StoredJob,
 } from './job-store.js';
 
-/** Counts of a live job's tasks, for display only: they may lag behind. */
+/** Task counts of a live job, for display only; they may lag behind. */
 export interface TaskCounts {
   done: number;
   running: number;
 }
 
-/** Where counts come from: this node's own leader, or what a peer that leads last sent. */
+/** Provides task counts from the leader on this node, or as a leading peer last sent them. */
 export interface TaskCountSource {
-  /** Null: nothing is known of the job's tasks. */
+  /** Returns null when the job's counts are unknown. */
   taskCountsOf(jobId: string): TaskCounts | null;
 }
 
@@ -29,13 +29,13 @@
   state: JobState;
   /** Number of tasks in the array. */
   tasks: number;
-  /** Of a job that has ended: the revision of its end. */
+  /** Version of the record; for an ended job, the revision at which it ended. */
   version: number;
   /** The live job; null when it has ended. */
   live: LiveJob | null;
 }
 
-/** What the states of jobs are determined from. */
+/** Dependencies of JobStatusReader. */
 export interface JobStatusSources {
   store: JobStore;
   dependencies: DependencyStatus;
@@ -43,9 +43,9 @@
 }
 
 /**
- * Determines the states of jobs. Invariant: what one node says of a job's end
- * no node contradicts later, so 'done' and 'cancelled' rest on a durable end
- * only.
+ * Determines the states of jobs. Invariant: no node later contradicts what any
+ * node has reported of a job's end, so 'done' and 'cancelled' are reported only
+ * once the end is durable.
  */
 export class JobStatusReader {
   constructor(
@@ -53,20 +53,20 @@
     private readonly sources: JobStatusSources,
   ) {}
 
-  /** The job's status; null when it was never accepted. */
+  /** Returns the job's status; null when it was never accepted. */
   async find(id: string, priority: RequestPriority): Promise<JobStatus | null> {
     const job = await this.sources.store.find(id, priority);
     return job && this.statusOf(id, job, priority);
   }
 
-  /** The status of a job that was just read. Cancels it first if a dependency was cancelled. */
+  /** Returns the status of a job just read. Cancels it first if a dependency was cancelled. */
   async statusOf(id: string, job: StoredJob, priority: RequestPriority): Promise<JobStatus> {
     if (!job.live) return endedStatus(job);
     const counts = this.sources.taskCounts.taskCountsOf(id);
     const running = (counts?.running ?? 0) > 0;
     const started = running || (counts?.done ?? 0) > 0;
     if (!started && hasDependencies(job.record)) {
-      const end = await this.cancelWithDependency(id, job, priority);
+      const end = await this.cancelIfDependencyCancelled(id, job, priority);
       if (end) return end;
     }
     return {
@@ -78,12 +78,12 @@
   }
 
   /**
-   * A job is cancelled with any of its dependencies. The leader does that, but
-   * it may not have done so yet, or be away; 'queued' would then be wrong for
-   * longer than users may be told so. The job is called cancelled only once
-   * that is durable. Null: none of its dependencies is cancelled.
+   * Cancels the job if one of its dependencies is cancelled; returns null when
+   * none is. The leader does the same, but it may not have done so yet or may be
+   * unavailable, and users may be told 'queued' only for a limited time after
+   * the cancellation. The job is reported as cancelled only once that is durable.
    */
-  private async cancelWithDependency(
+  private async cancelIfDependencyCancelled(
     id: string,
     job: LiveJob,
     priority: RequestPriority,
@@ -96,7 +96,7 @@
       const { tasks } = job.record.spec;
       return { state: 'cancelled', tasks, version: cancelled.revision, live: null };
     }
-    // The live record never changes, so another node has ended the job meanwhile.
+    // The live record never changes, so the transaction failed because another node ended the job.
     const end = await store.findEnd(id, priority);
     if (!end) throw new MissingJobEndError(id);
     return endedStatus(end);
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -1,19 +1,19 @@
 /**
- * Jobs in the state service: how they are found, accepted and cancelled.
+ * Jobs in the state service: lookup, acceptance and cancellation.
  *
- * A job has one of two keys: `live/<id>` from its acceptance on, `over/<id>`
- * from its end on. Each transaction is a compare-and-swap over both, so that a
- * repeated request, or one that the state service carries out late, changes
- * nothing:
+ * A job has one of two keys: `live/<id>` from its acceptance, `over/<id>` from
+ * its end. Each transaction is a compare-and-swap over both keys, so a repeated
+ * request, or one that the state service applies late, changes nothing:
  *
  * | transaction | condition | repeated or late |
  * | --- | --- | --- |
- * | accept | both keys absent | fails: the id is known, live or ended |
+ * | accept | both keys absent | fails: the id is in use, live or ended |
  * | accept as cancelled | both keys absent | the same |
- * | cancel | the live key at the version that was read, no ended key | fails: the job has its end |
+ * | cancel | the live key at the version that was read, no ended key | fails: the job has ended |
  *
- * An end is never rewritten, and ids are never used again. The leader ends jobs
- * over the version of the live key as well, so of two ends only one is written.
+ * The end of a job is never rewritten, and ids are never reused. The leader also
+ * ends jobs on the condition that the live key has the version that was read, so
+ * of two concurrent ends only one is written.
  */
 import { readKeys } from '../../clients/key-ranges.js';
 import type { TransactionResult } from '../../clients/key-value-store.js';
@@ -47,7 +47,7 @@
   version: number;
 }
 
-/** A job that is done or cancelled, which is final. */
+/** A job that is done or cancelled; both states are final. */
 export interface EndedJob {
   live: false;
   record: EndedJobRecord;
@@ -55,27 +55,27 @@
   version: number;
 }
 
-/** A job as its key holds it. */
+/** A job as stored under one of its keys. */
 export type StoredJob = LiveJob | EndedJob;
 
-/** A job has neither key although it was live a moment ago: the state service lost its end. */
+/** A job that was live has neither key, so the state service has lost its end. */
 export class MissingJobEndError extends Error {
   constructor(id: string) {
     super(`job ${id} is neither live nor ended`);
   }
 }
 
-/** Whether the job waited for others when it was accepted. */
+/** Reports whether the job had pending dependencies when it was accepted. */
 export function hasDependencies(record: LiveJobRecord): boolean {
   return (record.dependencies?.length ?? 0) > 0 || (record.dependencyPages ?? 0) > 0;
 }
 
-/** Whether the record itself holds all of the job's dependencies. */
+/** Reports whether the record itself holds all of the job's dependencies. */
 export function hasInlineDependencies(record: LiveJobRecord): boolean {
   return (record.dependencyPages ?? 0) === 0 && record.dependencyList === undefined;
 }
 
-/** Reads and writes jobs for any node; it caches nothing. */
+/** Reads and writes jobs on any node. Caches nothing. */
 export class JobStore {
   private readonly dependencyLists: DependencyLists;
 
@@ -84,8 +84,9 @@
   }
 
   /**
-   * The job; null when it was never accepted. The live key is read first: an
-   * end moves the job from there, so it can't be missed between the two reads.
+   * Returns the job; null when it was never accepted. The live key is read
+   * first: an end moves the job from the live to the ended key, so the job can't
+   * be missed between the two reads.
    */
   async find(
     id: string,
@@ -97,7 +98,7 @@
     return this.findEnd(id, priority, signal);
   }
 
-  /** The job's end; null while it has none. */
+  /** Returns the ended job; null while it has not ended. */
   async findEnd(
     id: string,
     priority: RequestPriority,
@@ -107,7 +108,7 @@
     return ended && endedJob(ended);
   }
 
-  /** Those of the jobs that were ever accepted, by id; live keys are read first, as by `find`. */
+  /** Returns those of the jobs that were ever accepted, by id. Reads live keys first, as `find`. */
   async findMany(
     ids: readonly string[],
     priority: RequestPriority,
@@ -121,7 +122,7 @@
     return found;
   }
 
-  /** Those of the jobs that have ended, by id. */
+  /** Returns those of the jobs that have ended, by id. */
   async findEnds(
     ids: readonly string[],
     priority: RequestPriority,
@@ -131,7 +132,10 @@
     return new Map([...ends].map(([id, entry]) => [id, endedJob(entry)]));
   }
 
-  /** Ids of all dependencies of a live job; null when a page or list was removed with the ended job. */
+  /**
+   * Returns the ids of all dependencies of a live job; null when the job has
+   * ended and a page or list was removed.
+   */
   async dependenciesOf(
     id: string,
     record: LiveJobRecord,
@@ -150,11 +154,11 @@
   }
 
   /**
-   * Accepts the job unless its id is known, with its pending dependencies.
-   * When one transaction has no room for these, all dependencies that the
-   * submission names are first written to a list. Unlike the pending ones they
-   * are the same in each repetition of the submission, which so continues what
-   * an earlier attempt has written. Throws JobTooLargeError and
+   * Accepts the job with its pending dependencies unless its id is in use. When
+   * one transaction can't hold them, all dependencies of the submission are
+   * first written to a list. Unlike the pending ones, these are the same in each
+   * repetition of the submission, so a repetition continues what an earlier
+   * attempt has written. Throws JobTooLargeError and
    * DependencyListContendedError.
    */
   async create(
@@ -164,7 +168,7 @@
   ): Promise<TransactionResult> {
     const { id } = record.spec;
     const changes = creationChanges(record, pending, this.ctx.limits);
-    if (changes) return this.ctx.state.transact(unknownId(id), changes, priority);
+    if (changes) return this.ctx.state.transact(idUnusedConditions(id), changes, priority);
     const { ref, condition } = await this.dependencyLists.write(
       id,
       named,
@@ -176,23 +180,23 @@
       dependencyList: ref,
     };
     return this.ctx.state.transact(
-      [...unknownId(id), condition],
+      [...idUnusedConditions(id), condition],
       [{ op: 'put', key: liveJobKey(id), value: encodeLiveJob(value) }],
       priority,
     );
   }
 
-  /** Accepts the job as already cancelled unless its id is known. */
+  /** Accepts the job as already cancelled unless its id is in use. */
   createCancelled(spec: JobSpec, priority: RequestPriority): Promise<TransactionResult> {
     const value = encodeJobEnd({ state: 'cancelled', at: null }, spec.tasks);
     return this.ctx.state.transact(
-      unknownId(spec.id),
+      idUnusedConditions(spec.id),
       [{ op: 'put', key: endedJobKey(spec.id), value }],
       priority,
     );
   }
 
-  /** Cancels the job unless it has ended meanwhile. */
+  /** Cancels the job unless it has ended in the meantime. */
   cancel(job: LiveJob, priority: RequestPriority): Promise<TransactionResult> {
     const { id, tasks } = job.record.spec;
     return this.ctx.state.transact(
@@ -232,8 +236,8 @@
   return { live: false, record: mapIfObject(entry.value, decodeJobEnd), version: entry.version };
 }
 
-/** The conditions under which no job with this id was ever accepted. */
-function unknownId(id: string): Condition[] {
+/** Returns the conditions that hold while no job with this id was ever accepted. */
+function idUnusedConditions(id: string): Condition[] {
   return [
     { key: liveJobKey(id), version: 0 },
     { key: endedJobKey(id), version: 0 },
--- a/src/controller/api/refusals.ts
+++ b/src/controller/api/refusals.ts
@@ -1,12 +1,12 @@
 /**
- * The refusals that users of the job API get. Statuses and texts are part of
- * the wire: programs and people outside rest on them.
+ * Refusals of the job API. Statuses and texts are part of the wire protocol:
+ * external programs and users depend on them.
  */
 import type { Reply } from '../../http/server.js';
 import type { UnrunnableReason } from '../../model/job-feasibility.js';
 import type { MalformedMessageError } from '../../protocol/json-fields.js';
 
-/** Why a request is refused, as far as the refusal says nothing of its own content. */
+/** Reasons for a refusal whose text does not depend on the request. */
 export type RefusalReason =
   | UnrunnableReason
   | 'notJson'
@@ -39,26 +39,26 @@
   stateServiceUnreachable: { status: 503, text: 'the state service is out of reach' },
 };
 
-/** Seconds after which a user may repeat what was refused with 503. */
+/** Seconds after which a user may repeat a request that was refused with 503. */
 const RETRY_AFTER_S = 1;
 
-/** Jobs that a refusal names at most. */
-const MAX_NAMED_JOBS = 5;
+/** Maximum number of jobs listed in a refusal. */
+const MAX_LISTED_JOBS = 5;
 
-/** The refusal for the reason; with 503 it says when the user may come back. */
+/** Returns the refusal for the reason; a 503 says when the user may retry. */
 export function refuse(reason: RefusalReason): Reply {
   return refusalReply(REFUSALS[reason]);
 }
 
-/** 400 with what is wrong with the submission. */
+/** Returns a 400 with the error in the submission. */
 export function refuseMalformed(error: MalformedMessageError): Reply {
   return refusalReply({ status: 400, text: error.message });
 }
 
-/** 422 with the first few of the dependencies that no node has ever accepted. */
+/** Returns a 422 that lists the first few of the dependencies that were never accepted. */
 export function refuseUnknownDependencies(ids: readonly string[]): Reply {
-  const named = ids.slice(0, MAX_NAMED_JOBS).join(', ');
-  return refusalReply({ status: 422, text: `never accepted: ${named}` });
+  const listed = ids.slice(0, MAX_LISTED_JOBS).join(', ');
+  return refusalReply({ status: 422, text: `never accepted: ${listed}` });
 }
 
 function refusalReply({ status, text }: Refusal): Reply {
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -1,11 +1,11 @@
 /**
- * Agents' heartbeats at one controller, leader or not.
+ * Handles agents' heartbeats on any controller, leader or follower.
  *
- * The leader handles them. A follower redirects the agent to the leader (421).
- * An agent that comes back all the same is cut off from the leader by a network
- * partition: the follower then relays its heartbeat through a peer connection
- * or through the mailbox in the state service, and when that fails as well, it
- * renews the agent's lease on behalf of the leader for a while.
+ * The leader processes them. A follower redirects the agent to the leader (421).
+ * An agent that returns nevertheless is separated from the leader by a network
+ * partition. The follower then relays its heartbeat through a peer connection
+ * or through the mailbox in the state service. If that fails too, it renews the
+ * agent's lease on behalf of the leader for a limited time.
  */
 import type { Reply } from '../../http/server.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
@@ -24,24 +24,24 @@
 /** An agent that returns within this many heartbeat intervals could not reach the leader. */
 const RETURN_WINDOW_HEARTBEATS = 4;
 
-/** The ways from a follower to the leader. */
+/** Relays heartbeats from a follower to the leader. */
 export interface HeartbeatRelay extends LeaderActivity {
-  /** The node's status messages come through. */
+  /** Reports whether the node's status messages arrive. */
   isReachable(node: string): boolean;
-  /** Relays a heartbeat through a peer connection; rejects when no reply comes. */
+  /** Relays a heartbeat through a peer connection; rejects when no reply arrives. */
   forwardHeartbeat(node: string, body: Buffer): Promise<Reply>;
-  /** Relays it through the mailbox in the state service; rejects when no reply comes. */
+  /** Relays a heartbeat through the state service's mailbox; rejects when no reply arrives. */
   forwardThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply>;
 }
 
-/** What the handler needs of the rest of its controller. */
+/** Dependencies of HeartbeatHandler. */
 export interface HeartbeatHandlerOptions {
   ctx: ControllerContext;
   election: Pick<LeaderElection, 'leader' | 'observedTerm' | 'current'>;
-  /** The running leader of this process; null while it does not lead. */
+  /** Returns the leader running in this process; null while this node does not lead. */
   leader: () => Leader | null;
   peers: HeartbeatRelay;
-  /** Asks an agent itself for its heartbeat. */
+  /** Requests a heartbeat directly from an agent. */
   fetchHeartbeat: FetchHeartbeat;
 }
 
@@ -61,7 +61,7 @@
     });
   }
 
-  /** A heartbeat as an agent sent it; 400 when it is malformed. */
+  /** Handles a heartbeat request from an agent; replies 400 when the body is malformed. */
   async handle(body: Buffer): Promise<Reply> {
     let heartbeat: Heartbeat;
     try {
@@ -87,21 +87,24 @@
         ? await peers.forwardHeartbeat(leader, body)
         : await peers.forwardThroughMailbox(leader, heartbeat.machineId, body);
     } catch (error) {
-      ctx.log.debug({ err: error }, 'heartbeat not relayed');
+      ctx.log.debug(
+        { err: error },
+        'heartbeat relay to the leader failed; trying delegated lease renewal',
+      );
     }
-    // Redirecting the agent to a leader that is unreachable from here too would only cost it time.
+    // The leader is not reachable from here either, so a redirect would only delay the agent.
     return this.delegatedRenewal.renew(heartbeat, agent);
   }
 
-  /** Handles a heartbeat as the leader; `relayed`: it came through a peer or the mailbox. */
+  /** Handles a heartbeat as the leader. `relayed`: it arrived through a peer or the mailbox. */
   async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
-    // No lease may be renewed before the jobs are read. Waiting lets the first reply carry commands too.
+    // No lease may be renewed before the jobs are read. The first reply can then carry commands.
     await this.options.leader()?.untilReady();
     const leader = this.options.leader();
     const term = this.options.election.current;
     if (!leader || !term) return redirectTo(null);
     if (heartbeat.term > term.number) {
-      // The agent has accepted a token of a later leader.
+      // The agent has already accepted the token of a later leader.
       term.resign('heartbeat carries a higher fencing token');
       return redirectTo(null);
     }
@@ -112,9 +115,10 @@
   }
 
   /**
-   * An agent is redirected to a leader that is reachable from here, unless it
-   * just comes from there. One that is served here for longer than a lease is
-   * redirected once all the same, since the partition may have ended.
+   * Reports whether to redirect the agent: the leader is reachable from here and
+   * the agent has not just returned from a redirect. An agent served here for
+   * longer than a lease is redirected once nevertheless, since the partition may
+   * have ended.
    */
   private shouldRedirect(agent: RedirectedAgent, reachable: boolean, nowMs: number): boolean {
     const { heartbeatMs, agentLeaseMs } = this.options.ctx.timing;
--- a/src/controller/heartbeats/heartbeat-replies.ts
+++ b/src/controller/heartbeats/heartbeat-replies.ts
@@ -1,8 +1,8 @@
-/** Replies to heartbeats that any node may give. */
+/** Replies to heartbeats that any node may send. */
 import type { Reply } from '../../http/server.js';
 import { redirectBody } from '../../protocol/agent-protocol.js';
 
-/** 421: the agent goes to the named leader or, when none is known, to another node. */
+/** Returns a 421 that sends the agent to the leader or, when `leader` is null, to another node. */
 export function redirectTo(leader: string | null): Reply {
   return { status: 421, body: redirectBody(leader) };
 }
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -1,13 +1,13 @@
 /**
- * Requests between controllers that a network partition keeps apart, through
- * the state service, which both still reach.
+ * Requests between controllers that a network partition separates, sent through
+ * the state service, which both can still reach.
  *
- * A request and its response have a key of their own each, named by recipient,
- * sender and slot, which the next one overwrites. All keys are attached to a
- * lease that runs out when nothing has been sent for a while, so nothing is
- * left behind. A response counts only for the request with its number and for
- * the process with its incarnation: a late one, or one to a former process of
- * this node, is dropped.
+ * A request and its response each have a key, named by recipient, sender and
+ * slot, which the next message overwrites. All keys are attached to a lease that
+ * expires when nothing has been sent for a while, so no key remains. A response
+ * is accepted only for the request with its number and the process with its
+ * incarnation. A late response, or one to a previous process of this node, is
+ * dropped.
  */
 import type { StoreEvent } from '../../protocol/key-value-protocol.js';
 import {
@@ -25,24 +25,24 @@
 
 const MAILBOX_PREFIX = 'mail/';
 
-/** The part of the lease's life during which new messages are attached to it. */
-const LEASE_USE_SHARE = 0.5;
+/** Fraction of a lease in which messages are attached to it; the rest covers the response. */
+const LEASE_REUSE_FRACTION = 0.5;
 
-/** No response came within the request's time-out. */
+/** No response arrived within the request's timeout. */
 export class MailboxTimeoutError extends Error {
   constructor(node: string, timeoutMs: number) {
     super(`mailbox request to ${node} not answered within ${timeoutMs} ms`);
   }
 }
 
-/** A value of the state service can't hold the message. */
+/** The message is larger than a value of the state service may be. */
 export class MessageTooLargeError extends Error {
   constructor(bytes: number, maxBytes: number) {
     super(`mailbox message of ${bytes} bytes exceeds ${maxBytes} bytes`);
   }
 }
 
-/** A request that waits for its response. */
+/** A request waiting for its response. */
 interface PendingRequest {
   requestNumber: number;
   resolve: (value: unknown) => void;
@@ -51,30 +51,30 @@
 /** The lease that messages are attached to. */
 interface MailboxLease {
   id: Promise<number>;
-  /** New messages take another lease from this moment on. */
+  /** Clock time in ms after which new messages are attached to a new lease. */
   usableUntil: number;
 }
 
-/** One node's mailbox: it sends requests to other nodes and responds to theirs. */
+/** Sends one node's requests to other nodes and responds to theirs. */
 export class Mailbox {
-  /** By the key `<node>/<slot>`: one request at a time for each. */
+  /** Keyed by `<node>/<slot>`; each holds one request at a time. */
   private readonly pending = new Map<string, PendingRequest>();
   private lease: MailboxLease | null = null;
-  private requestCount = 0;
+  private lastRequestNumber = 0;
 
   constructor(
     private readonly ctx: ControllerContext,
-    /** Responds to another node's request; what it resolves to is stored as it stands. */
+    /** Handles another node's request; the resolved value is stored unchanged. */
     private readonly onRequest: (text: string) => Promise<unknown>,
   ) {}
 
-  /** Receives messages until the signal aborts it. */
+  /** Receives messages until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const inbox = `${MAILBOX_PREFIX}${ctx.node}/`;
     while (!signal.aborted) {
       try {
-        // Messages from before are skipped: their senders have timed out.
+        // Skips messages written before the start; their senders have timed out.
         let revision = (await ctx.state.listPage(inbox, null, signal)).revision;
         for (;;) {
           const changes = await ctx.state.watch(inbox, revision, ctx.timing.watchTimeoutMs, signal);
@@ -84,7 +84,7 @@
         }
       } catch (error) {
         if (signal.aborted || error instanceof AbortedError) return;
-        ctx.log.debug({ err: error }, 'mailbox not read');
+        ctx.log.debug({ err: error }, 'mailbox read failed; retrying after a pause');
         await sleepUntilAborted(ctx.clock, ctx.timing.renewMs, signal);
       }
     }
@@ -93,11 +93,11 @@
   /**
    * Sends a request to a node and resolves to its response, in its stored form.
    * A later request in the same slot replaces this one. Throws
-   * MailboxTimeoutError, or what the state service's client throws.
+   * MailboxTimeoutError and the errors of the state service's client.
    */
   async request(node: string, slot: string, text: string, timeoutMs: number): Promise<unknown> {
     const { ctx } = this;
-    const requestNumber = ++this.requestCount;
+    const requestNumber = ++this.lastRequestNumber;
     const deadline = ctx.clock.now() + timeoutMs;
     const pendingKey = `${node}/${slot}`;
     const response = new Promise<unknown>((resolve) => {
@@ -130,7 +130,7 @@
       if (event.op === 'put') this.receive(event.key.slice(inbox.length), event.value);
   }
 
-  /** `senderSlot`: the rest of the message's key, `<sender>/<slot>`. */
+  /** `senderSlot` is the message's key without the inbox prefix: `<sender>/<slot>`. */
   private receive(senderSlot: string, value: unknown): void {
     const message = decodeMailboxMessage(value);
     if (!message) return;
@@ -140,7 +140,10 @@
         return;
       case 'ask':
         void this.respond(senderSlot, message).catch((error) =>
-          this.ctx.log.debug({ err: error }, 'mailbox request not answered'),
+          this.ctx.log.debug(
+            { err: error },
+            'response to a mailbox request failed; the sender will time out',
+          ),
         );
         return;
       default:
@@ -148,7 +151,7 @@
     }
   }
 
-  /** Responses to an earlier request, or to a former process of this node, are dropped. */
+  /** Drops responses to an earlier request or to a previous process of this node. */
   private receiveResponse(senderSlot: string, response: MailboxResponse): void {
     const pending = this.pending.get(senderSlot);
     if (!pending || response.n !== pending.requestNumber) return;
@@ -162,7 +165,7 @@
     const response = encodeMailboxResponse({ kind: 'answer', n, incarnation, value });
     const bytes = Buffer.byteLength(JSON.stringify(response));
     if (bytes > ctx.limits.valueBytes) throw new MessageTooLargeError(bytes, ctx.limits.valueBytes);
-    // Into the sender's inbox, under this node's name and the same slot.
+    // The response goes to the sender's inbox, under this node's name and the same slot.
     const slot = senderSlot.slice(senderSlot.indexOf('/') + 1);
     await this.write(`${MAILBOX_PREFIX}${request.from}/${ctx.node}/${slot}`, response);
   }
@@ -176,13 +179,13 @@
     );
   }
 
-  /** A lease with enough of its life left for a request and its response. */
+  /** Returns a lease with enough time left for a request and its response. */
   private usableLease(): Promise<number> {
     const { clock, state, timing } = this.ctx;
     const now = clock.now();
     if (!this.lease || now > this.lease.usableUntil) {
       const id = state.grant(timing.agentLeaseMs);
-      const lease = { id, usableUntil: now + timing.agentLeaseMs * LEASE_USE_SHARE };
+      const lease = { id, usableUntil: now + timing.agentLeaseMs * LEASE_REUSE_FRACTION };
       this.lease = lease;
       id.catch(() => {
         if (this.lease === lease) this.lease = null;
--- a/src/controller/heartbeats/redirected-agents.ts
+++ b/src/controller/heartbeats/redirected-agents.ts
@@ -1,63 +1,63 @@
 /**
- * What a follower remembers of the agents that it redirected to the leader: an
- * agent that comes back shortly afterwards could not reach the leader itself.
+ * Tracks the agents that a follower redirected to the leader. An agent that
+ * returns shortly after a redirect could not reach the leader itself.
  */
 import type { Timing } from '../../config/timing.js';
 
 /** Agents without a heartbeat for this many agent leases are forgotten. */
 const FORGET_AFTER_LEASES = 5;
 
-/** When, by this node's clock, an agent was shown not to know of a leader term. */
-export interface UnawareOfTerm {
+/** Proof that an agent did not know a leader term. */
+export interface TermUnawareness {
   term: number;
-  /** Until this moment that term's leader had sent the agent nothing that arrived. */
-  atMs: number;
+  /** By this node's clock; nothing from that term's leader had reached the agent before. */
+  provenAtMs: number;
 }
 
-/** One agent that sent its heartbeat to this follower, as long as the leader stays the same. */
+/** State of an agent that sent heartbeats to this follower, kept while the leader is the same. */
 export class RedirectedAgent {
   private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   private servedSince: number | null = null;
-  /** Proof, from the agent itself, that it did not know of a term; null: there is none. */
-  unawareOf: UnawareOfTerm | null = null;
+  /** Proof from the agent itself that it did not know a term; null when there is none. */
+  termUnawareness: TermUnawareness | null = null;
 
   constructor(
     /** The leader that the agent was redirected to. */
     readonly leader: string,
   ) {}
 
-  /** Records a heartbeat; whether the one before came less than `windowMs` ago. */
+  /** Records a heartbeat. Reports whether the previous one arrived less than `windowMs` ago. */
   recordHeartbeat(nowMs: number, windowMs: number): boolean {
     const returned = nowMs - this.lastHeartbeatAt < windowMs;
     this.lastHeartbeatAt = nowMs;
     return returned;
   }
 
-  /** Heartbeats of this agent are relayed or answered here from now on. */
+  /** Marks the agent as served here: this node relays or answers its heartbeats. */
   startServing(nowMs: number): void {
     this.servedSince ??= nowMs;
   }
 
-  /** The agent is sent to the leader again. */
+  /** Marks the agent as redirected to the leader again. */
   stopServing(): void {
     this.servedSince = null;
   }
 
-  /** Heartbeats of this agent have been served here for more than `ms`. */
+  /** Reports whether the agent has been served here for more than `ms`. */
   isServedForLongerThan(ms: number, nowMs: number): boolean {
     return this.servedSince !== null && nowMs - this.servedSince > ms;
   }
 
-  /** No heartbeat has come from this agent for more than `ms`. */
+  /** Reports whether no heartbeat has arrived from the agent for more than `ms`. */
   isInactiveFor(ms: number, nowMs: number): boolean {
     return nowMs - this.lastHeartbeatAt > ms;
   }
 }
 
 /**
- * The redirected agents by machine id. Bound: agents without a heartbeat for
- * FORGET_AFTER_LEASES leases are dropped by a sweep made as often, so it holds
- * no more than the machines that sent a heartbeat here within twice that time.
+ * The redirected agents by machine id. A sweep every FORGET_AFTER_LEASES agent
+ * leases removes the agents without a heartbeat for that long, so the map holds
+ * at most the machines that sent a heartbeat here within twice that time.
  */
 export class RedirectedAgents {
   private readonly agents = new Map<string, RedirectedAgent>();
@@ -65,7 +65,7 @@
 
   constructor(private readonly timing: Pick<Timing, 'agentLeaseMs'>) {}
 
-  /** What is known of the machine's agent under this leader; a new leader starts it anew. */
+  /** Returns the state of the machine's agent; a change of leader resets it. */
   get(machineId: string, leader: string): RedirectedAgent {
     let agent = this.agents.get(machineId);
     if (!agent || agent.leader !== leader) {
@@ -75,7 +75,7 @@
     return agent;
   }
 
-  /** Drops inactive agents, unless the last sweep was made a short time ago. */
+  /** Removes inactive agents, at most once in FORGET_AFTER_LEASES agent leases. */
   forgetInactive(nowMs: number): void {
     const keepMs = this.timing.agentLeaseMs * FORGET_AFTER_LEASES;
     if (nowMs - this.lastSweepAt < keepMs) return;
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -9,7 +9,7 @@
 import { World } from './support/world.js';
 
 const NEXT = { value_kb: 2, txn_ops: 4, write_rps: 30 };
-/** Nodes without a leader: what they answer rests on the state service alone. */
+/** Creates nodes without a leader, whose replies depend on the state service alone. */
 function nodes() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
@@ -47,7 +47,7 @@
   return Array.from({ length: count }, (_, i) => id(from + i));
 }
 
-test('a submission names jobs that were accepted, in any state and by any node', async () => {
+test('a submission may depend on jobs in any state, accepted by any node', async () => {
   const w = nodes();
   const [a, b] = [w.node(), w.node()];
   for (const n of [1, 2, 3]) await a.submit(n);
@@ -56,7 +56,7 @@
     status: 201,
     body: { id: id(10), standing: 'queued' },
   });
-  // What is done for ever need not be kept.
+  // A dependency that is done is not stored.
   assert.deepEqual(
     (w.store.entries.get(`live/${id(10)}`)?.value as { upstream: string[] } | undefined)?.upstream,
     [id(1)],
@@ -73,12 +73,12 @@
     status: 201,
     body: { id: id(11), standing: 'cancelled' },
   });
-  // One that is about to be cancelled with it counts as cancelled, too.
+  // A job that was cancelled with its dependency counts as a cancelled dependency itself.
   assert.deepEqual((await a.submit(12, [id(11)])).body, { id: id(12), standing: 'cancelled' });
   for (const n of [11, 12]) for (const x of [a, b]) assert.equal(await x.standing(n), 'cancelled');
 });
 
-test('what was never accepted is refused, and a list that is none is malformed', async () => {
+test('a dependency that was never accepted is refused with 422, a malformed list with 400', async () => {
   const w = nodes();
   const { submit } = w.node();
   await submit(1);
@@ -87,13 +87,13 @@
   for (const odd of ['req-000001', {}, 7, [7], [null], ['x'], [['req-000001']]])
     assert.equal((await submit(10, odd)).status, 400, JSON.stringify(odd));
   assert.equal(w.store.entries.has(`live/${id(10)}`), false);
-  // A known job is known whatever a repetition of it lacks or names.
+  // A repeated submission of an accepted id gets 200 whatever dependencies it has.
   assert.equal((await submit(10, [id(1)])).status, 201);
   for (const again of [[id(2)], [id(10)], 7, undefined])
     assert.equal((await submit(10, again)).status, 200);
 });
 
-test('what cannot be looked up is put off, and nothing is accepted meanwhile', async () => {
+test('a submission whose dependencies cannot be looked up gets 503 and is not accepted', async () => {
   const w = nodes();
   const a = w.node();
   await a.submit(1);
@@ -106,7 +106,7 @@
   assert.equal(w.store.entries.has(`live/${id(10)}`), false);
 });
 
-test('hundreds of upstream jobs fit one transaction under the lower limits, and the last counts like the first', async () => {
+test('hundreds of dependencies fit one transaction under the lower limits, and the last one cancels the job too', async () => {
   const w = nodes();
   const { submit, users } = w.node();
   const many = ids(1000, 400);
@@ -125,13 +125,13 @@
   assert.equal(standing, 'cancelled');
 });
 
-test('a description that fits no value is refused', async () => {
+test('a submission larger than a value of the state service is refused with 422', async () => {
   const { submit } = nodes().node();
   const rigs = Array.from({ length: 200 }, (_, i) => `m16-${i}`).concat('m16');
   assert.equal((await submit(3, [], { rigs })).status, 422);
 });
 
-test('without a leader, a job that needs a cancelled one is called cancelled in time, and by all nodes', async () => {
+test('without a leader, all nodes report the dependents of a cancelled job as cancelled in time', async () => {
   const w = nodes();
   const [a, b] = [w.node(), w.node()];
   await a.submit(1);
@@ -139,7 +139,7 @@
   await a.submit(3, [id(2)]);
   for (const x of [a, b]) assert.equal(await x.standing(3), 'queued');
   await b.users.cancel(id(1));
-  // What was read a moment ago may still be answered, but not for long.
+  // A cached state may still be returned until it expires.
   await w.clock.advance(a.ctx.timing.dependencyFreshMs);
   assert.equal(await a.standing(3), 'cancelled');
   assert.deepEqual(w.store.entries.get(`over/${id(3)}`)?.value, { state: 'cancelled', tasks: 2 });
@@ -148,7 +148,7 @@
   assert.equal((await a.submit(3)).status, 200);
 });
 
-test('a job is not called cancelled before that is durable', async () => {
+test('a job is not reported as cancelled before its cancellation is durable', async () => {
   const w = nodes();
   const a = w.node();
   await a.submit(1);
@@ -174,7 +174,7 @@
   return { w, first };
 }
 
-test('a pipeline runs step by step, also across a change of leader between two steps', async () => {
+test('dependent jobs run in order when the leader changes between them', async () => {
   const { w, first } = await steady(2);
   const middle = await w.submit({ awaits: first });
   const last = await w.submit({ awaits: [middle, first[0] as string] });
@@ -189,7 +189,7 @@
   }
 });
 
-test('a cancellation reaches a tree larger than a transaction while the leader changes midway', async () => {
+test('a cancellation reaches all dependents, more than one transaction holds, when the leader crashes midway', async () => {
   const { w, first } = await steady(1);
   const root = first[0] as string;
   const tree = [root];
@@ -210,13 +210,13 @@
   assert.equal(w.told.get(done)?.standing, 'done');
 });
 
-test('the first answer after an outage longer than a cancellation is not that an orphan waits', async () => {
+test('after an outage longer than the cancellation limit, the first reply reports a dependent as cancelled', async () => {
   const { w, first } = await steady(1);
   const root = first[0] as string;
   const next = await w.submit({ awaits: [root] });
   const last = await w.submit({ awaits: [next] });
   await w.poll(last);
-  // The leader does not hear of it, nor does it write anything.
+  // The leader receives no announcement of the cancellation and can't write.
   const leader = w.leading;
   assert.ok(leader);
   leader.state.fault = 'refuse';
@@ -230,7 +230,7 @@
   assert.equal((reply?.body as { standing: string } | undefined)?.standing, 'cancelled');
 });
 
-test('a cancellation that is answered with done leaves what follows alone', async () => {
+test('a cancellation that replies done does not cancel the dependents of the job', async () => {
   const { w, first } = await steady(1);
   const root = first[0] as string;
   const next = await w.submit({ awaits: [root] });
@@ -242,14 +242,14 @@
   assert.equal(w.told.get(next)?.standing, 'done');
 });
 
-test('a job whose tasks run is not cancelled by a query, whatever became of what it needs', async () => {
+test('a query does not cancel a job with running tasks, even when its dependency was cancelled', async () => {
   const w = nodes();
   const node = w.node();
   await node.submit(1);
   await node.submit(2, [id(1)]);
   w.end(1, 'cancelled');
   node.counts.set(id(2), { done: 0, running: 1 });
-  // What the submission read of job 1 counts no longer.
+  // The state of job 1 that the submission cached has expired.
   await w.clock.advance(node.ctx.timing.dependencyFreshMs);
   assert.equal(await node.standing(2), 'running');
   assert.ok(w.store.entries.has(`live/${id(2)}`));
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -17,14 +17,14 @@
 
 const NEXT: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 30 };
 const PRESENT_LIMITS = { valueBytes: 8 * 1024, changes: 12 };
-/** Ids of the common length that fit a body of 64 KiB beside the other fields. */
+/** Number of ids of the usual length that fit a body of 64 KiB with the other fields. */
 const MOST_IDS = 4900;
 
 function id(n: number): string {
   return `req-${String(n).padStart(6, '0')}`;
 }
 
-/** A store with accepted jobs, and nodes of which none leads. */
+/** A store with accepted jobs, and nodes without a leader. */
 class Scene {
   readonly clock = new FakeClock();
   readonly store = new FakeStore(this.clock);
@@ -39,7 +39,7 @@
     return new SceneNode(this);
   }
 
-  /** Jobs that were accepted, each after those that it needs. */
+  /** Stores an accepted job, regardless of the size limits, and returns its id. */
   accepted(n: number, upstream: string[] = []): string {
     const description = jobSpec({ id: id(n), tasks: 2 });
     const record = encodeLiveJob({ spec: description, acceptedAt: 0, dependencies: upstream });
@@ -91,12 +91,12 @@
     return ((await this.users.query(job)).body as { standing?: string }).standing;
   }
 
-  /** What the stored job needs, as a leader reads it. */
+  /** Returns the dependencies of the stored job, as a leader reads them. */
   async upstream(job: string, record: LiveJobRecord): Promise<string[] | null> {
     return this.jobs.dependenciesOf(job, record, 0);
   }
 
-  /** Runs the duty that removes lists without a job. */
+  /** Starts the routine that removes lists without a live job; aborting the result stops it. */
   clean(liveJobs: string[]): AbortController {
     const stop = new AbortController();
     void new DependencyListCleaner(this.ctx, new Set(liveJobs)).run(stop.signal);
@@ -105,14 +105,14 @@
 }
 
 for (const [name, next] of [
-  ['the present', null],
+  ['the current', null],
   ['the lower', NEXT],
 ] as const)
-  test(`a list as long as a body allows is accepted under ${name} limits`, async () => {
+  test(`the longest list that fits a request body is accepted under ${name} limits`, async () => {
     const scene = new Scene(next);
     const node = scene.node();
     const named = Array.from({ length: MOST_IDS }, (_, i) => scene.accepted(100_000 + i));
-    // Those that have ended lie among many others.
+    // Most of the dependencies have ended.
     for (let i = 0; i < 4000; i++) scene.end(named[i] as string, 'done');
     const body = JSON.stringify({ ...SUBMISSION, id: id(1), awaits: named });
     assert.ok(body.length <= 64 * 1024);
@@ -126,13 +126,13 @@
     for (const job of named.slice(4000)) assert.ok(needs?.includes(job), job);
     assert.equal((await node.submit(id(1), named)).status, 200);
     assert.equal((await node.submit(id(2), [...named, id(3)])).status, 422);
-    // The last of them counts like the first, wherever it stands.
+    // The cancellation of the last dependency counts, wherever its id is stored.
     scene.end(named.at(-1) as string, 'cancelled');
     await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
     assert.equal(await node.standing(id(1)), 'cancelled');
   });
 
-test('a leader starts a job with a long list only when all of it is done, most of it before its term', async () => {
+test('a leader starts a job with a long list only after all dependencies are done, most before its term', async () => {
   const scene = new Scene();
   const node = scene.node();
   const named = Array.from({ length: 1000 }, (_, i) => scene.accepted(1000 + i));
@@ -160,7 +160,7 @@
   stop.abort();
 });
 
-test('a long list is resumed after a cut between any two writes, at another node and under another list', async () => {
+test('a submission with a long list that fails between any two writes succeeds on another node, also with another list', async () => {
   const count = 1600;
   for (let cut = 0; ; cut++) {
     const scene = new Scene();
@@ -177,12 +177,12 @@
     }
     assert.equal(reply.status, 503);
     const other = cut % 3 === 0 ? named.slice(0, count - 50) : named;
-    // Not even a job's end meanwhile makes the repetition begin anew.
+    // The end of a dependency in between does not make the repetition start over.
     scene.end(named[0] as string, 'done');
     const repeat = await second.submit(id(1), other);
     const known = scene.store.entries.get(`live/${id(1)}`);
     assert.ok([200, 201].includes(repeat.status) && known);
-    // What was on its way arrives late, and the first node's user asks once more.
+    // The lost write is applied late, and the user of the first node repeats the submission.
     for (const work of first.state.late.splice(0)) assert.doesNotThrow(work);
     first.state.fault = null;
     assert.equal((await first.submit(id(1), named)).status, 200);
@@ -193,7 +193,7 @@
   }
 });
 
-test('lists whose job was never accepted, or has ended, are removed; those of live jobs stay', async () => {
+test('lists whose job was never accepted or has ended are removed, and those of live jobs are kept', async () => {
   const scene = new Scene();
   const node = scene.node();
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
@@ -214,7 +214,7 @@
   for (const prefix of ['lists/', 'needs/'])
     assert.ok(scene.keys(prefix).every((key) => key.startsWith(`${prefix}${id(1)}/`)));
   assert.deepEqual((await node.upstream(id(1), scene.record(id(1))))?.length, 700);
-  // What the dead submission still had under way finds its header gone.
+  // A late write of the failed submission fails because its header is gone.
   for (const work of node.state.late.splice(0)) assert.doesNotThrow(work);
   assert.deepEqual(
     scene.keys('needs/').filter((key) => key.includes(id(3))),
@@ -223,19 +223,19 @@
   stop.abort();
 });
 
-test('a list is never removed under the record that names it, whichever comes last', async () => {
+test('a list that a record refers to is never removed, whichever write is applied last', async () => {
   const scene = new Scene();
   const [node, leader] = [scene.node(), scene.node()];
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
   const pages = () => scene.keys('needs/').length;
-  // All pages stand, and the record is on its way while the list is removed.
+  // All pages are written, and the write of the record is delayed while the list is removed.
   node.state.onTransact = (changes) => {
     if (changes[0]?.key === `live/${id(1)}`) node.state.fault = 'lose request';
   };
   assert.equal((await node.submit(id(1), named)).status, 503);
   const all = pages();
   assert.ok(all > 4);
-  // Removal gets as far as its first deletion, which is late.
+  // Removal proceeds to its first deletion, which is delayed.
   leader.state.onTransact = (changes) => {
     if (changes[0]?.op === 'delete') leader.state.fault = 'lose request';
   };
@@ -245,7 +245,7 @@
   await settle();
   for (const work of node.state.late.splice(0)) assert.doesNotThrow(work);
   assert.equal(scene.record(id(1)), undefined);
-  // A repetition takes the list over, and the late deletion fails.
+  // A repeated submission reuses the list, and the late deletion fails.
   node.state.fault = null;
   node.state.onTransact = () => {};
   assert.equal((await node.submit(id(1), named)).status, 201);
@@ -253,19 +253,19 @@
   for (const work of leader.state.late.splice(0)) assert.doesNotThrow(work);
   assert.equal(pages(), all);
   assert.equal((await node.upstream(id(1), scene.record(id(1))))?.length, 700);
-  // Nor does a leader whose news is late remove it.
+  // A leader that does not know the live job yet does not remove the list either.
   leader.state.fault = null;
   leader.state.onTransact = () => {};
   const again = leader.clean([]);
   await scene.clock.advance(leader.ctx.timing.orphanListMs * 1.4);
   again.abort();
   assert.equal(pages(), all);
-  // A part of a list is never taken for all of it.
+  // A list with a missing page is not read as a complete one.
   scene.store.transact([], [{ op: 'delete', key: scene.keys('needs/')[1] as string }]);
   assert.equal(await node.upstream(id(1), scene.record(id(1))), null);
 });
 
-test('a version that does not know of such lists waits for a job that there is not', async () => {
+test('a version without support for lists waits for a job that does not exist', async () => {
   const scene = new Scene();
   const node = scene.node();
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
@@ -273,7 +273,7 @@
   const record = scene.record(id(1));
   assert.deepEqual(record.dependencies, [`${id(1)}/list`]);
   assert.equal(record.dependencyPages, undefined);
-  // It takes the ids that stand in the record for all.
+  // Such a version treats the ids in the record as all dependencies.
   const cluster = createCluster();
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   cluster.addJob(record.spec, 5, 0, false, {
@@ -284,7 +284,7 @@
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
 });
 
-test('questions about a thousand jobs, one after or beside another, cost a bounded number of requests', async () => {
+test('queries for a thousand jobs in a deep or wide graph take a bounded number of requests', async () => {
   const size = 1000;
   for (const shape of ['deep', 'wide']) {
     const scene = new Scene();
@@ -302,7 +302,7 @@
     const polled = await pollAll();
     assert.deepEqual(polled.answers, ['queued'], shape);
     assert.ok(polled.requests < 100, `${polled.requests} requests, ${shape}`);
-    // One user alone is not made to read the whole chain either.
+    // A single query does not read the whole chain either.
     const alone = scene.node();
     assert.equal(await alone.standing(tree.at(-1) as string), 'queued');
     assert.ok(alone.state.requests < 40, `${alone.state.requests} requests, ${shape}`);
@@ -314,7 +314,7 @@
   }
 });
 
-test('a snapshot of live jobs shows those that were accepted while it was read', async () => {
+test('a snapshot of live jobs includes those that were accepted while it was read', async () => {
   const scene = new Scene();
   const node = scene.node();
   const cancelled = scene.accepted(1);
@@ -322,7 +322,7 @@
   for (let i = 0; i < 40; i++) chain.push(scene.accepted(500_000 + i, [chain.at(-1) as string]));
   for (let i = 0; i < 600; i++) scene.accepted(1000 + i);
   scene.end(cancelled, 'cancelled');
-  // Its key stands before the first page's end, and the one that needs it after.
+  // The key of job 999 sorts before the end of the first page, that of its dependent after it.
   const { listPage } = node.state;
   node.state.listPage = (prefix, after, signal) => {
     if (prefix === 'live/' && after !== null && !scene.store.entries.has(`live/${id(999)}`)) {
@@ -338,7 +338,7 @@
   assert.ok(node.state.requests - requests < 5);
 });
 
-/** Written by the version that kept no more ids than one transaction takes. */
+/** Entries written by the version that stored only as many ids as one transaction holds. */
 const EARLIER_ENTRIES = [
   {
     key: 'live/req-000412',
@@ -373,7 +373,7 @@
   { key: 'upstream/req-000412/1', value: ['req-000505'] },
 ];
 
-test('what the version before long lists wrote is read, waited for, and cancelled with what it needs', async () => {
+test('a job written by the version before lists is read, waits for its dependencies and is cancelled with them', async () => {
   const scene = new Scene();
   const node = scene.node();
   const needed = [500, 501, 502, 503, 504, 505].map((n) => scene.accepted(n));
@@ -384,7 +384,7 @@
   const repeated = await node.submit('req-000412', needed);
   assert.deepEqual(repeated, { status: 200, body: { id: 'req-000412', standing: 'queued' } });
   for (const job of needed.slice(0, 5)) {
-    // Its ends carry the time, those of the version before them do not.
+    // Ends written by that version carry the time; those of the version before it do not.
     const end = {
       state: 'done',
       tasks: 2,
@@ -400,7 +400,7 @@
   }
   await scene.clock.advance(node.ctx.timing.dependencyFreshMs);
   assert.equal(await node.standing('req-000412'), 'queued');
-  // A job that names it has a list of the new form only when it is long.
+  // A job that depends on it gets a separate list only when its dependencies need one.
   assert.equal((await node.submit(id(1), ['req-000412'])).status, 201);
   assert.equal(scene.record(id(1)).dependencyList, undefined);
   scene.end('req-000505', 'cancelled');
@@ -408,7 +408,7 @@
   for (const job of ['req-000412', id(1)]) assert.equal(await node.standing(job), 'cancelled');
 });
 
-test('a list whose removal has begun is written under a new version of its header', async () => {
+test('writing a list whose removal has begun gives its header a new version', async () => {
   const scene = new Scene();
   const node = scene.node();
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
@@ -418,12 +418,12 @@
   scene.store.transact([condition], [{ op: 'put', key: condition.key, value: removing }]);
   const marked = scene.store.entries.get(condition.key);
   const again = await lists.write(id(1), named, RequestPriority.submissions);
-  // Else the removal, which requires its own version, would delete pages that a record is to name.
+  // Otherwise the removal, which requires its own version, would delete pages of a later record.
   assert.ok(marked && again.condition.version > marked.version);
   assert.deepEqual(scene.store.entries.get(condition.key)?.value, { pages: ref.pages });
 });
 
-test('a list that another node writes at the same moment puts the submission off', async () => {
+test('a submission whose list another node writes at the same time gets 503 and succeeds when repeated', async () => {
   const scene = new Scene();
   const node = scene.node();
   const named = Array.from({ length: 700 }, (_, i) => scene.accepted(1000 + i));
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -63,13 +63,13 @@
   return { clock, store, state, ctx, peers, leadership, machine, show, report };
 }
 
-test('a follower names the leader, and passes on the report of a worker that comes back', async () => {
+test('a follower redirects an agent to the leader and relays its heartbeat when it returns', async () => {
   const w = world();
   assert.deepEqual(await w.report(), { status: 421, body: { steward: 'n-0' } });
   await w.clock.advance(6000);
   assert.equal((await w.report()).status, 200);
   assert.equal(w.peers.passed, 1);
-  // From time to time it is sent on all the same: the cut may be over.
+  // The agent is still redirected from time to time, since the partition may have ended.
   for (let i = 0; i < 7; i++) {
     await w.clock.advance(3000);
     await w.report();
@@ -79,7 +79,7 @@
   assert.deepEqual(await w.report(), { status: 421, body: {} });
 });
 
-test('a follower whose leader is silent keeps the lease, ends cancelled work, and stops in time', async () => {
+test('a follower whose leader is unreachable renews the lease, stops tasks of ended jobs and ends renewal in time', async () => {
   const w = world();
   w.peers.reachable = false;
   w.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
@@ -90,7 +90,7 @@
       orders: [{ verb: 'kill', hand: 'req-2/0', try: 1, windDownS: 0 }],
     },
   });
-  // Without the state service it cannot know what was cancelled.
+  // Without the state service the follower can't tell which jobs were cancelled.
   w.state.fault = 'refuse';
   assert.equal((await w.report()).status, 503);
   w.state.fault = null;
@@ -99,18 +99,18 @@
   assert.deepEqual(await w.report(), { status: 421, body: {} });
 });
 
-test('a follower that never heard the leader lead in this term keeps nobody', async () => {
+test('a follower without an announcement of the leader in this term renews no lease', async () => {
   const w = world();
   w.peers.reachable = false;
   w.peers.heardAt = null;
   assert.deepEqual(await w.report(), { status: 421, body: {} });
 });
 
-test('a restarted follower keeps a machine that the new leader never reached', async () => {
+test('a restarted follower renews the lease of an agent that the new leader never reached', async () => {
   const w = world();
   w.peers.reachable = false;
   w.peers.heardAt = null;
-  // A report under an old token may be a late copy: the machine itself is asked.
+  // A heartbeat with an old token may be a late copy, so one is requested from the agent itself.
   w.machine.answers = false;
   assert.equal((await w.report(6)).status, 421);
   w.machine.answers = true;
@@ -122,18 +122,18 @@
   assert.equal((await w.report(7)).status, 200);
   await w.clock.advance(w.ctx.timing.delegatedRenewalMs);
   assert.equal((await w.report(7)).status, 421);
-  // A late copy from before the term does not start the time anew.
+  // A late copy from before the term does not restart the bound.
   assert.equal((await w.report(6)).status, 421);
 });
 
-test('a leader behind a cut is reached through the state service', async () => {
+test('a heartbeat reaches a leader behind a partition through the mailbox', async () => {
   const w = world();
   w.peers.reachable = false;
   w.peers.mail = { status: 200, body: { baton: fencingToken(7, 0), orders: [] } };
   assert.deepEqual(await w.report(), w.peers.mail);
 });
 
-test('a malformed report is refused', async () => {
+test('a malformed heartbeat is refused with 400', async () => {
   const w = world();
   const reports = new HeartbeatHandler({
     ctx: w.ctx,
@@ -146,18 +146,18 @@
     assert.equal((await reports.handle(Buffer.from(body))).status, 400);
 });
 
-test('time for a machine that does not know the term counts from the first proof of it', async () => {
+test('the bound for an agent that does not know the term starts at the first proof of it', async () => {
   const w = world();
   w.peers.reachable = false;
   w.peers.heardAt = null;
   w.machine.term = 6;
   assert.equal((await w.report(6)).status, 200);
   await w.clock.advance(w.ctx.timing.delegatedRenewalMs + 1);
-  // It still does not know the term, but this node's own replies are not newer proof.
+  // The agent still does not know the term, but this node's own replies are no newer proof.
   assert.equal((await w.report(6)).status, 421);
 });
 
-test('another machine at the agent’s address proves nothing about the agent', async () => {
+test('a heartbeat of another machine at the agent’s address does not prove that the agent does not know the term', async () => {
   const w = world();
   w.peers.reachable = false;
   w.peers.heardAt = null;
@@ -168,7 +168,7 @@
   assert.equal((await w.report(6)).status, 200);
 });
 
-test('a lease renewed for the leader keeps the machine’s fence of its term, not of an earlier one', async () => {
+test('a renewal for the leader keeps the machine’s fence of the same term, not of an earlier one', async () => {
   const w = world();
   w.peers.reachable = false;
   const tokenAfter = async (term: number) =>
@@ -177,7 +177,7 @@
   assert.equal(await tokenAfter(6), fencingToken(7, 0));
 });
 
-test('a follower asks and orders nothing about tasks that have exited', async () => {
+test('a follower sends no stop commands for tasks that have exited', async () => {
   const w = world();
   w.peers.reachable = false;
   w.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
@@ -187,7 +187,7 @@
   });
 });
 
-/** A controller that leads term 7, as far as its heartbeats are concerned. */
+/** Creates the heartbeat handler of a controller that leads term 7. */
 function leading() {
   const { ctx, peers, show } = world();
   const term = {
@@ -218,7 +218,7 @@
   return { term, leader, handler, agent };
 }
 
-test('a heartbeat that carries a later term ends the leader and is not handled', async () => {
+test('a heartbeat with a later term makes the leader resign and is not processed', async () => {
   const { term, leader, handler, agent } = leading();
   assert.deepEqual(await handler.handleAsLeader(agent(7), false), {
     status: 200,
@@ -241,7 +241,7 @@
   assert.equal((await reply).status, 200);
 });
 
-test('a machine that was sent on after a lease is served again when it comes back', async () => {
+test('an agent that was redirected after a lease is served again when it returns', async () => {
   const w = world();
   await w.report();
   let served = 0;
@@ -257,7 +257,7 @@
   }
 });
 
-test('a node that is named as the leader and does not lead yet, or any more, names nobody', async () => {
+test('a node that is listed as the leader but does not lead redirects without a leader', async () => {
   const w = world();
   w.leadership.leader = 'n-1';
   assert.deepEqual(await w.report(), { status: 421, body: {} });
--- a/test/job-api.test.ts
+++ b/test/job-api.test.ts
@@ -29,7 +29,7 @@
 
 const bytes = (fields: object = {}) => Buffer.from(JSON.stringify({ ...BODY, ...fields }));
 
-test('a job is accepted once, by any node, and known everywhere from then on', async () => {
+test('a job is accepted once, by any node, and is then visible at every node', async () => {
   const w = world();
   const [a, b] = [w.node(), w.node()];
   assert.deepEqual(await a.users.submit(bytes()), {
@@ -42,7 +42,7 @@
   assert.equal((await b.users.query('../leader')).status, 404);
 });
 
-test('a known id is answered 200 whatever else the repetition says', async () => {
+test('a repeated submission gets 200 even when the rest of it is invalid', async () => {
   const w = world();
   const { users } = w.node();
   await users.submit(bytes());
@@ -55,7 +55,7 @@
   assert.equal((await users.submit(bytes({ id: 7 }))).status, 400);
 });
 
-test('without the machine types a new job is put off, a known one is not', async () => {
+test('without machine types a new job gets 503 and an accepted one 200', async () => {
   const w = world();
   const { users, ctx } = w.node();
   await users.submit(bytes());
@@ -86,7 +86,7 @@
   assert.equal(asked, 2);
 });
 
-test('once a trouble is over an accepted job is known at every node at once', async () => {
+test('an accepted job is visible at every node as soon as a fault of the state service ends', async () => {
   const w = world();
   const nodes = [w.node(), w.node(), w.node()];
   const [first] = nodes;
@@ -99,7 +99,7 @@
       assert.deepEqual([reply.status, reply.retryAfterS], [503, 1]);
     }
     for (const n of nodes) n.state.fault = null;
-    // A process that was away throughout has no memory to rest on, and needs none.
+    // A process that starts after the fault has no memory of the job and needs none.
     for (const n of [...nodes, w.node()]) {
       assert.equal((await n.users.query(BODY.id)).status, 200);
       assert.equal((await n.users.submit(bytes())).status, 200);
@@ -107,7 +107,7 @@
   }
 });
 
-test('cancelled and done never turn into each other, nor into queued', async () => {
+test('a cancelled or done job keeps its state', async () => {
   const w = world();
   const { users } = w.node();
   await users.submit(bytes());
@@ -145,7 +145,7 @@
   });
 });
 
-test('a submission whose answer was lost is not run twice, also when it arrives late', async () => {
+test('a submission that is applied late does not accept the job a second time', async () => {
   const w = world();
   const { users, state } = w.node();
   state.fault = 'lose request';
@@ -162,7 +162,7 @@
   });
 });
 
-test('an outage is answered at once with a time to come back', async () => {
+test('requests during an outage get 503 with a retry time', async () => {
   const { users, state } = world().node();
   state.fault = 'refuse';
   for (const reply of [
@@ -199,7 +199,7 @@
   assert.equal((await users.submit(bytes(job))).status, 201);
 });
 
-test('a job that ends between its reading and its cancellation is answered with its end', async () => {
+test('cancelling a job that ends after it was read replies with its final state', async () => {
   const w = world();
   const { users, state } = w.node();
   await users.submit(bytes());
--- a/test/job-lookups.test.ts
+++ b/test/job-lookups.test.ts
@@ -4,7 +4,7 @@
 import { JobLookups } from '../src/controller/api/job-lookups.js';
 import { RequestPriority } from '../src/runtime/request-budget.js';
 
-test('a batch that can’t be read fails each of its lookups, and the next one is read anew', async () => {
+test('a failed batch read rejects each of its lookups, and the next lookup is read again', async () => {
   let batches = 0;
   let endReads = () => {};
   const reads = new Promise<null>((resolve) => {
--- a/test/mailbox.test.ts
+++ b/test/mailbox.test.ts
@@ -5,7 +5,7 @@
 import { createContext } from './support/context.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-test('mail is asked and answered through the state service, and leaves nothing behind', async () => {
+test('requests and responses pass through the state service, and their keys expire', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
@@ -22,7 +22,7 @@
     a.request('n-1', 'm-2', 'second', 1000),
   ]);
   assert.deepEqual([one, two], [{ got: 'first' }, { got: 'second' }]);
-  // A node that is not there answers nothing.
+  // A request to a node that does not exist times out.
   const lost = assert.rejects(a.request('n-2', 'm-1', 'x', 1000), /not answered/);
   await clock.advance(1000);
   await lost;
@@ -32,7 +32,7 @@
   stop.abort();
 });
 
-test('a response that no value can hold is not sent, and its request times out', async () => {
+test('a response larger than a value is not sent, and its request times out', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
@@ -50,7 +50,7 @@
   stop.abort();
 });
 
-test('a message takes another lease once half of the present one is over', async () => {
+test('a message is attached to a new lease once half of the current one has passed', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const ctx = createContext('n-0', new FakeStateService(store), clock);
--- a/test/redirected-agents.test.ts
+++ b/test/redirected-agents.test.ts
@@ -3,7 +3,7 @@
 import { RedirectedAgents } from '../src/controller/heartbeats/redirected-agents.js';
 
 const AGENT_LEASE_MS = 1000;
-/** After five leases an agent is forgotten. */
+/** Agents without a heartbeat for five leases are forgotten. */
 const FORGET_AFTER_MS = 5 * AGENT_LEASE_MS;
 
 test('redirected agents without a heartbeat are forgotten, active ones are kept', () => {
@@ -23,10 +23,10 @@
   assert.equal(agents.get('m-2', 'n-0'), active);
 });
 
-test('what is known of a redirected agent does not outlast its leader', () => {
+test('the state of a redirected agent is reset when the leader changes', () => {
   const agents = new RedirectedAgents({ agentLeaseMs: AGENT_LEASE_MS });
   const agent = agents.get('m-1', 'n-0');
-  agent.unawareOf = { term: 7, atMs: 0 };
-  assert.equal(agents.get('m-1', 'n-0').unawareOf, agent.unawareOf);
-  assert.equal(agents.get('m-1', 'n-2').unawareOf, null);
+  agent.termUnawareness = { term: 7, provenAtMs: 0 };
+  assert.equal(agents.get('m-1', 'n-0').termUnawareness, agent.termUnawareness);
+  assert.equal(agents.get('m-1', 'n-2').termUnawareness, null);
 });
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -8,7 +8,7 @@
 } from '../src/controller/api/refusals.js';
 import { MalformedMessageError } from '../src/protocol/json-fields.js';
 
-/** What users outside rest on, literally. */
+/** Statuses and texts that external users depend on, letter for letter. */
 const EXPECTED: Record<RefusalReason, [status: number, text: string]> = {
   notJson: [400, 'not JSON'],
   unknownJob: [404, 'no such job'],
@@ -24,7 +24,7 @@
   stateServiceUnreachable: [503, 'the state service is out of reach'],
 };
 
-test('every refusal has its status and text, and 503 a time to come back', () => {
+test('every refusal has its status and text, and a 503 has a retry time', () => {
   for (const [reason, [status, text]] of Object.entries(EXPECTED)) {
     const expected = { status, body: { error: text } };
     assert.deepEqual(
@@ -34,7 +34,7 @@
   }
 });
 
-test('refusals with content of the submission', () => {
+test('refusals with content of the submission carry its error or its unknown dependencies', () => {
   assert.deepEqual(refuseMalformed(new MalformedMessageError('form must be array')), {
     status: 400,
     body: { error: 'form must be array' },
--- a/test/support/job-api.ts
+++ b/test/support/job-api.ts
@@ -1,6 +1,6 @@
 import type { JobApiOptions } from '../../src/controller/api/job-api.js';
 
-/** A node that knows of no task counts and has nobody to announce cancellations to. */
+/** Options of a node without a leader: no task counts, and cancellations are not announced. */
 export const WITHOUT_LEADER: JobApiOptions = {
   taskCounts: { taskCountsOf: () => null },
   cancellations: { announceCancellation: async () => {} },
