--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -5,9 +5,10 @@
  * The version of the list's header isolates writing from removal. A page is
  * added, and the record is written, only while the header has the version that
  * the writer saw before it checked which pages exist. Removal first gives the
- * header a new version, and every deletion requires that version. So no record
- * ever refers to a missing page, even when requests are applied late, and pages
- * never outlast their header.
+ * header a new version, and every deletion requires that version.
+ *
+ * So no record ever refers to a missing page, even when requests are applied
+ * late, and pages never outlast their header.
  */
 import { createHash } from 'node:crypto';
 import { readPrefix } from '../../clients/key-ranges.js';
--- a/src/controller/api/dependency-status.ts
+++ b/src/controller/api/dependency-status.ts
@@ -3,19 +3,18 @@
  * without the leader.
  *
  * The leader cancels the dependents of a cancelled job, but it may be
- * unavailable for longer than users may be told that such a job is queued. So a
- * node checks the dependencies before it reports a waiting job as queued: a few
- * jobs individually, larger graphs in a snapshot of all live jobs that requests
- * share.
+ * unavailable for longer than such a job may be reported as queued. So a node
+ * checks the dependencies before it reports a waiting job as queued: a few jobs
+ * individually, larger graphs in a snapshot of all live jobs that requests share.
  *
- * What is cached, for how long and why that is safe:
+ * The cache holds:
  *
  * - The final state of an ended job: until it is evicted, since an end is never
  *   rewritten.
- * - The dependencies of a live job, and the snapshot: for `dependencyFreshMs`
- *   from the start of the read, a fraction of `cancel_s`. A dependent may be
- *   reported as queued for that long after the cancellation of its dependency,
- *   which is well within the time allowed for cancellations.
+ * - The live state of a job with its dependencies, and the snapshot: for
+ *   `dependencyFreshMs` from the start of the read, a fraction of `cancel_s`. A
+ *   dependent may be reported as queued for that long after the cancellation of
+ *   its dependency, which is well within the time allowed for cancellations.
  *
  * No job is reported as cancelled on the basis of the cache alone: the caller
  * makes the cancellation durable first.
--- a/src/controller/heartbeats/delegated-renewal.ts
+++ b/src/controller/heartbeats/delegated-renewal.ts
@@ -1,20 +1,21 @@
 /**
  * Renews an agent's lease on behalf of a leader that neither this follower nor,
- * as far as the follower can tell, the agent can reach.
+ * as far as the follower knows, the agent can reach.
  *
  * Without it, a network partition between the leader and the other nodes would
- * end the tasks of every agent on the other side one lease later. The follower
- * replies with the leader's own fencing token, sends no command except stops of
- * tasks whose job has ended, and stops renewing in time. Why that is safe
- * (docs/design.md, "One bound for cancellations", "Network partitions" and
- * "Copies at a follower"):
+ * end the tasks of every agent on the other side one lease later.
+ *
+ * The follower replies with the leader's own fencing token, sends no command
+ * except stops of tasks whose job has ended, and stops renewing in time. This is
+ * safe for these reasons (docs/design.md, "One bound for cancellations", "Network
+ * partitions" and "Copies at a follower"):
  *
  * - Cancellations known to the state service. A node that renews a lease must
- *   account for every cancellation that was confirmed on any node. For each
- *   reply the follower reads the live key of each job in the heartbeat and stops
- *   the tasks of jobs that have ended. When the state service can't be read, it
- *   renews nothing (503). A task of a job that is cancelled later ends by the
- *   next reply or when the lease expires.
+ *   account for every cancellation confirmed on any node. For each reply the
+ *   follower reads the live key of each job in the heartbeat and stops the tasks
+ *   of jobs that have ended. When the state service can't be read, it renews
+ *   nothing (503). A task of a job that is cancelled later ends by the next reply
+ *   or when the lease expires.
  * - Starts of the leader that are still in transit. A start delayed by the
  *   partition may arrive in an agent epoch that is alive only because of this
  *   renewal, after its job was cancelled. Renewal therefore ends
@@ -26,9 +27,10 @@
  *   than itself.
  * - Agents that do not know the term. The term's leader has not confirmed their
  *   machines, so no start of that leader can be in transit, and the bound may
- *   start now, once per term. A heartbeat with an older token does not prove
- *   this: a late copy also carries the old token and would restart the bound for
- *   as long as copies may arrive. The follower therefore requests a heartbeat
+ *   start now, once per term.
+ * - Proof that the agent does not know the term. A heartbeat with an older token
+ *   is none: a late copy also carries the old token and would restart the bound
+ *   for as long as copies may arrive. The follower therefore requests a heartbeat
  *   from the agent itself; the reply to its own request can't be such a copy.
  * - Copies of messages. The reply to a late copy of a heartbeat goes to a
  *   connection that nobody reads, and nothing that the bound depends on can be a
@@ -52,7 +54,7 @@
 
 /** Reports when a node last announced that it leads. */
 export interface LeaderActivity {
-  /** Returns a time by this node's clock; null when there was no announcement in this term. */
+  /** By this node's clock, in ms; null when the node made no announcement in this term. */
   lastLedAt(node: string, term: number): number | null;
 }
 
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -4,10 +4,11 @@
  *
  * A request and its response each have a key, named by recipient, sender and
  * slot, which the next message overwrites. All keys are attached to a lease that
- * expires when nothing has been sent for a while, so no key remains. A response
- * is accepted only for the request with its number and the process with its
- * incarnation. A late response, or one to a previous process of this node, is
- * dropped.
+ * expires when nothing has been sent for a while, so no key remains.
+ *
+ * A response is accepted only for the request with its number and the process
+ * with its incarnation. A late response, or one to a previous process of this
+ * node, is dropped.
  */
 import type { StoreEvent } from '../../protocol/key-value-protocol.js';
 import {
@@ -57,7 +58,7 @@
 
 /** Sends one node's requests to other nodes and responds to theirs. */
 export class Mailbox {
-  /** Keyed by `<node>/<slot>`; each holds one request at a time. */
+  /** Requests waiting for a response, by `<node>/<slot>`; at most one for each. */
   private readonly pending = new Map<string, PendingRequest>();
   private lease: MailboxLease | null = null;
   private lastRequestNumber = 0;
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -8,40 +8,42 @@
 import { ScriptedAgent } from './support/scheduler.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-function world() {
+function createFollower() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const state = new FakeStateService(store);
   const ctx = createContext('n-1', state, clock);
   const peers = {
     reachable: true,
-    heardAt: clock.now() as number | null,
-    passed: 0,
+    announcedAt: clock.now() as number | null,
+    forwarded: 0,
     isReachable: () => peers.reachable,
-    lastLedAt: () => peers.heardAt,
-    mail: null as Reply | null,
+    lastLedAt: () => peers.announcedAt,
+    mailboxReply: null as Reply | null,
     forwardThroughMailbox: (): Promise<Reply> =>
-      peers.mail ? Promise.resolve(peers.mail) : Promise.reject(new Error('not answered')),
+      peers.mailboxReply
+        ? Promise.resolve(peers.mailboxReply)
+        : Promise.reject(new Error('not answered')),
     forwardHeartbeat: (): Promise<Reply> => {
-      peers.passed++;
+      peers.forwarded++;
       return Promise.resolve({ status: 200, body: { baton: fencingToken(7, 0), orders: [] } });
     },
   };
   const leadership = { leader: 'n-0' as string | null, observedTerm: 7, current: null };
-  const machine = { id: 'n-000001', term: 7, answers: true };
-  const show = () =>
-    machine.answers
+  const machine = { id: 'n-000001', term: 7, responds: true };
+  const fetchHeartbeat = () =>
+    machine.responds
       ? Promise.resolve({ ...new ScriptedAgent(machine.id).heartbeat(), term: machine.term })
       : Promise.reject(new Error('not answered'));
-  const reports = new HeartbeatHandler({
+  const handler = new HeartbeatHandler({
     ctx,
     election: leadership,
     leader: () => null,
     peers,
-    fetchHeartbeat: show,
+    fetchHeartbeat,
   });
-  const report = (term = 7, fence = 0, exited = false) =>
-    reports.handle(
+  const sendHeartbeat = (term = 7, fence = 0, exited = false) =>
+    handler.handle(
       Buffer.from(
         JSON.stringify({
           cart: 'n-000001',
@@ -60,30 +62,30 @@
         }),
       ),
     );
-  return { clock, store, state, ctx, peers, leadership, machine, show, report };
+  return { clock, store, state, ctx, peers, leadership, machine, fetchHeartbeat, sendHeartbeat };
 }
 
 test('a follower redirects an agent to the leader and relays its heartbeat when it returns', async () => {
-  const w = world();
-  assert.deepEqual(await w.report(), { status: 421, body: { steward: 'n-0' } });
-  await w.clock.advance(6000);
-  assert.equal((await w.report()).status, 200);
-  assert.equal(w.peers.passed, 1);
+  const follower = createFollower();
+  assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: { steward: 'n-0' } });
+  await follower.clock.advance(6000);
+  assert.equal((await follower.sendHeartbeat()).status, 200);
+  assert.equal(follower.peers.forwarded, 1);
   // The agent is still redirected from time to time, since the partition may have ended.
   for (let i = 0; i < 7; i++) {
-    await w.clock.advance(3000);
-    await w.report();
+    await follower.clock.advance(3000);
+    await follower.sendHeartbeat();
   }
-  assert.equal(w.peers.passed, 7);
-  w.leadership.leader = null;
-  assert.deepEqual(await w.report(), { status: 421, body: {} });
+  assert.equal(follower.peers.forwarded, 7);
+  follower.leadership.leader = null;
+  assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
 
 test('a follower whose leader is unreachable renews the lease, stops tasks of ended jobs and ends renewal in time', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
-  assert.deepEqual(await w.report(), {
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
+  assert.deepEqual(await follower.sendHeartbeat(), {
     status: 200,
     body: {
       baton: fencingToken(7, 0),
@@ -91,105 +93,105 @@
     },
   });
   // Without the state service the follower can't tell which jobs were cancelled.
-  w.state.fault = 'refuse';
-  assert.equal((await w.report()).status, 503);
-  w.state.fault = null;
-  assert.equal((await w.report(8)).status, 421);
-  await w.clock.advance(w.ctx.timing.delegatedRenewalMs + 1);
-  assert.deepEqual(await w.report(), { status: 421, body: {} });
+  follower.state.fault = 'refuse';
+  assert.equal((await follower.sendHeartbeat()).status, 503);
+  follower.state.fault = null;
+  assert.equal((await follower.sendHeartbeat(8)).status, 421);
+  await follower.clock.advance(follower.ctx.timing.delegatedRenewalMs + 1);
+  assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
 
-test('a follower without an announcement of the leader in this term renews no lease', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.peers.heardAt = null;
-  assert.deepEqual(await w.report(), { status: 421, body: {} });
+test('a follower that received no announcement of the leader in this term renews no lease', async () => {
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.peers.announcedAt = null;
+  assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
 
 test('a restarted follower renews the lease of an agent that the new leader never reached', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.peers.heardAt = null;
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.peers.announcedAt = null;
   // A heartbeat with an old token may be a late copy, so one is requested from the agent itself.
-  w.machine.answers = false;
-  assert.equal((await w.report(6)).status, 421);
-  w.machine.answers = true;
-  assert.equal((await w.report(6)).status, 421);
-  w.machine.term = 6;
-  assert.equal((await w.report(6)).status, 200);
-  w.machine.term = 7;
-  await w.clock.advance(3000);
-  assert.equal((await w.report(7)).status, 200);
-  await w.clock.advance(w.ctx.timing.delegatedRenewalMs);
-  assert.equal((await w.report(7)).status, 421);
+  follower.machine.responds = false;
+  assert.equal((await follower.sendHeartbeat(6)).status, 421);
+  follower.machine.responds = true;
+  assert.equal((await follower.sendHeartbeat(6)).status, 421);
+  follower.machine.term = 6;
+  assert.equal((await follower.sendHeartbeat(6)).status, 200);
+  follower.machine.term = 7;
+  await follower.clock.advance(3000);
+  assert.equal((await follower.sendHeartbeat(7)).status, 200);
+  await follower.clock.advance(follower.ctx.timing.delegatedRenewalMs);
+  assert.equal((await follower.sendHeartbeat(7)).status, 421);
   // A late copy from before the term does not restart the bound.
-  assert.equal((await w.report(6)).status, 421);
+  assert.equal((await follower.sendHeartbeat(6)).status, 421);
 });
 
 test('a heartbeat reaches a leader behind a partition through the mailbox', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.peers.mail = { status: 200, body: { baton: fencingToken(7, 0), orders: [] } };
-  assert.deepEqual(await w.report(), w.peers.mail);
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.peers.mailboxReply = { status: 200, body: { baton: fencingToken(7, 0), orders: [] } };
+  assert.deepEqual(await follower.sendHeartbeat(), follower.peers.mailboxReply);
 });
 
 test('a malformed heartbeat is refused with 400', async () => {
-  const w = world();
-  const reports = new HeartbeatHandler({
-    ctx: w.ctx,
-    election: w.leadership,
+  const follower = createFollower();
+  const handler = new HeartbeatHandler({
+    ctx: follower.ctx,
+    election: follower.leadership,
     leader: () => null,
-    peers: w.peers,
-    fetchHeartbeat: w.show,
+    peers: follower.peers,
+    fetchHeartbeat: follower.fetchHeartbeat,
   });
   for (const body of ['', '{', 'null', '{"cart":3}'])
-    assert.equal((await reports.handle(Buffer.from(body))).status, 400);
+    assert.equal((await handler.handle(Buffer.from(body))).status, 400);
 });
 
 test('the bound for an agent that does not know the term starts at the first proof of it', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.peers.heardAt = null;
-  w.machine.term = 6;
-  assert.equal((await w.report(6)).status, 200);
-  await w.clock.advance(w.ctx.timing.delegatedRenewalMs + 1);
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.peers.announcedAt = null;
+  follower.machine.term = 6;
+  assert.equal((await follower.sendHeartbeat(6)).status, 200);
+  await follower.clock.advance(follower.ctx.timing.delegatedRenewalMs + 1);
   // The agent still does not know the term, but this node's own replies are no newer proof.
-  assert.equal((await w.report(6)).status, 421);
+  assert.equal((await follower.sendHeartbeat(6)).status, 421);
 });
 
-test('a heartbeat of another machine at the agent’s address does not prove that the agent does not know the term', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.peers.heardAt = null;
-  w.machine.term = 6;
-  w.machine.id = 'n-000002';
-  assert.equal((await w.report(6)).status, 421);
-  w.machine.id = 'n-000001';
-  assert.equal((await w.report(6)).status, 200);
+test('a heartbeat of another machine at the agent’s address is no proof about the agent', async () => {
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.peers.announcedAt = null;
+  follower.machine.term = 6;
+  follower.machine.id = 'n-000002';
+  assert.equal((await follower.sendHeartbeat(6)).status, 421);
+  follower.machine.id = 'n-000001';
+  assert.equal((await follower.sendHeartbeat(6)).status, 200);
 });
 
 test('a renewal for the leader keeps the machine’s fence of the same term, not of an earlier one', async () => {
-  const w = world();
-  w.peers.reachable = false;
+  const follower = createFollower();
+  follower.peers.reachable = false;
   const tokenAfter = async (term: number) =>
-    ((await w.report(term, 3)).body as { baton: number }).baton;
+    ((await follower.sendHeartbeat(term, 3)).body as { baton: number }).baton;
   assert.equal(await tokenAfter(7), fencingToken(7, 3));
   assert.equal(await tokenAfter(6), fencingToken(7, 0));
 });
 
 test('a follower sends no stop commands for tasks that have exited', async () => {
-  const w = world();
-  w.peers.reachable = false;
-  w.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
-  assert.deepEqual(await w.report(7, 0, true), {
+  const follower = createFollower();
+  follower.peers.reachable = false;
+  follower.store.transact([], [{ op: 'put', key: 'live/req-1', value: {} }]);
+  assert.deepEqual(await follower.sendHeartbeat(7, 0, true), {
     status: 200,
     body: { baton: fencingToken(7, 0), orders: [] },
   });
 });
 
 /** Creates the heartbeat handler of a controller that leads term 7. */
-function leading() {
-  const { ctx, peers, show } = world();
+function createLeader() {
+  const { ctx, peers, fetchHeartbeat } = createFollower();
   const term = {
     number: 7,
     resigned: false,
@@ -212,14 +214,14 @@
     election: { leader: 'n-1', observedTerm: 7, current: term } as never,
     leader: () => leader as never,
     peers,
-    fetchHeartbeat: show,
+    fetchHeartbeat,
   });
   const agent = (token: number) => ({ ...new ScriptedAgent('n-000001').heartbeat(), term: token });
   return { term, leader, handler, agent };
 }
 
 test('a heartbeat with a later term makes the leader resign and is not processed', async () => {
-  const { term, leader, handler, agent } = leading();
+  const { term, leader, handler, agent } = createLeader();
   assert.deepEqual(await handler.handleAsLeader(agent(7), false), {
     status: 200,
     body: { baton: fencingToken(7, 2), orders: [] },
@@ -229,7 +231,7 @@
 });
 
 test('a heartbeat waits until the leader has read the jobs', async () => {
-  const { leader, handler, agent } = leading();
+  const { leader, handler, agent } = createLeader();
   let jobsRead = () => {};
   leader.ready = new Promise((resolve) => {
     jobsRead = resolve;
@@ -242,23 +244,23 @@
 });
 
 test('an agent that was redirected after a lease is served again when it returns', async () => {
-  const w = world();
-  await w.report();
+  const follower = createFollower();
+  await follower.sendHeartbeat();
   let served = 0;
   for (;;) {
-    await w.clock.advance(3000);
-    if ((await w.report()).status === 421) break;
+    await follower.clock.advance(3000);
+    if ((await follower.sendHeartbeat()).status === 421) break;
     served++;
   }
-  assert.ok(served * 3000 > w.ctx.timing.agentLeaseMs);
+  assert.ok(served * 3000 > follower.ctx.timing.agentLeaseMs);
   for (let i = 0; i < served; i++) {
-    await w.clock.advance(3000);
-    assert.equal((await w.report()).status, 200);
+    await follower.clock.advance(3000);
+    assert.equal((await follower.sendHeartbeat()).status, 200);
   }
 });
 
-test('a node that is listed as the leader but does not lead redirects without a leader', async () => {
-  const w = world();
-  w.leadership.leader = 'n-1';
-  assert.deepEqual(await w.report(), { status: 421, body: {} });
+test('a node that is recorded as the leader but does not lead names no leader in its redirect', async () => {
+  const follower = createFollower();
+  follower.leadership.leader = 'n-1';
+  assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
--- a/test/mailbox.test.ts
+++ b/test/mailbox.test.ts
@@ -9,23 +9,23 @@
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
-  const node = (name: string, answer: (text: string) => Promise<unknown>) => {
-    const mail = new Mailbox(createContext(name, new FakeStateService(store), clock), answer);
-    void mail.run(stop.signal);
-    return mail;
+  const node = (name: string, onRequest: (text: string) => Promise<unknown>) => {
+    const mailbox = new Mailbox(createContext(name, new FakeStateService(store), clock), onRequest);
+    void mailbox.run(stop.signal);
+    return mailbox;
   };
-  const a = node('n-0', () => Promise.reject(new Error('not asked')));
+  const requester = node('n-0', () => Promise.reject(new Error('not asked')));
   node('n-1', (text) => Promise.resolve({ got: text }));
   await settle();
-  const [one, two] = await Promise.all([
-    a.request('n-1', 'm-1', 'first', 1000),
-    a.request('n-1', 'm-2', 'second', 1000),
+  const [first, second] = await Promise.all([
+    requester.request('n-1', 'm-1', 'first', 1000),
+    requester.request('n-1', 'm-2', 'second', 1000),
   ]);
-  assert.deepEqual([one, two], [{ got: 'first' }, { got: 'second' }]);
+  assert.deepEqual([first, second], [{ got: 'first' }, { got: 'second' }]);
   // A request to a node that does not exist times out.
-  const lost = assert.rejects(a.request('n-2', 'm-1', 'x', 1000), /not answered/);
+  const timedOut = assert.rejects(requester.request('n-2', 'm-1', 'x', 1000), /not answered/);
   await clock.advance(1000);
-  await lost;
+  await timedOut;
   await clock.advance(60_000);
   store.expire();
   assert.deepEqual([...store.entries.keys()], []);
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -34,7 +34,7 @@
   }
 });
 
-test('refusals with content of the submission carry its error or its unknown dependencies', () => {
+test('a malformed submission is refused with its error, unknown dependencies with the first five ids', () => {
   assert.deepEqual(refuseMalformed(new MalformedMessageError('form must be array')), {
     status: 400,
     body: { error: 'form must be array' },
