--- a/src/controller/api/job-status.ts
+++ b/src/controller/api/job-status.ts
@@ -79,9 +79,9 @@
 
   /**
    * Cancels the job if one of its dependencies is cancelled; returns null when
-   * none is. The leader does the same, but it may not have done so yet or may be
-   * unavailable for longer than 'queued' may still be reported. The job is
-   * reported as cancelled only once that is durable.
+   * none is. The leader does the same, but it may not have done so yet, or may be
+   * unavailable for longer than 'queued' may be reported after the cancellation.
+   * The job is reported as cancelled only once that is durable.
    */
   private async cancelIfDependencyCancelled(
     id: string,
--- a/src/controller/heartbeats/delegated-renewal.ts
+++ b/src/controller/heartbeats/delegated-renewal.ts
@@ -11,7 +11,7 @@
  * partitions" and "Copies at a follower"):
  *
  * - Cancellations known to the state service. A node that renews a lease must
- *   account for every cancellation confirmed on any node. For each reply the
+ *   account for every cancellation confirmed anywhere. For each reply the
  *   follower reads the live key of each job in the heartbeat and stops the tasks
  *   of jobs that have ended. When the state service can't be read, it renews
  *   nothing (503). A task of a job that is cancelled later ends by the next reply
@@ -73,7 +73,7 @@
 
 /** Renews agents' leases for an unreachable leader, within the bound described above. */
 export class DelegatedRenewal {
-  /** The last term in which a renewal was logged; only the first one in a term is. */
+  /** The last term in which a renewal was logged; it is logged once per term. */
   private loggedTerm = 0;
 
   constructor(private readonly options: DelegatedRenewalOptions) {}
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -98,7 +98,8 @@
 
   /** Handles a heartbeat as the leader. `relayed`: it arrived through a peer or the mailbox. */
   async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
-    // No lease may be renewed before the jobs are read. The first reply can then carry commands.
+    // No lease may be renewed before the jobs are read. Waiting for that also lets the first reply
+    // carry commands.
     await this.options.leader()?.untilReady();
     const leader = this.options.leader();
     const term = this.options.election.current;
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -162,7 +162,7 @@
   stop.abort();
 });
 
-test('a submission with a long list that fails between two writes is completed by another node, with the same or another list', async () => {
+test('a submission with a long list that fails between any two writes is completed by another node, with the same or another list', async () => {
   const count = 1600;
   for (let failAt = 0; ; failAt++) {
     const fixture = new Fixture();
