--- a/test/mailbox.test.ts
+++ b/test/mailbox.test.ts
@@ -5,34 +5,34 @@
 import { createContext } from './support/context.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-test('mail is asked and answered through the state service, and leaves nothing behind', async () => {
+test('requests and responses pass through the state service, and their keys expire', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
-  const node = (name: string, answer: (text: string) => Promise<unknown>) => {
-    const mail = new Mailbox(createContext(name, new FakeStateService(store), clock), answer);
-    void mail.run(stop.signal);
-    return mail;
+  const node = (name: string, onRequest: (text: string) => Promise<unknown>) => {
+    const mailbox = new Mailbox(createContext(name, new FakeStateService(store), clock), onRequest);
+    void mailbox.run(stop.signal);
+    return mailbox;
   };
-  const a = node('n-0', () => Promise.reject(new Error('not asked')));
+  const requester = node('n-0', () => Promise.reject(new Error('not asked')));
   node('n-1', (text) => Promise.resolve({ got: text }));
   await settle();
-  const [one, two] = await Promise.all([
-    a.request('n-1', 'm-1', 'first', 1000),
-    a.request('n-1', 'm-2', 'second', 1000),
+  const [first, second] = await Promise.all([
+    requester.request('n-1', 'm-1', 'first', 1000),
+    requester.request('n-1', 'm-2', 'second', 1000),
   ]);
-  assert.deepEqual([one, two], [{ got: 'first' }, { got: 'second' }]);
-  // A node that is not there answers nothing.
-  const lost = assert.rejects(a.request('n-2', 'm-1', 'x', 1000), /not answered/);
+  assert.deepEqual([first, second], [{ got: 'first' }, { got: 'second' }]);
+  // A request to a node that does not exist times out.
+  const timedOut = assert.rejects(requester.request('n-2', 'm-1', 'x', 1000), /not answered/);
   await clock.advance(1000);
-  await lost;
+  await timedOut;
   await clock.advance(60_000);
   store.expire();
   assert.deepEqual([...store.entries.keys()], []);
   stop.abort();
 });
 
-test('a response that no value can hold is not sent, and its request times out', async () => {
+test('a response larger than a value is not sent, and its request times out', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const stop = new AbortController();
@@ -50,7 +50,7 @@
   stop.abort();
 });
 
-test('a message takes another lease once half of the present one is over', async () => {
+test('a message is attached to a new lease once half of the current one has passed', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const ctx = createContext('n-0', new FakeStateService(store), clock);
