--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -128,7 +128,7 @@
   let unresolved = distinctIds(dependencies.values());
   while (unresolved.size > 0) {
     const unknown = addKnownEndStates(endStates, unresolved, previousEndStates, dependencies);
-    const ended = await store.findEnds(unknown, priority);
+    const ended = await store.findManyEnded(unknown, priority);
     for (const [id, job] of ended) endStates.set(id, job.record.state);
     const acceptedDuringRead = await store.findMany(
       unknown.filter((id) => !ended.has(id)),
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -29,7 +29,7 @@
 /** A live job may end between the read and the cancellation; the second attempt reads its end. */
 const MAX_CANCEL_ATTEMPTS = 2;
 
-const NO_DEPENDENCIES: SubmittedDependencies = { pending: [], named: [] };
+const NO_DEPENDENCIES: SubmittedDependencies = { pending: [], all: [] };
 
 /** Announces cancellations to the leader. */
 export interface CancellationAnnouncer {
@@ -186,7 +186,7 @@
     const summary = await this.dependencies.summarize(dependencies, RequestPriority.submissions);
     if (summary.missing.length > 0) return refuseUnknownDependencies(summary.missing);
     if (!summary.cancelled)
-      return this.accept(spec, { pending: summary.pending, named: dependencies });
+      return this.accept(spec, { pending: summary.pending, all: dependencies });
     const created = await this.store.createCancelled(spec, RequestPriority.submissions);
     if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
     return { status: 201, body: jobStateBody(spec.id, 'cancelled') };
--- a/src/controller/api/job-creation.ts
+++ b/src/controller/api/job-creation.ts
@@ -22,7 +22,7 @@
   /** Dependencies that were live when they were looked up; the job waits for these. */
   pending: readonly string[];
   /** All dependencies in the order of the submission; the same in each repetition of it. */
-  named: readonly string[];
+  all: readonly string[];
 }
 
 /**
--- a/src/controller/api/job-status.ts
+++ b/src/controller/api/job-status.ts
@@ -97,7 +97,7 @@
       return { state: 'cancelled', tasks, version: cancelled.revision, live: null };
     }
     // The live record never changes, so the transaction failed because another node ended the job.
-    const end = await store.findEnd(id, priority);
+    const end = await store.findEnded(id, priority);
     if (!end) throw new MissingJobEndError(id);
     return endedStatus(end);
   }
--- a/src/controller/api/job-store.ts
+++ b/src/controller/api/job-store.ts
@@ -95,11 +95,11 @@
   ): Promise<StoredJob | null> {
     const live = await this.ctx.state.get(liveJobKey(id), priority, signal);
     if (live) return liveJob(live);
-    return this.findEnd(id, priority, signal);
+    return this.findEnded(id, priority, signal);
   }
 
   /** Returns the ended job; null while it has not ended. */
-  async findEnd(
+  async findEnded(
     id: string,
     priority: RequestPriority,
     signal?: AbortSignal,
@@ -118,12 +118,12 @@
     const live = await this.readEntries(LIVE_JOB_PREFIX, ids, priority, signal);
     for (const [id, entry] of live) found.set(id, liveJob(entry));
     const notLive = ids.filter((id) => !found.has(id));
-    for (const [id, job] of await this.findEnds(notLive, priority, signal)) found.set(id, job);
+    for (const [id, job] of await this.findManyEnded(notLive, priority, signal)) found.set(id, job);
     return found;
   }
 
   /** Returns those of the jobs that have ended, by id. */
-  async findEnds(
+  async findManyEnded(
     ids: readonly string[],
     priority: RequestPriority,
     signal?: AbortSignal,
@@ -163,7 +163,7 @@
    */
   async create(
     record: LiveJobRecord,
-    { pending, named }: SubmittedDependencies,
+    { pending, all }: SubmittedDependencies,
     priority: RequestPriority,
   ): Promise<TransactionResult> {
     const { id } = record.spec;
@@ -171,7 +171,7 @@
     if (changes) return this.ctx.state.transact(idUnusedConditions(id), changes, priority);
     const { ref, condition } = await this.dependencyLists.write(
       id,
-      named,
+      all,
       RequestPriority.completions,
     );
     const value: LiveJobRecord = {
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -100,7 +100,7 @@
   async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
     // No lease may be renewed before the jobs are read. Waiting for that also lets the first reply
     // carry commands.
-    await this.options.leader()?.untilReady();
+    await this.options.leader()?.waitUntilReady();
     const leader = this.options.leader();
     const term = this.options.election.current;
     if (!leader || !term) return redirectTo(null);
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -15,7 +15,7 @@
 import type { TaskCommand } from '../../model/task-command.js';
 import { fencingToken } from '../../protocol/agent-protocol.js';
 import { waitWhileLagging } from '../../runtime/clock.js';
-import { takePendingCommands } from '../../scheduler/reconcile/task-commands.js';
+import { dequeuePendingCommands } from '../../scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { Machine, TaskAttempt } from '../../scheduler/state/task-attempt.js';
 import type { ControllerContext } from '../context.js';
@@ -157,7 +157,7 @@
       if (!this.hasFreeSocket()) return;
       if (this.inFlight.has(machine.id)) continue;
       pendingCommands.delete(machine);
-      const { commands, starts } = takePendingCommands(machine);
+      const { commands, starts } = dequeuePendingCommands(machine);
       if (commands.length > 0) void this.sendCommands(machine, commands, starts);
     }
   }
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -49,9 +49,9 @@
   /** Returns true when a read failed. */
   private async resolvePending(signal: AbortSignal): Promise<boolean> {
     const { dependencies } = this.cluster;
-    const unread = [...dependencies.unreadLists].slice(0, MAX_CONCURRENT_READS);
+    const unread = [...dependencies.jobsWithUnreadDependencies].slice(0, MAX_CONCURRENT_READS);
     const results = await Promise.allSettled([
-      this.readEnds([...dependencies.unresolvedEnds], signal),
+      this.readEnds([...dependencies.jobsWithUnknownEnd], signal),
       ...unread.map((job) => this.readList(job, signal)),
     ]);
     const failure = results.find((result) => result.status === 'rejected');
@@ -83,7 +83,7 @@
    */
   private async readEnds(ids: readonly string[], signal: AbortSignal): Promise<void> {
     if (ids.length === 0) return;
-    const ends = await this.store.findEnds(ids, RequestPriority.completions, signal);
+    const ends = await this.store.findManyEnded(ids, RequestPriority.completions, signal);
     for (const [id, { record }] of ends)
       this.cluster.endJob(id, { state: record.state, at: record.at ?? null });
     const missing = ids.find((id) => !ends.has(id));
--- a/src/controller/leader/job-watch.ts
+++ b/src/controller/leader/job-watch.ts
@@ -52,7 +52,7 @@
         this.applyCompleteList(live.entries);
         appliedRevision = live.revision;
       }
-      cluster.markJobsCurrent(appliedRevision);
+      cluster.recordAppliedJobRevision(appliedRevision);
       // The request time counts, since a watch that waits while the state service refuses only this
       // controller proves nothing about the present. A later time would allow starts after a
       // cancellation that was confirmed elsewhere.
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -90,7 +90,7 @@
     });
     const scaleOut = new ScaleOutPlanner(cluster);
     const scaleIn = new ScaleInPlanner(cluster);
-    cluster.onMachineTerminated = (machine) => scaleOut.capacityFreed(machine, ctx.clock.now());
+    cluster.onMachineTerminated = (machine) => scaleOut.recordTermination(machine, ctx.clock.now());
     const commands = new AgentCommands({
       ctx,
       term,
@@ -174,7 +174,7 @@
   }
 
   /** Waits until the state has been restored, but no longer than a heartbeat response may take. */
-  async untilReady(): Promise<void> {
+  async waitUntilReady(): Promise<void> {
     if (this.ready) return;
     const timeout = this.ctx.clock.sleep(this.ctx.timing.commandTimeoutMs).catch(() => {});
     await Promise.race([this.whenReady, timeout]);
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -12,9 +12,9 @@
 import { TRANSACTION_BYTES } from '../../records/value-sizes.js';
 import { AbortedError } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
-import { chunksOfUnknownVersion } from '../../scheduler/persistence/bitmap-chunk-write.js';
+import { chunksWithUnknownVersion } from '../../scheduler/persistence/bitmap-chunk-write.js';
 import type { DurableWrite } from '../../scheduler/persistence/durable-write.js';
-import { pendingWrites } from '../../scheduler/persistence/pending-writes.js';
+import { collectPendingWrites } from '../../scheduler/persistence/pending-writes.js';
 import type { ClusterState } from '../../scheduler/state/cluster-state.js';
 import type { ControllerContext } from '../context.js';
 import { LEADER_KEY } from '../election/leader-key.js';
@@ -68,7 +68,7 @@
       await ctx.clock.sleep(intervalMs, signal);
       budget = Math.min(budget + changesPerInterval, loweredChangesPerS * PROGRESS_BURST_S);
       await this.rereadUnknownChunkVersions(signal);
-      const writes = pendingWrites(cluster, {
+      const writes = collectPendingWrites(cluster, {
         progressChanges: budget,
         wallNow: ctx.clock.wall(),
       });
@@ -93,11 +93,11 @@
     for (const write of writes.slice(from)) {
       if (batch.length > 0) {
         if (changes + write.changes.length > this.ctx.limits.changes) break;
-        if (bytes + write.size > TRANSACTION_BYTES) break;
+        if (bytes + write.sizeBytes > TRANSACTION_BYTES) break;
       }
       batch.push(write);
       changes += write.changes.length;
-      bytes += write.size;
+      bytes += write.sizeBytes;
     }
     return batch;
   }
@@ -108,7 +108,7 @@
    * would only fail.
    */
   private async rereadUnknownChunkVersions(signal: AbortSignal): Promise<void> {
-    for (const { job, chunk } of chunksOfUnknownVersion(this.cluster)) {
+    for (const { job, chunk } of chunksWithUnknownVersion(this.cluster)) {
       try {
         const key = this.cluster.bitmaps.key(job.spec.id, chunk);
         const entry = await this.ctx.state.get(key, RequestPriority.completions, signal);
--- a/src/controller/leader/state-restoration.ts
+++ b/src/controller/leader/state-restoration.ts
@@ -69,7 +69,7 @@
     const { ctx, cluster } = this;
     const { cloud, term, liveJobLoader, demandStore } = this.options;
     const now = ctx.clock.now();
-    cluster.wallClockOffset = ctx.clock.wall() - now;
+    cluster.wallClockOffsetMs = ctx.clock.wall() - now;
     if (!ctx.machineTypes)
       ctx.machineTypes = await retry(ctx, term.signal, (signal) =>
         readMachineTypes(ctx, cloud, signal),
--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -21,7 +21,7 @@
  * service is unknown, because a write of them received no response. They are
  * written once the version has been read.
  */
-export function chunksOfUnknownVersion(cluster: ClusterState): BitmapChunk[] {
+export function chunksWithUnknownVersion(cluster: ClusterState): BitmapChunk[] {
   const chunks: BitmapChunk[] = [];
   for (const job of cluster.jobs.values())
     for (const chunk of job.unsavedChunks.keys())
@@ -58,7 +58,7 @@
 class BitmapChunkWrite implements DurableWrite {
   readonly conditions: Condition[];
   readonly changes: Change[];
-  readonly size: number;
+  readonly sizeBytes: number;
 
   constructor(
     cluster: ClusterState,
@@ -77,7 +77,7 @@
       { key, version },
     ];
     this.changes = [{ op: 'put', key, value }];
-    this.size = CHUNK_OVERHEAD_BYTES + 2 * id.length + value.length;
+    this.sizeBytes = CHUNK_OVERHEAD_BYTES + 2 * id.length + value.length;
   }
 
   applied(revision: number): void {
--- a/src/scheduler/persistence/durable-write.ts
+++ b/src/scheduler/persistence/durable-write.ts
@@ -38,5 +38,5 @@
   readonly conditions: Condition[];
   readonly changes: Change[];
   /** Approximate size in a transaction, in bytes. */
-  readonly size: number;
+  readonly sizeBytes: number;
 }
--- a/src/scheduler/persistence/job-end-writes.ts
+++ b/src/scheduler/persistence/job-end-writes.ts
@@ -23,7 +23,7 @@
 abstract class JobEndWrite implements DurableWrite {
   readonly conditions: Condition[];
   readonly changes: Change[];
-  readonly size: number;
+  readonly sizeBytes: number;
 
   constructor(
     protected readonly cluster: ClusterState,
@@ -36,7 +36,7 @@
       { op: 'put', key: endedJobKey(id), value: encodeJobEnd(end, tasks) },
       { op: 'delete', key: liveJobKey(id) },
     ];
-    this.size = END_OVERHEAD_BYTES + 2 * id.length;
+    this.sizeBytes = END_OVERHEAD_BYTES + 2 * id.length;
   }
 
   /** Removes the job from the live jobs and stops its running tasks. */
--- a/src/scheduler/persistence/key-deletion-write.ts
+++ b/src/scheduler/persistence/key-deletion-write.ts
@@ -14,14 +14,14 @@
 export class KeyDeletionWrite implements DurableWrite {
   readonly conditions: Condition[] = [];
   readonly changes: Change[];
-  readonly size: number;
+  readonly sizeBytes: number;
 
   constructor(
     private readonly cluster: ClusterState,
     private readonly key: string,
   ) {
     this.changes = [{ op: 'delete', key }];
-    this.size = DELETION_OVERHEAD_BYTES + key.length;
+    this.sizeBytes = DELETION_OVERHEAD_BYTES + key.length;
   }
 
   /** Removes the key from the keys to be deleted. */
--- a/src/scheduler/persistence/pending-writes.ts
+++ b/src/scheduler/persistence/pending-writes.ts
@@ -30,7 +30,7 @@
  * Collects the writes that are due, the most urgent first. The caller must report
  * the outcome of each write: a chunk or page is not written again before that.
  */
-export function pendingWrites(cluster: ClusterState, budget: WriteBudget): DurableWrite[] {
+export function collectPendingWrites(cluster: ClusterState, budget: WriteBudget): DurableWrite[] {
   const rosterAdditions = createRosterAdditionWrites(cluster);
   const jobs = collectJobWrites(cluster, budget);
   const stalePages = cluster.roster
--- a/src/scheduler/persistence/roster-page-write.ts
+++ b/src/scheduler/persistence/roster-page-write.ts
@@ -46,18 +46,18 @@
 export class RosterPageWrite implements DurableWrite {
   readonly conditions: Condition[];
   readonly changes: Change[];
-  readonly size: number;
+  readonly sizeBytes: number;
 
   constructor(
     private readonly cluster: ClusterState,
     private readonly pageWrite: PageWrite,
   ) {
     const { version, entries } = pageWrite;
-    const key = rosterKey(pageWrite.key);
+    const key = rosterKey(pageWrite.keySuffix);
     const value = encodeRosterPage(entries);
     this.conditions = version === null ? [] : [{ key, version }];
     this.changes = [entries.length > 0 ? { op: 'put', key, value } : { op: 'delete', key }];
-    this.size = PAGE_OVERHEAD_BYTES + JSON.stringify(value.machines).length;
+    this.sizeBytes = PAGE_OVERHEAD_BYTES + JSON.stringify(value.machines).length;
   }
 
   /** Allows tasks to start on the added machines. */
--- a/src/scheduler/persistence/roster-page.ts
+++ b/src/scheduler/persistence/roster-page.ts
@@ -15,7 +15,7 @@
 
   constructor(
     /** The part of the page's key after the roster's prefix. */
-    readonly key: string,
+    readonly keySuffix: string,
     /** The stored version; 0 if there is none yet, null if unknown because a write received no response. */
     public version: number | null,
   ) {}
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -15,7 +15,7 @@
 
 /** A write of a page: its new value, or its deletion. */
 export interface PageWrite extends PageWriteOutcome {
-  readonly key: string;
+  readonly keySuffix: string;
   /** The version that the write is conditioned on; 0 if the key must not exist, null for no condition. */
   readonly version: number | null;
   /** All machines of the page; if empty, the page is deleted. */
@@ -170,7 +170,7 @@
     page.writing = true;
     const entries = [...page.entries.values()];
     return {
-      key: page.key,
+      keySuffix: page.keySuffix,
       version: page.version,
       entries,
       added,
--- a/src/scheduler/placement/assignment.ts
+++ b/src/scheduler/placement/assignment.ts
@@ -61,7 +61,7 @@
       remainingZoneSlots(job, machine.zone),
     );
     while (slots > 0 && job.readyCount > 0) {
-      const index = job.takeReadyTask();
+      const index = job.popReadyTask();
       if (index === null) break;
       const attempt = cluster.assign(job, index, machine, now);
       attempt.exemptFromPreemption = batch.starving;
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -94,7 +94,7 @@
  * the number not placed.
  */
 function placeBatch(round: PlacementRound, batch: Batch): number {
-  let unplaced = batch.count;
+  let unplaced = batch.taskCount;
   const feasible = round.candidates.filter((machine) => isFeasible(machine, batch));
   while (unplaced > 0) {
     const allowed = allowedStarts(round, batch, unplaced);
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -31,7 +31,8 @@
  */
 export function isReady(cluster: ClusterState, job: Job, now: number): boolean {
   return (
-    hasPlaceableTasks(job, now) && !(job.inherited && cluster.inheritedMachines.mayHold(job.spec))
+    hasPlaceableTasks(job, now) &&
+    !(job.inherited && cluster.inheritedMachines.mayRunTasksOf(job.spec))
   );
 }
 
@@ -124,7 +125,7 @@
     (a, b) =>
       a.priority - b.priority ||
       Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
-      b.costStep - a.costStep,
+      b.waitingCostLog2 - a.waitingCostLog2,
   );
   return [...starving, ...batches];
 }
@@ -139,7 +140,7 @@
     else
       others.push({
         job,
-        waitingCost: cluster.estimates.waitingCost(job, now + cluster.wallClockOffset),
+        waitingCost: cluster.estimates.waitingCost(job, now + cluster.wallClockOffsetMs),
         remainingCpuSeconds: job.readyCount * job.spec.cpus * cluster.estimates.estimateS(job.spec),
       });
   }
@@ -154,7 +155,7 @@
     const batch = batches.get(key);
     if (batch) {
       batch.jobs.push(job);
-      batch.count += job.readyCount;
+      batch.taskCount += job.readyCount;
     } else batches.set(key, batchOf(job, costStep, false));
   }
   return [...batches.values()];
@@ -174,9 +175,9 @@
     spec: job.spec,
     priority: job.priority,
     withinGuarantee: job.withinGuarantee === true,
-    costStep,
+    waitingCostLog2: costStep,
     starving,
     jobs: [job],
-    count: starving ? 1 : job.readyCount,
+    taskCount: starving ? 1 : job.readyCount,
   };
 }
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -42,7 +42,7 @@
   }
 
   /** Reports whether the job's constraints allow a task of it to be running on an inherited machine. */
-  mayHold(spec: JobSpec): boolean {
+  mayRunTasksOf(spec: JobSpec): boolean {
     for (const { traits } of this.pools.values())
       if (satisfiesConstraints(traits, spec)) return true;
     return false;
--- a/src/scheduler/reconcile/machine-list-reconciliation.ts
+++ b/src/scheduler/reconcile/machine-list-reconciliation.ts
@@ -59,7 +59,7 @@
   /** Handles a machine that is missing from a list requested after its last heartbeat. */
   private applyAbsence(machine: Machine, requestedAt: number, now: number): void {
     // The cloud lists a machine until it is terminated, and this one should be listed by now.
-    if (requestedAt > machine.knownAt + this.timing.listProofMs)
+    if (requestedAt > machine.firstKnownAt + this.timing.listProofMs)
       this.machines.markTerminated(machine.id, 'absent from the list', now);
     // A new machine may be up before the list shows it. Only the time without heartbeats before the
     // request counts, since this process may have been paused before it read the response.
--- a/src/scheduler/reconcile/preemption-notices.ts
+++ b/src/scheduler/reconcile/preemption-notices.ts
@@ -24,9 +24,9 @@
    */
   record(machine: Machine, noticeS: number | null, now: number): boolean {
     if (noticeS === null) return false;
-    const isNew = machine.preemptionNoticeUntil === null;
+    const isNew = machine.preemptionDueAt === null;
     if (isNew) this.logDecision('preemption notice', { machine: machine.id, seconds: noticeS });
-    machine.preemptionNoticeUntil = now + noticeS * 1000;
+    machine.preemptionDueAt = now + noticeS * 1000;
     this.machines.drain(machine, 'preemption notice');
     return isNew;
   }
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -28,7 +28,7 @@
  * Every task was started by this leader or an earlier one, so its job is either
  * live here or has ended.
  */
-export function stopsOfEndedJobs(
+export function stopCommandsForEndedJobs(
   heartbeat: Heartbeat,
   liveJobs: ReadonlyMap<string, Job>,
 ): TaskCommand[] {
@@ -155,7 +155,7 @@
  * next heartbeat, and records them as sent. Whether the starts take effect is
  * unknown until the machine replies to the command.
  */
-export function takePendingCommands(machine: Machine): PendingCommands {
+export function dequeuePendingCommands(machine: Machine): PendingCommands {
   const commands: TaskCommand[] = [];
   const starts: TaskAttempt[] = [];
   // A machine that this controller can't reach gets its commands in the responses to relayed heartbeats.
@@ -175,7 +175,7 @@
   const { job, index, stopRequest } = attempt;
   const base = { jobId: job.spec.id, index, attempt: attempt.attempt };
   if (attempt.state === 'assigned') {
-    if (job.ended || !isUnsent(attempt)) return null;
+    if (job.ended || !isStartUnsent(attempt)) return null;
     attempt.directCommandFence = fence;
     return { op: 'start', ...base };
   }
@@ -185,7 +185,7 @@
 }
 
 /** Reports whether the attempt's start was sent neither in a response nor in a direct command. */
-export function isUnsent(attempt: TaskAttempt): boolean {
+export function isStartUnsent(attempt: TaskAttempt): boolean {
   return (
     attempt.state === 'assigned' &&
     attempt.startSentSequence === null &&
--- a/src/scheduler/reconcile/unknown-tasks.ts
+++ b/src/scheduler/reconcile/unknown-tasks.ts
@@ -25,7 +25,7 @@
   }
 
   /** Returns the unknown tasks of the machine's latest heartbeat. */
-  of(machine: Machine): readonly TaskStatus[] {
+  get(machine: Machine): readonly TaskStatus[] {
     return this.tasksByMachineId.get(machine.id) ?? NO_TASKS;
   }
 
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -88,8 +88,8 @@
    */
   private wasPreempted(machine: Machine, now: number): boolean {
     return (
-      machine.preemptionNoticeUntil !== null &&
-      now > machine.preemptionNoticeUntil &&
+      machine.preemptionDueAt !== null &&
+      now > machine.preemptionDueAt &&
       now - machine.lastHeartbeatAt > this.cluster.timing.heartbeatMs * PREEMPTED_AFTER_HEARTBEATS
     );
   }
@@ -122,11 +122,12 @@
     if (silentMs <= unreachableAfterMs) return false;
     const zone = this.cluster.zoneLiveness.get(machine.zone);
     const liveWindowMs = heartbeatMs * LIVE_ZONE_HEARTBEATS;
-    const hasLaterZoneHeartbeat = zone && zone.last > machine.lastHeartbeatAt + liveWindowMs;
-    if (hasLaterZoneHeartbeat && now - zone.last <= liveWindowMs) {
+    const hasLaterZoneHeartbeat =
+      zone && zone.lastHeartbeatAt > machine.lastHeartbeatAt + liveWindowMs;
+    if (hasLaterZoneHeartbeat && now - zone.lastHeartbeatAt <= liveWindowMs) {
       const isZoneRecovering =
-        zone.since > machine.lastHeartbeatAt &&
-        now - zone.since <= unreachableAfterMs * ZONE_RECOVERY_RATIO;
+        zone.liveSince > machine.lastHeartbeatAt &&
+        now - zone.liveSince <= unreachableAfterMs * ZONE_RECOVERY_RATIO;
       if (isZoneRecovering) return false;
       return (
         !conditions.zonesWithManyUnreachable.has(machine.zone) ||
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -90,7 +90,7 @@
    * Called when a machine has terminated. Its pool may have capacity again, so a
    * back-off is shortened.
    */
-  capacityFreed(machine: Machine, now: number): void {
+  recordTermination(machine: Machine, now: number): void {
     this.backoff.recordTermination(machine, now);
   }
 
--- a/src/scheduler/state/batch.ts
+++ b/src/scheduler/state/batch.ts
@@ -9,10 +9,10 @@
   priority: number;
   withinGuarantee: boolean;
   /** Binary logarithm of its jobs' cost of waiting (see WorkEstimates.waitingCost), rounded up. */
-  costStep: number;
+  waitingCostLog2: number;
   /** Whether this is the first task of a job that has waited for too long. */
   starving: boolean;
   jobs: Job[];
   /** Number of ready tasks of its jobs. */
-  count: number;
+  taskCount: number;
 }
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -17,7 +17,7 @@
 import type { InheritedMachines } from '../reconcile/inherited-machines.js';
 import type { MachineListReconciliation } from '../reconcile/machine-list-reconciliation.js';
 import type { MachineTombstones } from '../reconcile/machine-tombstones.js';
-import { heartbeatCommands, stopsOfEndedJobs } from '../reconcile/task-commands.js';
+import { heartbeatCommands, stopCommandsForEndedJobs } from '../reconcile/task-commands.js';
 import type { UnknownTasks } from '../reconcile/unknown-tasks.js';
 import type { Batch } from './batch.js';
 import {
@@ -65,7 +65,7 @@
   /** Batches for which the last placement round found no machine, in the order of the ready queue. */
   unplacedBatches: Batch[] = [];
   /** Wall clock minus monotonic clock in milliseconds, for the ages of jobs. */
-  wallClockOffset = 0;
+  wallClockOffsetMs = 0;
 
   private readonly roundTrigger: RoundTrigger;
   private readonly quota: QuotaUsage;
@@ -177,13 +177,13 @@
   }
 
   /** See JobRegistry.recordAppliedRevision. */
-  markJobsCurrent(revision: number): void {
+  recordAppliedJobRevision(revision: number): void {
     this.jobRegistry.recordAppliedRevision(revision);
   }
 
   /** Returns the milliseconds since the job could first have run. All objectives except deadlines count from then. */
   ageMs(job: Job, now: number): number {
-    return now + this.wallClockOffset - job.eligibleAt;
+    return now + this.wallClockOffsetMs - job.eligibleAt;
   }
 
   // Machines
@@ -326,12 +326,12 @@
    * renews the agent's lease, so it must stop the listed tasks of ended jobs.
    */
   stopsOfEndedJobs(heartbeat: Heartbeat): TaskCommand[] {
-    return stopsOfEndedJobs(heartbeat, this.jobs);
+    return stopCommandsForEndedJobs(heartbeat, this.jobs);
   }
 
   /** Returns the commands for a machine that has just sent a heartbeat, in the order of execution. */
   heartbeatCommands(machine: Machine): TaskCommand[] {
-    return heartbeatCommands(machine, this.unknownTasks.of(machine));
+    return heartbeatCommands(machine, this.unknownTasks.get(machine));
   }
 
   /** See TaskAttempts.applyCommandResult. */
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -40,9 +40,9 @@
   /** How jobs have ended, the oldest first. Holds at most `MAX_REMEMBERED_ENDS`. */
   private readonly knownEnds = new Map<string, JobEnd>();
   /** Ids of jobs that others depend on and that are no longer live. How they ended has to be read. */
-  readonly unresolvedEnds = new Set<string>();
+  readonly jobsWithUnknownEnd = new Set<string>();
   /** Jobs whose dependency ids are partly in further records, which have to be read. */
-  readonly unreadLists = new Set<Job>();
+  readonly jobsWithUnreadDependencies = new Set<Job>();
 
   constructor(
     /** The live jobs. */
@@ -63,13 +63,13 @@
   /** Keeps the job's tasks from starting until the ids of its further dependencies have been read. */
   deferDependencies(job: Job): void {
     job.dependenciesUnread = true;
-    this.unreadLists.add(job);
+    this.jobsWithUnreadDependencies.add(job);
   }
 
   /** Adds the job's further dependencies after all of their ids have been read. */
   addReadDependencies(job: Job, dependencyIds: readonly string[]): void {
     job.dependenciesUnread = false;
-    this.unreadLists.delete(job);
+    this.jobsWithUnreadDependencies.delete(job);
     this.addDependencies(job, dependencyIds);
   }
 
@@ -80,10 +80,10 @@
     if (end) this.rememberEnd(id, end);
     const knownEnd = end ?? this.knownEnds.get(id) ?? null;
     if (!knownEnd) {
-      if (this.dependents.has(id)) this.unresolvedEnds.add(id);
+      if (this.dependents.has(id)) this.jobsWithUnknownEnd.add(id);
       return;
     }
-    this.unresolvedEnds.delete(id);
+    this.jobsWithUnknownEnd.delete(id);
     if (knownEnd.state === 'cancelled') this.cancelDependents(id);
     else this.releaseDependents(id, knownEnd.at);
   }
@@ -120,7 +120,7 @@
     const dependency = this.jobs.get(id);
     if (dependency?.dependencyCancelled) job.dependencyCancelled = true;
     if (dependency) this.propagateUrgency(dependency, job);
-    else if (!end) this.unresolvedEnds.add(id);
+    else if (!end) this.jobsWithUnknownEnd.add(id);
   }
 
   private rememberEnd(id: string, end: JobEnd): void {
@@ -151,13 +151,13 @@
 
   /** Removes the dependencies of a job that has ended, so that they no longer inherit its urgency. */
   private removeDependencies(job: Job): void {
-    this.unreadLists.delete(job);
+    this.jobsWithUnreadDependencies.delete(job);
     for (const id of job.pendingDependencies) {
       const dependents = this.dependents.get(id);
       if (!dependents?.delete(job)) continue;
       if (dependents.size === 0) {
         this.dependents.delete(id);
-        this.unresolvedEnds.delete(id);
+        this.jobsWithUnknownEnd.delete(id);
       }
       const dependency = this.jobs.get(id);
       if (dependency) this.recomputeUrgency(dependency);
--- a/src/scheduler/state/job-state.ts
+++ b/src/scheduler/state/job-state.ts
@@ -126,7 +126,7 @@
   }
 
   /** Removes the next ready task from the queue and returns its index, or null when there is none. The caller must assign it. */
-  takeReadyTask(): number | null {
+  popReadyTask(): number | null {
     return this.taskStates.popReady();
   }
 
--- a/src/scheduler/state/machine-state.ts
+++ b/src/scheduler/state/machine-state.ts
@@ -34,7 +34,7 @@
   // Liveness
 
   /** When this leader first learned that the machine exists. */
-  readonly knownAt: number;
+  readonly firstKnownAt: number;
   /** When it was first known to be up; null before that. */
   upAt: number | null = null;
   /** When its last heartbeat under this leader's own fencing token arrived. */
@@ -93,7 +93,7 @@
   /** Reservation for the work for which other work was preempted; null when there is none. */
   reservation: Reservation | null = null;
   /** When the cloud reclaims the spot machine; null without a preemption notice. */
-  preemptionNoticeUntil: number | null = null;
+  preemptionDueAt: number | null = null;
   /** Null when it is not being drained. */
   drainReason: DrainReason | null = null;
   /** Since when it has had no work. Only meaningful while it has none. */
@@ -122,7 +122,7 @@
     readonly provisionedAt: number,
     now: number,
   ) {
-    this.knownAt = now;
+    this.firstKnownAt = now;
     this.idleSince = now;
   }
 
--- a/src/scheduler/state/task-attempts.ts
+++ b/src/scheduler/state/task-attempts.ts
@@ -1,6 +1,6 @@
 /** Creation and end of task attempts, with the accounting that depends on them. */
 import type { TaskStatus } from '../../model/heartbeat.js';
-import { isUnsent } from '../reconcile/task-commands.js';
+import { isStartUnsent } from '../reconcile/task-commands.js';
 import type { QuotaUsage } from './quota-usage.js';
 import type { RoundTrigger } from './round-trigger.js';
 import { attemptKey, type Job, type Machine, type TaskAttempt } from './task-attempt.js';
@@ -45,7 +45,7 @@
     this.bind(attempt);
     if (task.state === 'exited') return attempt;
     const activeAttempt = job.activeAttempts.get(task.index);
-    if (activeAttempt && isUnsent(activeAttempt)) this.release(activeAttempt, 0);
+    if (activeAttempt && isStartUnsent(activeAttempt)) this.release(activeAttempt, 0);
     if (job.isDone(task.index) || job.activeAttempts.has(task.index)) this.stop(attempt, 0);
     else job.addAttempt(attempt);
     return attempt;
@@ -60,7 +60,7 @@
   /** Stops every attempt of a job that has ended. Those whose start was never sent are released at once. */
   stopAll(job: Job): void {
     for (const attempt of [...job.activeAttempts.values()]) {
-      if (isUnsent(attempt)) this.release(attempt, 0);
+      if (isStartUnsent(attempt)) this.release(attempt, 0);
       else this.stop(attempt, 0);
     }
   }
@@ -92,7 +92,7 @@
   /** Releases the machine's attempts whose start was never sent, so that they can be placed elsewhere. */
   releaseUnsent(machine: Machine): void {
     for (const attempt of [...machine.attempts.values()])
-      if (isUnsent(attempt)) this.release(attempt, 0);
+      if (isStartUnsent(attempt)) this.release(attempt, 0);
   }
 
   /** Records that the machine lists the attempt as exited. It no longer uses resources, but stays until it may be forgotten. */
@@ -117,7 +117,7 @@
       else {
         // The command was rejected for its fencing token or agent epoch; so will be every duplicate.
         attempt.directCommandFence = null;
-        if (isUnsent(attempt)) this.release(attempt, 0);
+        if (isStartUnsent(attempt)) this.release(attempt, 0);
       }
     }
   }
--- a/src/scheduler/state/zone-liveness.ts
+++ b/src/scheduler/state/zone-liveness.ts
@@ -6,9 +6,9 @@
 /** Heartbeat times of a zone, in milliseconds of the leader's monotonic clock. */
 export interface ZoneLiveness {
   /** When its last heartbeat arrived. */
-  last: number;
+  lastHeartbeatAt: number;
   /** Since when there has been no gap in which none of its machines sent a heartbeat. */
-  since: number;
+  liveSince: number;
 }
 
 /** Liveness by zone, from heartbeats under the leader's own fencing token only. */
@@ -21,8 +21,8 @@
   /** Records a heartbeat from a machine of the zone. */
   recordHeartbeat(zone: string, now: number): void {
     const liveness = this.byZone.get(zone);
-    if (!liveness || now - liveness.last > this.heartbeatMs * GAP_HEARTBEATS)
-      this.byZone.set(zone, { last: now, since: now });
-    else liveness.last = now;
+    if (!liveness || now - liveness.lastHeartbeatAt > this.heartbeatMs * GAP_HEARTBEATS)
+      this.byZone.set(zone, { lastHeartbeatAt: now, liveSince: now });
+    else liveness.lastHeartbeatAt = now;
   }
 }
--- a/test/cluster-state.test.ts
+++ b/test/cluster-state.test.ts
@@ -33,19 +33,19 @@
 test('an announced cancellation ends a job and blocks stale watch events up to its revision', () => {
   const cluster = createCluster();
   cluster.addJob(jobSpec(), 5, 0, false);
-  cluster.markJobsCurrent(10);
+  cluster.recordAppliedJobRevision(10);
   cluster.announceCancellation('req-000001', 10);
   assert.ok(cluster.jobs.has('req-000001'), 'the watch has already reached that revision');
   cluster.announceCancellation('req-000001', 12);
   assert.equal(cluster.jobs.size, 0);
   assert.equal(cluster.addJob(jobSpec(), 5, 0, false), null, 'the watch event is stale');
-  cluster.markJobsCurrent(11);
+  cluster.recordAppliedJobRevision(11);
   assert.equal(
     cluster.addJob(jobSpec(), 5, 0, false),
     null,
     'the watch has not reached the revision yet',
   );
-  cluster.markJobsCurrent(12);
+  cluster.recordAppliedJobRevision(12);
   assert.ok(cluster.addJob(jobSpec(), 5, 0, false));
 });
 
@@ -93,7 +93,7 @@
   const cluster = createCluster({ term: 2 });
   const [agent] = joinAgents(cluster, 1);
   assert.ok(agent);
-  agent.lapse();
+  agent.expireLease();
   agent.term = 1;
   assert.ok(cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100));
   assert.equal(cluster.machines.get('n-1')?.confirmed, false);
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { collectPendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
-import { takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
+import { dequeuePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
 import type { Job } from '../src/scheduler/state/task-attempt.js';
@@ -42,13 +42,16 @@
   addJob(cluster, 2, [], { tasks: 1 });
   const last = addJob(cluster, 3, [1, 2], { tasks: 1 });
   runPlacementRound(cluster, 32, 0);
-  agent.execute(cluster.term, takePendingCommands(cluster.machines.get('n-1') as never).commands);
+  agent.execute(
+    cluster.term,
+    dequeuePendingCommands(cluster.machines.get('n-1') as never).commands,
+  );
   assert.deepEqual(agent.running().sort(), [`${jobId(1)}/0`, `${jobId(2)}/0`]);
   // The exits alone are not enough, since a cancellation may still be written first.
   for (const key of [...agent.tasks.keys()]) agent.exit(key, 'done');
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
   assert.equal(runPlacementRound(cluster, 32, 200).started.length, 0);
-  const ends = pendingWrites(cluster, { progressChanges: 9, wallNow: 7000 });
+  const ends = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 7000 });
   ends[0]?.applied(11);
   assert.equal(runPlacementRound(cluster, 32, 300).started.length, 0);
   ends[1]?.applied(12);
@@ -60,7 +63,7 @@
   const cluster = createCluster({ term: 2 });
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = addJob(cluster, 3, [1, 2]);
-  assert.deepEqual([...cluster.dependencies.unresolvedEnds], [jobId(1), jobId(2)]);
+  assert.deepEqual([...cluster.dependencies.jobsWithUnknownEnd], [jobId(1), jobId(2)]);
   cluster.endJob(jobId(1), doneAt(500));
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 0);
   cluster.endJob(jobId(2), doneAt(400));
@@ -68,7 +71,7 @@
   assert.equal(runPlacementRound(cluster, 32, 0).started.length, 4);
   // Both ends are known now, so a new job that depends on them does not wait.
   assert.equal(addJob(cluster, 4, [1, 2]).awaitsDependencies, false);
-  assert.equal(cluster.dependencies.unresolvedEnds.size, 0);
+  assert.equal(cluster.dependencies.jobsWithUnknownEnd.size, 0);
 });
 
 test('the watch may report an end before or after the reply to the transaction that wrote it', () => {
@@ -79,7 +82,7 @@
     if (order === 'watch first') {
       cluster.endJob(jobId(1), null);
       assert.deepEqual(
-        [[...cluster.dependencies.unresolvedEnds], next.awaitsDependencies],
+        [[...cluster.dependencies.jobsWithUnknownEnd], next.awaitsDependencies],
         [[jobId(1)], true],
       );
       cluster.endJob(jobId(1), doneAt(9));
@@ -88,7 +91,7 @@
       cluster.endJob(jobId(1), null);
     }
     assert.deepEqual(
-      [cluster.dependencies.unresolvedEnds.size, next.awaitsDependencies],
+      [cluster.dependencies.jobsWithUnknownEnd.size, next.awaitsDependencies],
       [0, false],
     );
   }
@@ -105,14 +108,14 @@
   cluster.endJob(jobId(1), CANCELLED);
   addJob(cluster, 6, [4]);
   addJob(cluster, 7, [1]);
-  const writes = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const writes = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   const ended = writes.flatMap((write) => write.changes).map((x) => x.key);
   for (const n of [2, 3, 4, 6, 7]) assert.ok(ended.includes(`over/${jobId(n)}`), jobId(n));
   assert.equal(writes.length, 5);
   // The cancellations may be written in any order, over several rounds and in part by another controller.
   for (const write of writes.reverse()) write.conflict([]);
   assert.deepEqual([...cluster.jobs.keys()], [jobId(5)]);
-  assert.deepEqual(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
+  assert.deepEqual(collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
 });
 
 test('when a cancellation is written before the end of a job, it is read and cancels the dependents', () => {
@@ -121,13 +124,16 @@
   addJob(cluster, 1, [], { tasks: 1 });
   const next = addJob(cluster, 2, [1]);
   runPlacementRound(cluster, 32, 0);
-  agent.execute(cluster.term, takePendingCommands(cluster.machines.get('n-1') as never).commands);
+  agent.execute(
+    cluster.term,
+    dequeuePendingCommands(cluster.machines.get('n-1') as never).commands,
+  );
   agent.exit([...agent.tasks.keys()][0] as string, 'done');
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
-  const [end] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const [end] = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   end?.conflict([`live/${jobId(1)}`]);
   assert.deepEqual(
-    [[...cluster.dependencies.unresolvedEnds], next.awaitsDependencies],
+    [[...cluster.dependencies.jobsWithUnknownEnd], next.awaitsDependencies],
     [[jobId(1)], true],
   );
   cluster.endJob(jobId(1), CANCELLED);
@@ -238,7 +244,7 @@
   const other = [...cluster.jobs.values()][randomInt(cluster.jobs.size)];
   if (other && randomInt(4) === 0)
     cluster.endJob(other.spec.id, randomInt(3) === 0 ? CANCELLED : doneAt(n));
-  for (const write of pendingWrites(cluster, { progressChanges: 9, wallNow: n }))
+  for (const write of collectPendingWrites(cluster, { progressChanges: 9, wallNow: n }))
     if (randomInt(2) === 0) write.applied(n);
 }
 
--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { liveJobKey } from '../src/records/keys.js';
-import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import { chunksWithUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
 import type { DurableWrite } from '../src/scheduler/persistence/durable-write.js';
-import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { collectPendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
@@ -34,7 +34,7 @@
   sendHeartbeat(cluster, agent, 10);
   agent.exit([...agent.tasks.keys()][0] as string, 'done');
   sendHeartbeat(cluster, agent, 20);
-  const [write] = pendingWrites(cluster, BUDGET);
+  const [write] = collectPendingWrites(cluster, BUDGET);
   assert.ok(write);
   assert.deepEqual(
     write.changes.map((change) => change.key),
@@ -67,10 +67,10 @@
     const { cluster, agent, write } = startChunkWrite();
     cluster.endJob(JOB_ID, { state: 'cancelled', at: null });
     report(write);
-    assert.deepEqual(chunksOfUnknownVersion(cluster), []);
+    assert.deepEqual(chunksWithUnknownVersion(cluster), []);
     // The chunk may be stored, so its key is deleted; the agent may forget the task.
     assert.deepEqual(
-      pendingWrites(cluster, BUDGET).flatMap((pending) => pending.changes),
+      collectPendingWrites(cluster, BUDGET).flatMap((pending) => pending.changes),
       [{ op: 'delete', key: CHUNK_KEY }],
     );
     assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
@@ -79,18 +79,18 @@
 test('progress is not written again once the live record of its job is gone, even before the end is known', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([liveJobKey(JOB_ID)]);
-  assert.deepEqual(chunksOfUnknownVersion(cluster), []);
-  assert.deepEqual(pendingWrites(cluster, BUDGET), []);
+  assert.deepEqual(chunksWithUnknownVersion(cluster), []);
+  assert.deepEqual(collectPendingWrites(cluster, BUDGET), []);
   assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
 });
 
 test('after a conflict, progress of a live job is written again over the version that is read back', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([CHUNK_KEY]);
-  assert.deepEqual(pendingWrites(cluster, BUDGET), []);
-  const [unknownChunk] = chunksOfUnknownVersion(cluster);
+  assert.deepEqual(collectPendingWrites(cluster, BUDGET), []);
+  const [unknownChunk] = chunksWithUnknownVersion(cluster);
   unknownChunk?.job.chunkVersions.set(unknownChunk.chunk, 7);
-  const [repeated] = pendingWrites(cluster, BUDGET);
+  const [repeated] = collectPendingWrites(cluster, BUDGET);
   assert.deepEqual(repeated?.changes, write.changes);
   assert.deepEqual(repeated?.conditions[1], { key: CHUNK_KEY, version: 7 });
   assert.equal(receivesForgetOfFirstTask(cluster, agent, 30), false);
@@ -104,7 +104,7 @@
   const [machine] = cluster.machines.values();
   assert.ok(machine);
   cluster.pendingRosterAdds.add(machine);
-  const [write] = pendingWrites(cluster, BUDGET);
+  const [write] = collectPendingWrites(cluster, BUDGET);
   assert.equal(machine.rosterWritePending, true);
   write?.conflict([]);
   assert.deepEqual([machine.inRoster, machine.rosterWritePending], [true, false]);
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -32,12 +32,7 @@
   assert.ok(machine);
   // The heartbeat records no liveness of the machine or its zone, no notice and no confirmation.
   assert.deepEqual(
-    [
-      machine.lastHeartbeatAt,
-      machine.preemptionNoticeUntil,
-      machine.drainReason,
-      machine.confirmed,
-    ],
+    [machine.lastHeartbeatAt, machine.preemptionDueAt, machine.drainReason, machine.confirmed],
     [0, null, null, false],
   );
   assert.equal(cluster.zoneLiveness.size, 0);
@@ -104,7 +99,7 @@
   runInterval();
   assert.equal(starts, 3);
   // Its lease expires although its heartbeats arrive: it is unresponsive and terminated in the end.
-  unresponsive.lapse();
+  unresponsive.expireLease();
   runInterval();
   assert.equal(job.readyCount, 1);
   while (now < 60_000 && scaleIn.plan(now).length === 0) runInterval();
@@ -362,7 +357,7 @@
   const roster = new Roster(4, 3 * (JSON.stringify(entry(1)).length + 1));
   const writes = roster.add([1, 2, 3, 4].map(entry));
   assert.deepEqual(
-    writes.map((pageWrite) => [pageWrite.key, pageWrite.version, pageWrite.entries.length]),
+    writes.map((pageWrite) => [pageWrite.keySuffix, pageWrite.version, pageWrite.entries.length]),
     [
       ['4-1', 0, 3],
       ['4-2', 0, 1],
@@ -378,18 +373,18 @@
   // This write received no response, so its page is not written again while it holds machines.
   repeated?.outcomeUnknown();
   const [replacement] = roster.add([4, 5].map(entry));
-  assert.notEqual(replacement?.key, repeated?.key);
+  assert.notEqual(replacement?.keySuffix, repeated?.keySuffix);
   replacement?.applied(12);
   assert.deepEqual(roster.rewriteStalePages(9), []);
   roster.removeMachine('n-1');
   const [rewrite] = roster.rewriteStalePages(9);
-  assert.deepEqual([rewrite?.key, rewrite?.version, rewrite?.entries.length], ['4-1', 10, 2]);
+  assert.deepEqual([rewrite?.keySuffix, rewrite?.version, rewrite?.entries.length], ['4-1', 10, 2]);
   rewrite?.applied(13);
   for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) roster.removeMachine(id);
   const deletions = roster.rewriteStalePages(9);
   assert.deepEqual(
-    new Set(deletions.map((pageWrite) => pageWrite.key)),
-    new Set([first.key, repeated?.key, replacement?.key]),
+    new Set(deletions.map((pageWrite) => pageWrite.keySuffix)),
+    new Set([first.keySuffix, repeated?.keySuffix, replacement?.keySuffix]),
   );
   assert.ok(deletions.every((pageWrite) => pageWrite.entries.length === 0));
   for (const pageWrite of deletions) pageWrite.applied(14);
--- a/test/fleet-scaling.test.ts
+++ b/test/fleet-scaling.test.ts
@@ -174,7 +174,7 @@
 test('a backed-off pool is tried again soon after one of its machines has terminated', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
-  cluster.onMachineTerminated = (machine) => scaleOut.capacityFreed(machine, 20_000);
+  cluster.onMachineTerminated = (machine) => scaleOut.recordTermination(machine, 20_000);
   joinCluster(cluster, new ScriptedAgent('n-1', 'a', true), 0);
   cluster.addJob(jobSpec({ tasks: 40, zone: 'a' }), 1, 0, false);
   const [refusedPlan] = scaleOut.plan(0);
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -203,7 +203,7 @@
   const leader = {
     ready: Promise.resolve(),
     handled: 0,
-    untilReady: () => leader.ready,
+    waitUntilReady: () => leader.ready,
     handleHeartbeat: () => {
       leader.handled++;
       return { commands: [], fence: 2 };
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -208,7 +208,7 @@
   const done = await jobs.find('req-000001', RequestPriority.submissions);
   const doneEnd: EndedJobRecord = { state: 'done', tasks: 3, at: 1_800_000_001_000 };
   assert.deepEqual(done?.record, doneEnd);
-  const cancelled = await jobs.findEnd('req-000002', RequestPriority.submissions);
+  const cancelled = await jobs.findEnded('req-000002', RequestPriority.submissions);
   const cancelledEnd: EndedJobRecord = { state: 'cancelled', tasks: 3 };
   assert.deepEqual(cancelled?.record, cancelledEnd);
   const users = new JobApi(ctx, WITHOUT_LEADER);
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -11,7 +11,7 @@
 import type { LiveJobRecord } from '../src/records/job-record.js';
 import { liveJobKey } from '../src/records/keys.js';
 import { RequestPriority } from '../src/runtime/request-budget.js';
-import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { collectPendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
 import { WITHOUT_LEADER } from './support/job-api.js';
@@ -53,7 +53,7 @@
   };
   await new JobStore(ctx).create(
     record,
-    { pending: LONG_IDS, named: LONG_IDS },
+    { pending: LONG_IDS, all: LONG_IDS },
     RequestPriority.submissions,
   );
   assertWritten(state.written, 'upstreamPages');
@@ -67,7 +67,7 @@
   };
   await new JobStore(ctx).create(
     record,
-    { pending: LONG_IDS, named: LONG_IDS },
+    { pending: LONG_IDS, all: LONG_IDS },
     RequestPriority.submissions,
   );
   assertWritten(state.written, 'upstreamList');
@@ -95,11 +95,14 @@
   assert.ok(done && waiting);
   for (const index of [0, 1, 2]) done.markDone(index);
   waiting.dependencyCancelled = true;
-  for (const write of pendingWrites(cluster, { progressChanges: 9, wallNow: ctx.clock.wall() }))
+  for (const write of collectPendingWrites(cluster, {
+    progressChanges: 9,
+    wallNow: ctx.clock.wall(),
+  }))
     await state.transact([], write.changes);
   await store.createCancelled(jobSpec({ id: 'req-000003', tasks: 4 }), RequestPriority.submissions);
   const accepted: LiveJobRecord = { spec: jobSpec({ id: 'req-000004' }), acceptedAt: 5 };
-  await store.create(accepted, { pending: [], named: [] }, RequestPriority.submissions);
+  await store.create(accepted, { pending: [], all: [] }, RequestPriority.submissions);
   const live = await store.find('req-000004', RequestPriority.submissions);
   assert.ok(live?.live);
   await store.cancel(live, RequestPriority.submissions);
@@ -124,12 +127,12 @@
     worker.execute(cluster.term, []);
     cluster.applyHeartbeat(worker.heartbeat(), 'heartbeat', 0);
   }
-  const writes = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const writes = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   for (const write of writes) await state.transact([], write.changes);
   assertWritten(state.written, 'progress');
   // What the writer takes their room for, beside the bytes themselves.
   assert.deepEqual(
-    writes.map((write) => write.size),
+    writes.map((write) => write.sizeBytes),
     [552, 532, 528],
   );
 });
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
-import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { chunksWithUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import { collectPendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
-import { takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
+import { dequeuePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
 import {
   clusterWithJob,
   createCluster,
@@ -48,7 +48,7 @@
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  const { commands } = takePendingCommands(machine);
+  const { commands } = dequeuePendingCommands(machine);
   assert.equal(commands.length, 1);
   // The command received no reply, and several heartbeats do not list the attempt.
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
@@ -62,7 +62,7 @@
   // The delayed command has no effect, because the agent still knows the attempt.
   agent.execute(1, commands);
   assert.deepEqual(agent.running(), []);
-  agent.lapse();
+  agent.expireLease();
   sendHeartbeat(cluster, agent, 400);
   assert.equal(machine.attempts.size, 0);
 });
@@ -74,7 +74,7 @@
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  cluster.applyCommandResult(takePendingCommands(machine).starts, false, 9);
+  cluster.applyCommandResult(dequeuePendingCommands(machine).starts, false, 9);
   assert.equal(job.readyCount, 1);
 });
 
@@ -84,7 +84,7 @@
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
   const olderHeartbeat = agent.heartbeat();
-  const { commands, starts } = takePendingCommands(machine);
+  const { commands, starts } = dequeuePendingCommands(machine);
   agent.execute(1, commands);
   const reply = agent.heartbeat();
   cluster.applyCommandResult(starts, true, reply.sequence);
@@ -156,7 +156,7 @@
   sendHeartbeat(cluster, agent, 20);
   assert.equal(cluster.applyHeartbeat(earlyHeartbeat, 'heartbeat', 30), false);
   assert.equal(job?.activeAttempts.size, 1);
-  agent.lapse();
+  agent.expireLease();
   sendHeartbeat(cluster, agent, 40);
   assert.equal(job?.readyCount, 1);
   assert.equal(
@@ -173,12 +173,12 @@
   const [first, second] = [...agent.tasks.keys()] as [string, string];
   agent.exit(first, 'done');
   assert.deepEqual(sendHeartbeat(cluster, agent, 20), []);
-  const [progressWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const [progressWrite] = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   assert.ok(progressWrite);
   // The write was refused, so the progress is still to be written.
   progressWrite.retry(false);
   assert.deepEqual(sendHeartbeat(cluster, agent, 30), []);
-  const [repeatedWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const [repeatedWrite] = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   repeatedWrite?.applied(9);
   assert.deepEqual(
     sendHeartbeat(cluster, agent, 40).map((command) => command.op),
@@ -186,7 +186,7 @@
   );
   agent.exit(second, 'done');
   sendHeartbeat(cluster, agent, 50);
-  const [endWrite] = pendingWrites(cluster, { progressChanges: 0, wallNow: 0 });
+  const [endWrite] = collectPendingWrites(cluster, { progressChanges: 0, wallNow: 0 });
   assert.deepEqual(
     endWrite?.changes.map((change) => [change.op, change.key]),
     [
@@ -229,7 +229,7 @@
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
-  const { commands } = takePendingCommands(machine);
+  const { commands } = dequeuePendingCommands(machine);
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
   let now = 0;
   // Until then the task counts against the team's limit, whatever the heartbeats list.
@@ -248,7 +248,7 @@
   runPlacementRound(cluster, 1, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
-  const { commands, starts } = takePendingCommands(machine);
+  const { commands, starts } = dequeuePendingCommands(machine);
   agent.execute(1, commands);
   cluster.applyCommandResult(starts, true, agent.heartbeat().sequence);
   sendHeartbeat(cluster, agent, 100);
@@ -266,7 +266,7 @@
   assert.equal(agent.execute(1, commands, 0), false);
   // Starts under the raised fence are executed as before.
   runPlacementRound(cluster, 32, now);
-  const next = takePendingCommands(machine);
+  const next = dequeuePendingCommands(machine);
   assert.equal(agent.execute(1, next.commands, machine.fence), true);
   assert.ok(agent.running().length > 0);
 });
@@ -279,12 +279,12 @@
   const [first, second] = [...agent.tasks.keys()] as [string, string];
   agent.exit(first, 'done');
   sendHeartbeat(cluster, agent, 20);
-  const [firstWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const [firstWrite] = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   assert.deepEqual(firstWrite?.conditions[1], { key: 'bits/req-000001/0000/0', version: 0 });
   // The write received no response, so the stored version is read before the next write.
   firstWrite?.retry(true);
-  assert.deepEqual(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
-  assert.deepEqual(chunksOfUnknownVersion(cluster), [{ job, chunk: 0 }]);
+  assert.deepEqual(collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 }), []);
+  assert.deepEqual(chunksWithUnknownVersion(cluster), [{ job, chunk: 0 }]);
   assert.deepEqual(
     sendHeartbeat(cluster, agent, 30).filter((command) => command.op === 'forget'),
     [],
@@ -292,7 +292,7 @@
   job.chunkVersions.set(0, 7);
   agent.exit(second, 'done');
   sendHeartbeat(cluster, agent, 40);
-  const [secondWrite] = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
+  const [secondWrite] = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   // The write requires that version; the late one requires an absent key and fails from then on.
   assert.deepEqual(secondWrite?.conditions[1], { key: 'bits/req-000001/0000/0', version: 7 });
   secondWrite?.applied(9);
@@ -421,8 +421,8 @@
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine);
-  const { starts } = takePendingCommands(machine);
-  agent.lapse();
+  const { starts } = dequeuePendingCommands(machine);
+  agent.expireLease();
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 10);
   assert.equal(cluster.quotaUsage.get('ops')?.cpus, 0);
   cluster.applyCommandResult(starts, false, agent.sequence);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -156,7 +156,7 @@
   for (let from = 0; from < MACHINES; from += 500)
     for (const write of roster.add(entries.slice(from, from + 500))) {
       assert.ok(JSON.stringify({ machines: write.entries }).length <= 2 * 1024);
-      stored.set(write.key, write.entries);
+      stored.set(write.keySuffix, write.entries);
       write.applied(++revision);
     }
   assert.equal([...stored.values()].flat().length, MACHINES);
@@ -167,7 +167,7 @@
   for (let n = 1; n <= MACHINES; n += 2) nextRoster.removeMachine(machineId(n));
   const added = Array.from({ length: MACHINES / 2 }, (_, i) => rosterEntry(MACHINES + i + 1));
   for (const write of nextRoster.add(added)) {
-    stored.set(write.key, write.entries);
+    stored.set(write.keySuffix, write.entries);
     write.applied(++revision);
   }
   for (
@@ -176,8 +176,8 @@
     writes = nextRoster.rewriteStalePages(1e9)
   )
     for (const write of writes) {
-      if (write.entries.length > 0) stored.set(write.key, write.entries);
-      else stored.delete(write.key);
+      if (write.entries.length > 0) stored.set(write.keySuffix, write.entries);
+      else stored.delete(write.keySuffix);
       write.applied(++revision);
     }
   const expected = new Set(
--- a/test/scheduler-history.test.ts
+++ b/test/scheduler-history.test.ts
@@ -5,11 +5,14 @@
 import type { Heartbeat } from '../src/model/heartbeat.js';
 import type { RosterEntry } from '../src/model/machine.js';
 import type { TaskCommand } from '../src/model/task-command.js';
-import { chunksOfUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
+import { chunksWithUnknownVersion } from '../src/scheduler/persistence/bitmap-chunk-write.js';
 import type { DurableWrite } from '../src/scheduler/persistence/durable-write.js';
-import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { collectPendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
-import { raiseFenceIfDue, takePendingCommands } from '../src/scheduler/reconcile/task-commands.js';
+import {
+  dequeuePendingCommands,
+  raiseFenceIfDue,
+} from '../src/scheduler/reconcile/task-commands.js';
 import type { ClusterState } from '../src/scheduler/state/cluster-state.js';
 import { satisfiesConstraints } from '../src/scheduler/state/constraints.js';
 import type { Machine, TaskAttempt } from '../src/scheduler/state/task-attempt.js';
@@ -121,7 +124,7 @@
   private runAgentEvent(event: number, agent: ScriptedAgent): void {
     switch (event) {
       case 2:
-        if (this.randomInt(2) === 0) agent.lapse();
+        if (this.randomInt(2) === 0) agent.expireLease();
         break;
       case 3:
         if (this.randomInt(6) === 0) this.terminateMachine(agent);
@@ -206,7 +209,7 @@
     for (const machine of [...this.cluster.pendingCommands]) {
       this.cluster.pendingCommands.delete(machine);
       const agent = this.agents.find((candidate) => candidate.id === machine.id);
-      const { commands, starts } = takePendingCommands(machine);
+      const { commands, starts } = dequeuePendingCommands(machine);
       if (agent && commands.length > 0)
         this.commands.push({
           agent,
@@ -240,9 +243,9 @@
   }
 
   private writePending(): void {
-    for (const { job, chunk } of chunksOfUnknownVersion(this.cluster))
+    for (const { job, chunk } of chunksWithUnknownVersion(this.cluster))
       job.chunkVersions.set(chunk, this.bitmapVersions.get(job.spec.id) ?? 0);
-    for (const write of pendingWrites(this.cluster, { progressChanges: 9, wallNow: 0 })) {
+    for (const write of collectPendingWrites(this.cluster, { progressChanges: 9, wallNow: 0 })) {
       const outcome = this.randomInt(8);
       if (outcome < 2) {
         if (outcome === 0) this.delayedWrites.push({ cluster: this.cluster, write });
@@ -322,7 +325,7 @@
           (machine) => machine.inherited && satisfiesConstraints(machine, job),
         );
         assert.equal(
-          this.cluster.inheritedMachines.mayHold(job),
+          this.cluster.inheritedMachines.mayRunTasksOf(job),
           held,
           'inherited machines are miscounted',
         );
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -146,7 +146,7 @@
   }
 
   /** Simulates the expiry of its lease. */
-  lapse(): void {
+  expireLease(): void {
     this.agentEpoch++;
     this.tasks.clear();
   }
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -46,7 +46,7 @@
   sync(): void {
     const now = this.world.clock.now();
     if (now - this.leaseFrom > this.world.leaseMs) {
-      this.worker.lapse();
+      this.worker.expireLease();
       this.leaseFrom = now;
       this.ends.clear();
     }
--- a/test/task-attempt.test.ts
+++ b/test/task-attempt.test.ts
@@ -8,7 +8,7 @@
   joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const machine = cluster.machines.get('n-1');
   const job = cluster.addJob(jobSpec({ tasks: 4, cpus: 4, memoryGb: 8 }), 5, 0, false);
-  const index = job?.takeReadyTask();
+  const index = job?.popReadyTask();
   assert.ok(machine && job && typeof index === 'number');
   return { job, machine, attempt: cluster.assign(job, index, machine, 0) };
 }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -11,7 +11,7 @@
 import { fencingToken, truncateCommands } from '../src/protocol/agent-protocol.js';
 import { BitmapLayout } from '../src/records/bitmap-layout.js';
 import { decodeJobSpec } from '../src/records/job-record.js';
-import { pendingWrites } from '../src/scheduler/persistence/pending-writes.js';
+import { collectPendingWrites } from '../src/scheduler/persistence/pending-writes.js';
 import { Roster } from '../src/scheduler/persistence/roster.js';
 import { runPlacementRound } from '../src/scheduler/placement/placement-round.js';
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
@@ -207,9 +207,9 @@
     for (const pageWrite of writes) {
       assert.ok(
         JSON.stringify({ machines: pageWrite.entries }).length <= NEXT.value_kb * KIB,
-        pageWrite.key,
+        pageWrite.keySuffix,
       );
-      stored.set(pageWrite.key, pageWrite.entries);
+      stored.set(pageWrite.keySuffix, pageWrite.entries);
       pageWrite.applied(revision++);
       // At no moment is a machine that may have tasks missing.
       const names = new Set([...stored.values()].flat().map((entry) => entry.id));
@@ -225,10 +225,10 @@
   roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(entry));
   roster.removeMachine('n-000001');
   const moves = roster.rewriteStalePages(9);
-  assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.key !== '3-1'));
+  assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.keySuffix !== '3-1'));
   // No answer: what stands there is not known, so both pages keep them.
   for (const pageWrite of moves) pageWrite.outcomeUnknown();
-  for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.key, '3-1');
+  for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.keySuffix, '3-1');
 });
 
 test('peers of both versions read each other, and tokens stay what they were', () => {
@@ -349,7 +349,7 @@
   assert.ok(store.entries.has('over/req-000002'));
   assert.equal(refused, 2);
   stop.abort();
-  assert.equal(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }).length, 1);
+  assert.equal(collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 }).length, 1);
 });
 
 test('a 429 to a change lowers the rate of changes at once, and what leads still goes first', async (t) => {
