--- a/test/decision-trace.test.ts
+++ b/test/decision-trace.test.ts
@@ -3,14 +3,15 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { Worker } from 'node:worker_threads';
-import { Notes } from './support/trace/notes.js';
-import type { PlayedHistory } from './support/trace/player.js';
+import { EventCounts } from './support/trace/event-counts.js';
+import type { HistoryResult } from './support/trace/history-worker.js';
 
 /**
- * What leaves the controllers, in whole histories, as it was when this was
- * written: each history's digest by its kind, for the seeds from 1 on. A
- * change of these is a change of behaviour. One that is meant is shown by the
- * difference of the traces, and the new digests stand beside it in the commit.
+ * Digests of everything that the controllers send, by kind of history, for
+ * seeds 1, 2 and so on. A changed digest means that the behaviour of the
+ * controllers changed. For an intended change, the commit shows the difference
+ * between the traces and contains the new digests. The kinds keep their names,
+ * because each name is part of the seed of its histories.
  */
 const DIGESTS: Record<string, string[]> = {
   calm: ['8e65f70b27a467e6', 'd9978cb019ade86f'],
@@ -27,107 +28,111 @@
   'lowered limits': ['e396f6c1ec841dbc', 'e617ceae83fdc370'],
 };
 
-/** Over all histories each of these happens at least so often, or the digests would show little. */
-const LEAST: Record<string, number> = {
-  'announced cancellations': 80,
+/**
+ * Minimum number of times that each event occurs in all histories together.
+ * Without these events the digests would cover little behaviour.
+ */
+const MIN_COUNTS: Record<string, number> = {
+  'cancellation notices': 80,
   'bitmap writes': 830,
-  'cancellations asked': 60,
-  'cancellations carried on': 33,
+  'cancellation requests': 60,
+  'cancellations propagated to dependent jobs': 33,
   'capacity refusals': 580,
-  'checkpoints saved': 23,
-  'deaf machines returned': 4,
+  'task stops with a grace period': 23,
+  'unresponsive machines terminated': 4,
   'direct commands': 870,
   failures: 30,
-  'heard machines returned': 130,
+  'healthy machines terminated': 130,
   'jobs cancelled': 80,
   'jobs done': 670,
-  'late commands': 3,
-  'late copies': 50,
-  'late transactions': 8,
-  'lease renewals': 1170,
-  'lost answers of the state service': 9,
-  'lost answers to commands': 3,
-  'lost answers to reports': 50,
-  'machine lists': 770,
-  'mailed answers': 230,
-  'mailed reports': 300,
-  'never booted machines returned': 3,
-  'orders to forget': 2010,
-  'orders to start': 2330,
-  'orders to stop': 590,
+  'delayed commands': 3,
+  'duplicate heartbeats': 50,
+  'delayed transactions': 8,
+  'state service lease renewals': 1170,
+  'lost state service responses': 9,
+  'lost command responses': 3,
+  'lost heartbeat responses': 50,
+  'machine list requests': 770,
+  'mailbox responses': 230,
+  'mailbox requests': 300,
+  'never booted machines terminated': 3,
+  'forget commands': 2010,
+  'start commands': 2330,
+  'stop commands': 590,
   preemptions: 470,
   redirections: 410,
-  'refusals of submissions': 37,
-  'relayed reports': 480,
-  'relayed users': 27,
-  rentals: 820,
-  'reports answered': 6030,
-  returns: 120,
+  'rejected submissions': 37,
+  'forwarded heartbeats': 480,
+  'forwarded user requests': 27,
+  provisioning: 820,
+  'heartbeat responses': 6030,
+  termination: 120,
   'roster writes': 530,
-  'seconds of a team at its limit': 250,
-  'sessions lost': 9,
-  'silent machines returned': 7,
-  'spot notices': 12,
+  'seconds with a team at its CPU limit': 250,
+  'agent leases expired': 9,
+  'hung machines terminated': 7,
+  'preemption notices': 12,
   starts: 1900,
-  'starts of jobs that needed others': 180,
+  'starts of dependent jobs': 180,
   'state service: 410': 4,
   'state service: 429': 50,
   'state service: 503': 590,
-  'stops for a spot notice': 10,
-  'stops of cancelled work': 70,
-  'submissions accepted': 560,
-  'submissions repeated': 110,
+  'task stops after a preemption notice': 10,
+  'task stops of ended jobs': 70,
+  'accepted submissions': 560,
+  'repeated submissions': 110,
   terms: 80,
-  'transactions in conflict': 110,
+  'transaction conflicts': 110,
   unavailable: 70,
-  'upstream pages': 4,
+  'dependency list pages': 4,
 };
 
 const HINT =
-  'To compare, run this test on both sources with TRACE_DIR=<directory> and diff the files there.';
+  'To compare, run this test on both versions with TRACE_DIR=<directory> and diff the files there.';
 
-const YOUNG_MB = 96;
+/** Heap space for new objects in the worker: the simulation allocates many short-lived objects. */
+const YOUNG_GENERATION_MB = 96;
 
-/** Plays all histories in a thread of their own; see the player for the reason. */
-function playAll(): Promise<PlayedHistory[]> {
-  const asked = Object.entries(DIGESTS).flatMap(([kind, digests]) =>
+/** Runs all histories in a worker thread, for the reasons given in history-worker.ts. */
+function runHistories(): Promise<HistoryResult[]> {
+  const requested = Object.entries(DIGESTS).flatMap(([kind, digests]) =>
     digests.map((_, i) => ({ kind, seed: i + 1 })),
   );
-  const player = new Worker(new URL('./support/trace/player.js', import.meta.url), {
-    workerData: asked,
-    // What is played makes much garbage that lives briefly.
-    resourceLimits: { maxYoungGenerationSizeMb: YOUNG_MB },
+  const worker = new Worker(new URL('./support/trace/history-worker.js', import.meta.url), {
+    workerData: requested,
+    resourceLimits: { maxYoungGenerationSizeMb: YOUNG_GENERATION_MB },
   });
-  const played: PlayedHistory[] = [];
-  player.on('message', (history: PlayedHistory) => played.push(history));
+  const results: HistoryResult[] = [];
+  worker.on('message', (result: HistoryResult) => results.push(result));
   return new Promise((resolve, reject) => {
-    player.on('error', reject);
-    player.on('exit', () => resolve(played));
+    worker.on('error', reject);
+    worker.on('exit', () => resolve(results));
   });
 }
 
-function keep(directory: string, { kind, seed, text }: PlayedHistory): void {
+function writeTrace(directory: string, { kind, seed, text }: HistoryResult): void {
   mkdirSync(directory, { recursive: true });
   writeFileSync(join(directory, `${kind.replaceAll(' ', '-')}-${seed}.txt`), text);
 }
 
-test('what leaves the controllers is the same as ever, in every history', async (t) => {
-  const histories = await playAll();
+test('the controllers send the same messages as recorded in every history', async (t) => {
+  const histories = await runHistories();
   const directory = process.env.TRACE_DIR;
-  if (directory) for (const history of histories) keep(directory, history);
+  if (directory) for (const history of histories) writeTrace(directory, history);
   for (const [kind, digests] of Object.entries(DIGESTS))
     for (const [i, digest] of digests.entries())
       await t.test(`${kind} ${i + 1}`, () => {
         const history = histories.find((h) => h.kind === kind && h.seed === i + 1);
         assert.equal(history?.digest, digest, `history "${kind}", seed ${i + 1}. ${HINT}`);
       });
-  await t.test('enough happens in them', () => {
-    const notes = new Notes();
-    for (const { counts } of histories) for (const [name, times] of counts) notes.add(name, times);
-    if (directory) writeFileSync(join(directory, 'counts.json'), JSON.stringify([...notes.counts]));
-    for (const [name, least] of Object.entries(LEAST)) {
-      const times = notes.counts.get(name) ?? 0;
-      assert.ok(times >= least, `${name}: ${times}, and not ${least} or more`);
+  await t.test('the histories contain enough events of each kind', () => {
+    const totals = new EventCounts();
+    for (const { counts } of histories) for (const [name, count] of counts) totals.add(name, count);
+    if (directory)
+      writeFileSync(join(directory, 'counts.json'), JSON.stringify([...totals.byName]));
+    for (const [name, minimum] of Object.entries(MIN_COUNTS)) {
+      const count = totals.byName.get(name) ?? 0;
+      assert.ok(count >= minimum, `${name}: ${count}, expected at least ${minimum}`);
     }
   });
 });
--- a/test/support/trace/cloud.ts
+++ b/test/support/trace/cloud.ts
@@ -1,18 +1,23 @@
 import { draw } from './draw.js';
-import type { PlayedNet, PlayedRequest, Service } from './net.js';
+import type { RequestHandler, SimulatedNetwork, SimulatedRequest } from './net.js';
 
-/** A machine as the cloud knows it. */
-export interface Cart {
+/**
+ * A machine in the cloud's machine list. All fields but `provisionedAt` are
+ * sent under these names.
+ */
+export interface CloudMachine {
   id: string;
   endpoint: string;
   rig: string;
   hall: string;
   loaner: boolean;
   standing: 'booting' | 'running' | 'failed';
-  rentedAt: number;
+  provisionedAt: number;
 }
 
-interface Hire {
+/** Body of a provisioning request, with the field names of the protocol. */
+interface ProvisionRequest {
+  /** Makes the request idempotent: a repeated one returns the same machines. */
   hire: string;
   rig: string;
   hall: string;
@@ -20,130 +25,146 @@
   count: number;
 }
 
-/** How long a machine of any type takes to boot, in seconds. */
-const READY_S = 6;
+/** Announced boot time of each machine type, in seconds. The actual time is 70 to 130% of it. */
+const BOOT_S = 6;
 
-/** Two types of machines, one of them with accelerators. */
-const RIGS = [
+/** A machine type without accelerators and one with, as the protocol describes them. */
+const MACHINE_TYPES = [
   { sku: 'm16', cores: 16, accelerators: 0, memoryGb: 64, rate: 1, spotPrice: 0.3 },
   { sku: 'g8', cores: 8, accelerators: 2, memoryGb: 64, rate: 3, spotPrice: 1.2 },
-].map((rig) => ({ ...rig, cacheGb: 50, pullGbPerS: 0.5, readyS: READY_S, halls: ['a', 'b'] }));
+].map((type) => ({ ...type, cacheGb: 50, pullGbPerS: 0.5, readyS: BOOT_S, halls: ['a', 'b'] }));
 
-const CORES = new Map(RIGS.map((rig) => [rig.sku, rig.cores]));
+const CPUS_BY_TYPE = new Map(MACHINE_TYPES.map((type) => [type.sku, type.cores]));
 
-export function coresOf(rig: string): number {
-  return CORES.get(rig) ?? 0;
+export function cpusOfType(type: string): number {
+  return CPUS_BY_TYPE.get(type) ?? 0;
 }
 
-/** Machines in a page of the list. */
-const PAGE_CARTS = 6;
-const PORT = 9000;
-/** A machine that the cloud took shows in the list for so long. */
-const LINGER_MS = 9000;
+const MACHINES_PER_PAGE = 6;
+const AGENT_PORT = 9000;
+/** How long the machine list still shows a preempted machine. */
+const PREEMPTED_LISTED_MS = 9000;
 
-/** The cloud in the wire's words: bounded capacity, slow boots, and faults by script. */
-export class PlayedCloud {
-  readonly carts = new Map<string, Cart>();
-  /** Machines that may be had of a kind at a time. */
-  capacity: (rig: string, hall: string, loaner: boolean) => number = () => 6;
-  /** Nothing is answered. */
-  silent = false;
-  /** Rentals and returns that are carried out without an answer. */
-  lostAnswers = 0;
-  /** Machines that never boot. */
-  deadOnArrival = 0;
-  refusals = 0;
-  /** Machines that were taken and still show in the list. */
-  private readonly lingering = new Set<Cart>();
-  private made = 0;
-  private readonly hired = new Map<string, string[]>();
+/**
+ * The cloud, with bounded capacity, boot times and scripted faults. Its messages
+ * use the field names of the protocol.
+ */
+export class SimulatedCloud {
+  readonly machines = new Map<string, CloudMachine>();
+  /** Maximum number of machines at a time for a type, zone and purchase option. */
+  capacity: (type: string, zone: string, spot: boolean) => number = () => 6;
+  /** While true, no request gets a response or has an effect. */
+  unresponsive = false;
+  /** Fraction of the provisioning and termination requests that are executed without a response. */
+  lostResponseRate = 0;
+  /** Fraction of the machines that never boot. */
+  bootFailureRate = 0;
+  capacityRefusals = 0;
+  /** Preempted machines that the machine list still shows. */
+  private readonly preempted = new Set<CloudMachine>();
+  private machinesCreated = 0;
+  /** Machine ids by the name of the request that provisioned them. */
+  private readonly provisionedByRequest = new Map<string, string[]>();
 
   constructor(
-    private readonly net: PlayedNet,
+    private readonly net: SimulatedNetwork,
     private readonly seed: string,
-    private readonly onBoot: (cart: Cart) => void,
-    private readonly onGone: (id: string, returned: boolean) => void,
+    private readonly onBoot: (machine: CloudMachine) => void,
+    private readonly onRemoved: (id: string, terminated: boolean) => void,
   ) {
     net.serve('cloud', 2, (request, respond) => this.handle(request, respond));
   }
 
-  /** The cloud takes a machine back by itself. */
-  take(id: string, returned = false): void {
-    const cart = this.carts.get(id);
-    if (!cart) return;
-    this.carts.delete(id);
-    if (!returned) {
-      this.lingering.add(cart);
-      this.net.time.later(LINGER_MS, () => this.lingering.delete(cart));
+  /** Removes a machine: terminated on request, or else preempted by the cloud. */
+  remove(id: string, terminated = false): void {
+    const machine = this.machines.get(id);
+    if (!machine) return;
+    this.machines.delete(id);
+    if (!terminated) {
+      this.preempted.add(machine);
+      this.net.time.schedule(PREEMPTED_LISTED_MS, () => this.preempted.delete(machine));
     }
-    this.onGone(id, returned);
+    this.onRemoved(id, terminated);
   }
 
-  private handle({ method, target, body }: PlayedRequest, respond: Parameters<Service>[1]): void {
-    if (this.silent) return;
+  private handle(
+    { method, target, body }: SimulatedRequest,
+    respond: Parameters<RequestHandler>[1],
+  ): void {
+    if (this.unresponsive) return;
     const url = new URL(target, 'http://cloud');
     if (url.pathname === '/flavors') {
-      respond(200, { rigs: RIGS });
+      respond(200, { rigs: MACHINE_TYPES });
       return;
     }
     if (method === 'GET') {
       respond(200, this.list(url.searchParams.get('after') ?? ''));
       return;
     }
-    const what = JSON.stringify(body);
-    const lost = draw(this.seed, 'cloud', this.net.time.now(), what) < this.lostAnswers;
+    const requestText = JSON.stringify(body);
+    const isResponseLost =
+      draw(this.seed, 'cloud', this.net.time.now(), requestText) < this.lostResponseRate;
     if (url.pathname === '/machines/return') {
-      for (const id of (body as { carts: string[] }).carts) this.take(id, true);
-      if (!lost) respond(200, {});
+      for (const id of (body as { carts: string[] }).carts) this.remove(id, true);
+      if (!isResponseLost) respond(200, {});
       return;
     }
-    const hire = body as Hire;
-    const carts = this.hired.get(hire.hire) ?? this.hire(hire);
-    if (lost) return;
-    if (carts.length === 0) {
-      this.refusals++;
+    const request = body as ProvisionRequest;
+    const ids = this.provisionedByRequest.get(request.hire) ?? this.provision(request);
+    if (isResponseLost) return;
+    if (ids.length === 0) {
+      this.capacityRefusals++;
       respond(503, { error: 'no capacity' });
-    } else respond(200, { carts });
+    } else respond(200, { carts: ids });
   }
 
   private list(after: string) {
     const now = this.net.time.now();
-    const all = [...this.carts.values(), ...this.lingering]
-      .filter((c) => c.id > after)
+    const all = [...this.machines.values(), ...this.preempted]
+      .filter((m) => m.id > after)
       .sort((a, b) => (a.id < b.id ? -1 : 1))
-      .map(({ rentedAt, ...cart }) => ({ ...cart, ageS: (now - rentedAt) / 1000 }));
-    return { carts: all.slice(0, PAGE_CARTS), hasNext: all.length > PAGE_CARTS };
+      .map(({ provisionedAt, ...fields }) => ({
+        ...fields,
+        ageS: (now - provisionedAt) / 1000,
+      }));
+    return { carts: all.slice(0, MACHINES_PER_PAGE), hasNext: all.length > MACHINES_PER_PAGE };
   }
 
-  private hire({ hire, rig, hall, loaner, count }: Hire): string[] {
-    const like = [...this.carts.values()].filter(
-      (c) => c.rig === rig && c.hall === hall && c.loaner === loaner,
+  private provision({
+    hire: name,
+    rig: type,
+    hall: zone,
+    loaner: spot,
+    count,
+  }: ProvisionRequest): string[] {
+    const sameKind = [...this.machines.values()].filter(
+      (m) => m.rig === type && m.hall === zone && m.loaner === spot,
     );
-    const got = Math.min(count, Math.max(0, this.capacity(rig, hall, loaner) - like.length));
-    const ids = Array.from({ length: got }, () => this.rent(rig, hall, loaner));
-    if (got > 0) this.hired.set(hire, ids);
+    const created = Math.min(count, Math.max(0, this.capacity(type, zone, spot) - sameKind.length));
+    const ids = Array.from({ length: created }, () => this.createMachine(type, zone, spot));
+    if (created > 0) this.provisionedByRequest.set(name, ids);
     return ids;
   }
 
-  private rent(rig: string, hall: string, loaner: boolean): string {
+  private createMachine(type: string, zone: string, spot: boolean): string {
     const { time } = this.net;
-    const id = `n-${String(++this.made).padStart(6, '0')}`;
-    const endpoint = `${id}:${PORT}`;
-    const cart: Cart = {
+    const id = `n-${String(++this.machinesCreated).padStart(6, '0')}`;
+    const endpoint = `${id}:${AGENT_PORT}`;
+    const machine: CloudMachine = {
       id,
       endpoint,
-      rig,
-      hall,
-      loaner,
+      rig: type,
+      hall: zone,
+      loaner: spot,
       standing: 'booting',
-      rentedAt: time.now(),
+      provisionedAt: time.now(),
     };
-    this.carts.set(id, cart);
-    if (draw(this.seed, 'boot', id) < this.deadOnArrival) return id;
-    time.later(READY_S * 1000 * (0.7 + 0.6 * draw(this.seed, 'boots', id)), () => {
-      if (!this.carts.has(id)) return;
-      cart.standing = 'running';
-      this.onBoot(cart);
+    this.machines.set(id, machine);
+    if (draw(this.seed, 'boot', id) < this.bootFailureRate) return id;
+    time.schedule(BOOT_S * 1000 * (0.7 + 0.6 * draw(this.seed, 'boots', id)), () => {
+      if (!this.machines.has(id)) return;
+      machine.standing = 'running';
+      this.onBoot(machine);
     });
     return id;
   }
--- a/test/support/trace/draw.ts
+++ b/test/support/trace/draw.ts
@@ -1,4 +1,4 @@
-/** A number of 32 bits that depends on nothing but the text (FNV-1a, mixed once more). */
+/** Returns a 32-bit hash of the text: FNV-1a with a final mixing step. */
 export function hashOf(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i++)
@@ -8,8 +8,10 @@
 }
 
 /**
- * A draw from 0 up to 1 for a named purpose. Unlike a stream of numbers it
- * does not depend on how many others were drawn before it.
+ * Returns a pseudo-random number in [0, 1) that depends only on the purpose.
+ * Unlike the next number of a generator, it does not depend on how many numbers
+ * were drawn before. Each purpose is part of the recorded histories: changing
+ * its text changes their digests.
  */
 export function draw(...purpose: (string | number)[]): number {
   return hashOf(purpose.join(' ')) / 2 ** 32;
--- a/test/support/trace/histories.ts
+++ b/test/support/trace/histories.ts
@@ -1,23 +1,23 @@
 import { draw } from './draw.js';
-import type { PlayedMachine } from './machine.js';
+import type { SimulatedMachine } from './machine.js';
 import { type StateSettings, type Submission, TracedWorld } from './world.js';
 
-/** One history: what goes wrong, when, and how long it lasts. */
-interface Script {
-  /** Seconds after which the troubles begin, between two of them, and until the end. */
-  from: number;
-  every: number;
-  until: number;
-  /** The n-th trouble. */
-  trouble: (play: Play, n: number) => void;
-  /** Where the state service's settings differ. */
-  state?: Partial<StateSettings>;
-  /** Before anything is submitted. */
-  prepare?: (play: Play) => void;
+/** The faults and the length of one kind of history. */
+interface HistoryScript {
+  /** Time of the first fault, interval between faults, and time of the end, all counted from the first user action. */
+  firstFaultS: number;
+  faultIntervalS: number;
+  durationS: number;
+  /** Injects a fault. `faultIndex` counts from 0. */
+  injectFault: (run: HistoryRun, faultIndex: number) => void;
+  /** State service settings that replace the defaults. */
+  stateSettings?: Partial<StateSettings>;
+  /** Called before the first submission. */
+  setUp?: (run: HistoryRun) => void;
 }
 
-/** Kinds of work that users submit in turn. */
-const WORK: Partial<Submission>[] = [
+/** Jobs that users submit in turn. */
+const TEMPLATES: Partial<Submission>[] = [
   {},
   { rank: 'low', bracket: 'batch', hands: 4, expectedS: 60, markEveryS: 10, markCostS: 2 },
   { crew: 'lab', cores: 8, hands: 3, loaner: false },
@@ -29,8 +29,8 @@
   { crew: 'lab', cores: 2, hands: 10, rank: 'urgent', expectedS: 10 },
 ];
 
-/** Submissions that must be refused. */
-const REFUSED: Partial<Submission>[] = [
+/** Submissions that the controllers must reject. */
+const INVALID_SUBMISSIONS: Partial<Submission>[] = [
   { cores: 400 },
   { crew: 'nobody' },
   { hands: 0 },
@@ -38,301 +38,341 @@
   { crew: 'lab', cores: 30 },
 ];
 
-/** A world while a history is played, with the users of every day. */
-export class Play {
+/** A running history, with the users and their routine requests. */
+export class HistoryRun {
   readonly world: TracedWorld;
-  readonly ids: string[] = [];
-  readonly recalled = new Set<PlayedMachine>();
+  readonly jobIds: string[] = [];
+  /** Machines that got a preemption notice. */
+  readonly preempted = new Set<SimulatedMachine>();
 
   constructor(
     readonly seed: string,
-    state: Partial<StateSettings> = {},
+    stateSettings: Partial<StateSettings> = {},
   ) {
-    this.world = new TracedWorld(seed, state);
+    this.world = new TracedWorld(seed, stateSettings);
   }
 
-  luck(...purpose: (string | number)[]): number {
+  /** Returns a pseudo-random number in [0, 1) for the purpose. */
+  draw(...purpose: (string | number)[]): number {
     return draw(this.seed, ...purpose);
   }
 
-  one<T>(list: readonly T[], ...purpose: (string | number)[]): T | undefined {
-    return list[Math.floor(this.luck(...purpose) * list.length)];
+  /** Returns a pseudo-random element, or undefined when the list is empty. */
+  pick<T>(list: readonly T[], ...purpose: (string | number)[]): T | undefined {
+    return list[Math.floor(this.draw(...purpose) * list.length)];
   }
 
-  machine(n: number): PlayedMachine | undefined {
-    const up = [...this.world.machines.values()];
-    return this.one(up, 'machine', n);
+  pickMachine(faultIndex: number): SimulatedMachine | undefined {
+    const machines = [...this.world.machines.values()];
+    return this.pick(machines, 'machine', faultIndex);
   }
 
-  recall(m: PlayedMachine, seconds: number): void {
-    this.recalled.add(m);
-    this.world.recall(m, seconds);
+  preempt(machine: SimulatedMachine, noticeS: number): void {
+    this.preempted.add(machine);
+    this.world.preempt(machine, noticeS);
   }
 
-  /** What the n-th step of everyday use is. */
-  use(n: number): void {
-    const { world, ids } = this;
-    const luck = this.luck('use', n);
-    const id = this.one(ids.slice(-10), 'id', n);
-    if (n % 3 === 0 || !id) ids.push(world.submit(this.work(n)));
-    else if (luck < 0.5) world.query(id);
-    else if (luck < 0.62) world.submit({ id });
-    else if (luck < 0.72) world.cancel(id);
-    else if (luck < 0.78) world.submit(this.one(REFUSED, 'refused', n));
-    else ids.push(world.submit({ ...this.work(n + 1), awaits: this.upstream(n) }));
-    if (n % 10 === 0) world.ask('GET', '/healthz', undefined, n % 3);
+  /** Sends the user requests of one step: a submission, status query, repeated or invalid submission, or cancellation. */
+  sendRequests(step: number): void {
+    const { world, jobIds } = this;
+    const sample = this.draw('use', step);
+    const id = this.pick(jobIds.slice(-10), 'id', step);
+    if (step % 3 === 0 || !id) jobIds.push(world.submit(this.jobTemplate(step)));
+    else if (sample < 0.5) world.query(id);
+    else if (sample < 0.62) world.submit({ id });
+    else if (sample < 0.72) world.cancel(id);
+    else if (sample < 0.78) world.submit(this.pick(INVALID_SUBMISSIONS, 'refused', step));
+    else
+      jobIds.push(
+        world.submit({ ...this.jobTemplate(step + 1), awaits: this.drawDependencies(step) }),
+      );
+    if (step % 10 === 0) world.sendUserRequest('GET', '/healthz', undefined, step % 3);
   }
 
-  private work(n: number): Partial<Submission> {
-    return WORK[Math.floor(n / 3 + this.luck('work') * WORK.length) % WORK.length] ?? {};
+  private jobTemplate(step: number): Partial<Submission> {
+    return (
+      TEMPLATES[Math.floor(step / 3 + this.draw('work') * TEMPLATES.length) % TEMPLATES.length] ??
+      {}
+    );
   }
 
-  private upstream(n: number): string[] {
-    return this.ids.slice(-4).filter((id) => this.luck('needs', n, id) < 0.5);
+  /** Returns each of the last four jobs with a probability of one half. */
+  private drawDependencies(step: number): string[] {
+    return this.jobIds.slice(-4).filter((id) => this.draw('needs', step, id) < 0.5);
   }
 }
 
-/** Everyday use with scripted troubles from beginning to end. */
-export async function playHistory(kind: string, seed: number): Promise<TracedWorld> {
+/** Runs one history: routine user requests with the scripted faults. */
+export async function runHistory(kind: string, seed: number): Promise<TracedWorld> {
   const script = SCRIPTS[kind];
-  if (!script) throw new Error(`no history of the kind ${kind}`);
-  const play = new Play(`${kind} ${seed}`, script.state);
-  const { world } = play;
-  await world.play(async () => {
+  if (!script) throw new Error(`unknown kind of history: ${kind}`);
+  // The kind is part of the seed: renaming it would change the history and its digest.
+  const run = new HistoryRun(`${kind} ${seed}`, script.stateSettings);
+  const { world } = run;
+  await world.simulate(async () => {
     for (const i of [0, 1, 2]) world.start(i);
-    script.prepare?.(play);
+    script.setUp?.(run);
     await world.run(3);
-    let troubles = 0;
-    for (let step = 0; step < script.until; step++) {
-      // Users rest before the end, so that what is idle goes back.
-      if (step < script.until * 0.7) play.use(step);
-      if (step >= script.from && (step - script.from) % script.every === 0)
-        script.trouble(play, troubles++);
+    let faultsInjected = 0;
+    for (let step = 0; step < script.durationS; step++) {
+      // Users stop before the end, so that scale-in terminates idle machines.
+      if (step < script.durationS * 0.7) run.sendRequests(step);
+      if (step >= script.firstFaultS && (step - script.firstFaultS) % script.faultIntervalS === 0)
+        script.injectFault(run, faultsInjected++);
       await world.run(1);
-      world.look();
+      world.countTeamsAtLimit();
     }
-    for (const id of play.ids) world.query(id);
+    for (const id of run.jobIds) world.query(id);
     await world.run(5);
   });
-  world.sumUp();
+  world.countFinalEvents();
   return world;
 }
 
-function restartLater({ world }: Play, i: number, ms: number): void {
+/** Crashes a controller and starts it again after `downMs`. */
+function crashAndRestart({ world }: HistoryRun, i: number, downMs: number): void {
   world.crash(i);
-  world.time.later(ms, () => world.start(i));
+  world.time.schedule(downMs, () => world.start(i));
 }
 
-/** Users come more often than machines do: everything but the trouble named is calm. */
-const SCRIPTS: Record<string, Script> = {
+/**
+ * Scripts by kind of history. Users send a request every second, more often than
+ * a machine sends a heartbeat. Nothing fails but what the script makes fail.
+ */
+const SCRIPTS: Record<string, HistoryScript> = {
+  // Preemptions of spot machines, with little capacity in the cloud.
   calm: {
-    from: 18,
-    every: 6,
-    until: 66,
-    prepare: ({ world }) => {
-      world.cloud.capacity = (rig) => (rig === 'm16' ? 2 : 1);
+    firstFaultS: 18,
+    faultIntervalS: 6,
+    durationS: 66,
+    setUp: ({ world }) => {
+      world.cloud.capacity = (type) => (type === 'm16' ? 2 : 1);
     },
-    trouble: (play, n) => {
-      const spot = [...play.world.machines.values()].filter(
-        (m) => m.cart.loaner && !play.recalled.has(m),
+    injectFault: (run, faultIndex) => {
+      const spot = [...run.world.machines.values()].filter(
+        (machine) => machine.listed.loaner && !run.preempted.has(machine),
       );
-      const m = play.one(spot, 'spot', n);
-      if (m) play.recall(m, 4 + n * 3);
+      const machine = run.pick(spot, 'spot', faultIndex);
+      if (machine) run.preempt(machine, 4 + faultIndex * 3);
     },
   },
+  // Crashes of the leader, and of all controllers.
   takeovers: {
-    from: 15,
-    every: 12,
-    until: 62,
-    trouble: (play, n) => {
-      const { world } = play;
-      if (n % 3 === 2) for (const i of [0, 1, 2]) restartLater(play, i, 1000 + i * 2500);
-      else restartLater(play, world.leading, 500 + play.luck('back', n) * 6000);
-      // Who keeps the machines meanwhile has to end this.
-      for (const id of play.ids.slice(-9))
-        if (n % 2 === 0 && world.isRunning(id)) world.time.later(300, () => world.cancel(id));
+    firstFaultS: 15,
+    faultIntervalS: 12,
+    durationS: 62,
+    injectFault: (run, faultIndex) => {
+      const { world } = run;
+      if (faultIndex % 3 === 2) for (const i of [0, 1, 2]) crashAndRestart(run, i, 1000 + i * 2500);
+      else crashAndRestart(run, world.leaderIndex, 500 + run.draw('back', faultIndex) * 6000);
+      // During the failover, a follower that renews the agents' leases has to stop these tasks.
+      for (const id of run.jobIds.slice(-9))
+        if (faultIndex % 2 === 0 && world.hasLiveTask(id))
+          world.time.schedule(300, () => world.cancel(id));
     },
   },
+  // Network partitions between the leader, the followers, the machines and the zones.
   cuts: {
-    from: 14,
-    every: 16,
-    until: 70,
-    trouble: (play, n) => {
-      const { world } = play;
-      const leader = `c-${world.leading}`;
-      const ms = 8000 + play.luck('cut', n) * 14_000;
+    firstFaultS: 14,
+    faultIntervalS: 16,
+    durationS: 70,
+    injectFault: (run, faultIndex) => {
+      const { world } = run;
+      const leader = `c-${world.leaderIndex}`;
+      const ms = 8000 + run.draw('cut', faultIndex) * 14_000;
       const isMachine = (host: string) => host.startsWith('n-');
       const isPeer = (host: string) => host.startsWith('c-') && host !== leader;
-      if (n % 4 === 0)
-        world.cut(
+      if (faultIndex % 4 === 0)
+        world.partition(
           ms,
           (h) => h === leader,
           (h) => isMachine(h) && h.endsWith('1'),
         );
-      else if (n % 4 === 1)
-        world.cut(
+      else if (faultIndex % 4 === 1)
+        world.partition(
           ms,
           (h) => h === leader,
           (h) => isPeer(h) || isMachine(h),
         );
-      else if (n % 4 === 2)
-        world.cut(
+      else if (faultIndex % 4 === 2)
+        world.partition(
           ms,
           (h) => world.zoneOf(h) === 'a',
           (h) => world.zoneOf(h) === 'b',
         );
-      else world.cut(ms, (h) => h === leader, isMachine);
+      else world.partition(ms, (h) => h === leader, isMachine);
     },
   },
+  // Errors, lost responses, delayed transactions, outages and compactions of the state service.
   'state service': {
-    from: 12,
-    every: 8,
-    until: 64,
-    trouble: (play, n) => {
-      const { world } = play;
-      const ms = 2000 + play.luck('state', n) * 9000;
-      const one = n % 2 === 0 ? world.leading : (world.leading + 1) % 3;
-      if (n % 6 === 0) world.trouble(one, ms, { refusal: 429 });
-      else if (n % 6 === 1) world.trouble(one, ms, { refusal: 503 });
-      else if (n % 6 === 2) world.trouble(one, ms, { lostAnswers: 0.3 });
-      else if (n % 6 === 3) {
+    firstFaultS: 12,
+    faultIntervalS: 8,
+    durationS: 64,
+    injectFault: (run, faultIndex) => {
+      const { world } = run;
+      const ms = 2000 + run.draw('state', faultIndex) * 9000;
+      const controller = faultIndex % 2 === 0 ? world.leaderIndex : (world.leaderIndex + 1) % 3;
+      if (faultIndex % 6 === 0) world.injectStateFaults(controller, ms, { errorStatus: 429 });
+      else if (faultIndex % 6 === 1) world.injectStateFaults(controller, ms, { errorStatus: 503 });
+      else if (faultIndex % 6 === 2)
+        world.injectStateFaults(controller, ms, { lostResponseRate: 0.3 });
+      else if (faultIndex % 6 === 3) {
         world.state.setOutage(true);
-        world.time.later(ms * 2, () => world.state.setOutage(false));
-      } else if (n % 6 === 4) world.trouble(one, ms * 2, { late: 0.6 });
+        world.time.schedule(ms * 2, () => world.state.setOutage(false));
+      } else if (faultIndex % 6 === 4)
+        world.injectStateFaults(controller, ms * 2, { delayedTransactionRate: 0.6 });
       else world.state.compact();
     },
   },
+  // Lost responses, delayed commands, duplicate heartbeats and hung machines.
   'lost and late': {
-    from: 10,
-    every: 12,
-    until: 62,
-    prepare: ({ world }) => {
-      world.lostAnswers = 0.15;
-      world.lateCommands = 0.1;
-      world.copies = 0.15;
+    firstFaultS: 10,
+    faultIntervalS: 12,
+    durationS: 62,
+    setUp: ({ world }) => {
+      world.lostResponseRate = 0.15;
+      world.delayedCommandRate = 0.1;
+      world.duplicateHeartbeatRate = 0.15;
     },
-    trouble: (play, n) => {
-      const m = play.machine(n);
-      if (!m) return;
-      m.hangs = true;
-      play.world.time.later(2000 + play.luck('hangs', n) * 16_000, () => m.resume());
+    injectFault: (run, faultIndex) => {
+      const machine = run.pickMachine(faultIndex);
+      if (!machine) return;
+      machine.hung = true;
+      run.world.time.schedule(2000 + run.draw('hangs', faultIndex) * 16_000, () =>
+        machine.resume(),
+      );
     },
   },
+  // Lost responses and outages of the cloud, and machines that never boot.
   cloud: {
-    from: 8,
-    every: 9,
-    until: 62,
-    prepare: ({ world }) => {
-      world.cloud.capacity = (_rig, hall, loaner) => (loaner ? 1 : hall === 'a' ? 0 : 3);
-      world.cloud.deadOnArrival = 0.25;
-      world.cloud.lostAnswers = 0.25;
+    firstFaultS: 8,
+    faultIntervalS: 9,
+    durationS: 62,
+    setUp: ({ world }) => {
+      world.cloud.capacity = (_type, zone, spot) => (spot ? 1 : zone === 'a' ? 0 : 3);
+      world.cloud.bootFailureRate = 0.25;
+      world.cloud.lostResponseRate = 0.25;
     },
-    trouble: (play, n) => {
-      const { cloud } = play.world;
-      cloud.silent = n % 3 === 1;
-      if (n === 3) cloud.capacity = () => 3;
+    injectFault: (run, faultIndex) => {
+      const { cloud } = run.world;
+      cloud.unresponsive = faultIndex % 3 === 1;
+      if (faultIndex === 3) cloud.capacity = () => 3;
     },
   },
+  // Faulty jobs and machines, hung and unresponsive machines, and preemptions.
   failures: {
-    from: 14,
-    every: 7,
-    until: 70,
-    prepare: (play) => {
-      const { world } = play;
-      world.fails = (hand, machine) => {
-        const job = hand.split('/')[0] as string;
-        return play.luck('bad job', job) < 0.08 || play.luck('bad machine', machine) < 0.15;
+    firstFaultS: 14,
+    faultIntervalS: 7,
+    durationS: 70,
+    setUp: (run) => {
+      const { world } = run;
+      world.taskFails = (task, machine) => {
+        const jobId = task.split('/')[0] as string;
+        return run.draw('bad job', jobId) < 0.08 || run.draw('bad machine', machine) < 0.15;
       };
     },
-    trouble: (play, n) => {
-      const m = play.machine(n);
-      if (!m) return;
-      if (n % 3 === 0) m.deaf = true;
-      else if (n % 3 === 1) m.hangs = true;
-      else play.recall(m, 2.5);
+    injectFault: (run, faultIndex) => {
+      const machine = run.pickMachine(faultIndex);
+      if (!machine) return;
+      if (faultIndex % 3 === 0) machine.unresponsive = true;
+      else if (faultIndex % 3 === 1) machine.hung = true;
+      else run.preempt(machine, 2.5);
     },
   },
+  // Chains of dependent jobs, with cancellations and crashes of the leader.
   dependencies: {
-    from: 4,
-    every: 6,
-    until: 56,
-    trouble: (play, n) => {
-      const { world, ids } = play;
-      const top = world.submit({ hands: 2, expectedS: 6 + n });
-      const next = () => world.submit({ hands: 2, expectedS: 5, awaits: [top] });
-      const last = (id: string) => world.submit({ hands: 1, awaits: [id, ...ids.slice(-12)] });
-      world.time.later(500, () => {
-        const id = next();
-        world.time.later(500, () => ids.push(last(id)));
+    firstFaultS: 4,
+    faultIntervalS: 6,
+    durationS: 56,
+    injectFault: (run, faultIndex) => {
+      const { world, jobIds } = run;
+      const rootId = world.submit({ hands: 2, expectedS: 6 + faultIndex });
+      const submitDependent = () => world.submit({ hands: 2, expectedS: 5, awaits: [rootId] });
+      const submitLast = (id: string) =>
+        world.submit({ hands: 1, awaits: [id, ...jobIds.slice(-12)] });
+      world.time.schedule(500, () => {
+        const id = submitDependent();
+        world.time.schedule(500, () => jobIds.push(submitLast(id)));
       });
-      if (n % 3 === 1) world.time.later(2500, () => world.cancel(top));
-      if (n % 5 === 4) restartLater(play, world.leading, 2000);
+      if (faultIndex % 3 === 1) world.time.schedule(2500, () => world.cancel(rootId));
+      if (faultIndex % 5 === 4) crashAndRestart(run, world.leaderIndex, 2000);
     },
   },
+  // More work than a single machine holds.
   crowded: {
-    from: 12,
-    every: 9,
-    until: 150,
-    prepare: ({ world }) => {
-      world.cloud.capacity = (rig, _hall, loaner) => (rig === 'm16' && !loaner ? 1 : 0);
+    firstFaultS: 12,
+    faultIntervalS: 9,
+    durationS: 150,
+    setUp: ({ world }) => {
+      world.cloud.capacity = (type, _zone, spot) => (type === 'm16' && !spot ? 1 : 0);
     },
-    trouble: ({ world, ids }, n) => {
+    injectFault: ({ world, jobIds }, faultIndex) => {
       const long = { expectedS: 80, cores: 8, hands: 2, loaner: false };
-      if (n % 3 === 0)
-        ids.push(world.submit({ ...long, rank: 'low', markEveryS: 20, markCostS: 3 }));
-      else if (n % 3 === 1) ids.push(world.submit({ ...long, crew: 'lab', expectedS: 30 }));
-      else ids.push(world.submit({ rank: 'critical', cores: 16, hands: 1, loaner: false }));
+      if (faultIndex % 3 === 0)
+        jobIds.push(world.submit({ ...long, rank: 'low', markEveryS: 20, markCostS: 3 }));
+      else if (faultIndex % 3 === 1)
+        jobIds.push(world.submit({ ...long, crew: 'lab', expectedS: 30 }));
+      else jobIds.push(world.submit({ rank: 'critical', cores: 16, hands: 1, loaner: false }));
     },
   },
+  // Hung and unresponsive machines, with crashes of the leader and an outage of the state service.
   silence: {
-    from: 16,
-    every: 13,
-    until: 100,
-    prepare: ({ world, ids }) => {
-      for (let i = 0; i < 4; i++) ids.push(world.submit({ hands: 24, expectedS: 20 }));
+    firstFaultS: 16,
+    faultIntervalS: 13,
+    durationS: 100,
+    setUp: ({ world, jobIds }) => {
+      for (let i = 0; i < 4; i++) jobIds.push(world.submit({ hands: 24, expectedS: 20 }));
     },
-    trouble: (play, n) => {
-      const { world, ids } = play;
-      ids.push(world.submit({ hands: 20, expectedS: 18 }));
-      const some = [...world.machines.values()].slice(n % 2, (n % 2) + (n % 3 === 0 ? 1 : 3));
-      for (const m of some) {
-        if (n % 3 === 2) m.deaf = true;
-        else m.hangs = true;
-        if (n % 3 === 1) world.time.later(4600 + 100 * n, () => m.resume());
+    injectFault: (run, faultIndex) => {
+      const { world, jobIds } = run;
+      jobIds.push(world.submit({ hands: 20, expectedS: 18 }));
+      const machines = [...world.machines.values()].slice(
+        faultIndex % 2,
+        (faultIndex % 2) + (faultIndex % 3 === 0 ? 1 : 3),
+      );
+      for (const machine of machines) {
+        if (faultIndex % 3 === 2) machine.unresponsive = true;
+        else machine.hung = true;
+        if (faultIndex % 3 === 1)
+          world.time.schedule(4600 + 100 * faultIndex, () => machine.resume());
       }
-      if (n % 3 === 0) world.time.later(700, () => restartLater(play, world.leading, 3000));
-      if (n !== 4) return;
+      if (faultIndex % 3 === 0)
+        world.time.schedule(700, () => crashAndRestart(run, world.leaderIndex, 3000));
+      if (faultIndex !== 4) return;
       world.state.setOutage(true);
-      world.time.later(33_000, () => world.state.setOutage(false));
+      world.time.schedule(33_000, () => world.state.setOutage(false));
     },
   },
+  // Dependency lists too long for one value of the state service.
   'long lists': {
-    from: 6,
-    every: 11,
-    until: 50,
-    state: { value_kb: 0.75 },
-    prepare: ({ world }) => {
+    firstFaultS: 6,
+    faultIntervalS: 11,
+    durationS: 50,
+    stateSettings: { value_kb: 0.75 },
+    setUp: ({ world }) => {
       world.cloud.capacity = () => 2;
     },
-    trouble: ({ world, ids }, n) => {
+    injectFault: ({ world, jobIds }, faultIndex) => {
       const small = { hands: 1, cores: 1, expectedS: 4, deck: 'small', pullGb: 0.5 };
-      const named = Array.from({ length: 30 }, (_, i) => world.submit(small, i % 3));
-      world.time.later(400, () => ids.push(world.submit({ ...small, awaits: named })));
-      if (n === 1) world.time.later(900, () => world.cancel(named[20] as string));
+      const dependencies = Array.from({ length: 30 }, (_, i) => world.submit(small, i % 3));
+      world.time.schedule(400, () => jobIds.push(world.submit({ ...small, awaits: dependencies })));
+      if (faultIndex === 1)
+        world.time.schedule(900, () => world.cancel(dependencies[20] as string));
     },
   },
+  // Limits of the state service that are lowered while the controllers run.
   'lowered limits': {
-    from: 14,
-    every: 15,
-    until: 56,
-    state: { next: { write_rps: 12, value_kb: 1, txn_ops: 4 } },
-    trouble: (play, n) => {
-      const { state } = play.world;
-      if (n === 0) state.limits = { valueBytes: 1024, writes: 4, writesPerS: 12 };
-      else restartLater(play, play.world.leading, 1500);
+    firstFaultS: 14,
+    faultIntervalS: 15,
+    durationS: 56,
+    stateSettings: { next: { write_rps: 12, value_kb: 1, txn_ops: 4 } },
+    injectFault: (run, faultIndex) => {
+      const { state } = run.world;
+      if (faultIndex === 0) state.limits = { maxValueBytes: 1024, maxWrites: 4, maxWritesPerS: 12 };
+      else crashAndRestart(run, run.world.leaderIndex, 1500);
     },
   },
 };
 
-/** The kinds of history there are. */
+/** All kinds of history. */
 export const KINDS = Object.keys(SCRIPTS);
--- a/test/support/trace/machine.ts
+++ b/test/support/trace/machine.ts
@@ -1,86 +1,92 @@
-import { type Cart, coresOf } from './cloud.js';
+import { type CloudMachine, cpusOfType } from './cloud.js';
 import { draw } from './draw.js';
-import type { PlayedAnswer, PlayedRequest, Service } from './net.js';
+import type { RequestHandler, SimulatedRequest, SimulatedResponse } from './net.js';
 import type { TracedWorld } from './world.js';
 
-interface Hand {
+/** A task attempt on the machine. All fields but `stateEndsAt` are sent in heartbeats under these names. */
+interface AgentTask {
   hand: string;
   try: number;
   standing: 'pulling' | 'running' | 'saving' | 'exited';
   cause?: string;
   kept?: boolean;
-  /** When its present state ends. */
-  until: number;
+  /** Time at which the current state ends. */
+  stateEndsAt: number;
 }
 
-interface Order {
+/** A command for one task attempt, with the field names of the protocol. */
+interface TaskCommand {
   verb: 'run' | 'kill' | 'forget';
   hand: string;
   try: number;
   windDownS?: number;
 }
 
-/** What a controller sends to a machine by itself. */
-interface Commands {
+/** Body of a direct command request, with the field names of the protocol. */
+interface CommandRequest {
   baton: number;
   shift: number;
-  orders: Order[];
+  orders: TaskCommand[];
 }
 
-/** Intervals of the protocol, in milliseconds. */
-const REPORT_MS = 3000;
-const REPORT_TIMEOUT_MS = 4000;
+/** Intervals of the agent protocol. */
+const HEARTBEAT_MS = 3000;
+const HEARTBEAT_TIMEOUT_MS = 4000;
 const LEASE_MS = 20_000;
-/** Steps of a worker's own time. */
-const TICK_MS = 500;
+/** How often the agent checks its tasks and whether a heartbeat is due. */
+const POLL_MS = 500;
 const PULL_GB_PER_S = 0.5;
 
-/** A machine with its worker, as the protocol describes it. */
-export class PlayedMachine {
-  /** Answers to its reports and commands don't reach it. */
-  deaf = false;
-  /** It stands still. */
-  hangs = false;
-  /** Something of it has changed since its last report. */
-  private changed = true;
-  gone = false;
-  private recallS: number | null = null;
-  private shift = 1;
-  private tally = 0;
-  private baton = 0;
-  private readonly hands = new Map<string, Hand>();
+/** A machine with its agent, which follows the agent protocol. */
+export class SimulatedMachine {
+  /** While true, heartbeat responses and commands do not reach the agent, but its heartbeats are sent. */
+  unresponsive = false;
+  /** While true, the agent sends nothing. Commands that arrive are executed on `resume`, without a response. */
+  hung = false;
+  /** True when a heartbeat is due because something changed since the last one. */
+  private hasUnreportedChange = true;
+  terminated = false;
+  /** Seconds from the preemption notice to the preemption; null without a notice. */
+  private preemptionNoticeS: number | null = null;
+  private agentEpoch = 1;
+  private heartbeatSequence = 0;
+  private fencingToken = 0;
+  /** Task attempts by task name and attempt number. */
+  private readonly tasks = new Map<string, AgentTask>();
   private readonly images = new Set<string>();
-  private leaseFrom: number;
-  private at: number;
-  private due = 0;
-  private held: (() => void)[] = [];
+  /** Start of the current lease: when the agent sent the heartbeat that renewed it. */
+  private leaseStartedAt: number;
+  /** Index of the controller that gets the heartbeats. */
+  private controller: number;
+  private nextHeartbeatAt = 0;
+  private heldCommands: (() => void)[] = [];
 
   constructor(
     private readonly world: TracedWorld,
-    readonly cart: Cart,
+    readonly listed: CloudMachine,
   ) {
-    this.leaseFrom = world.time.now();
-    this.at = Math.floor(draw(world.seed, 'first', cart.id) * 3);
-    const [host = '', port = ''] = cart.endpoint.split(':');
+    this.leaseStartedAt = world.time.now();
+    this.controller = Math.floor(draw(world.seed, 'first', listed.id) * 3);
+    const [host = '', port = ''] = listed.endpoint.split(':');
     world.net.serve(host, Number(port), (request, respond) => this.serve(request, respond));
     void this.run();
   }
 
-  /** The cloud's notice reaches the worker. */
-  recall(seconds: number): void {
-    this.recallS = seconds;
-    this.changed = true;
+  /** Delivers a preemption notice to the agent. */
+  notifyPreemption(seconds: number): void {
+    this.preemptionNoticeS = seconds;
+    this.hasUnreportedChange = true;
   }
 
   resume(): void {
-    this.hangs = false;
-    for (const work of this.held.splice(0)) work();
+    this.hung = false;
+    for (const execute of this.heldCommands.splice(0)) execute();
   }
 
-  private report() {
-    const { id, endpoint, rig, hall, loaner } = this.cart;
-    const hands = [...this.hands.values()].map(({ until, ...hand }) => hand);
-    const { shift, baton, recallS } = this;
+  private heartbeat() {
+    const { id, endpoint, rig, hall, loaner } = this.listed;
+    const hands = [...this.tasks.values()].map(({ stateEndsAt, ...fields }) => fields);
+    const { agentEpoch: shift, fencingToken: baton, preemptionNoticeS: recallS } = this;
     return {
       cart: id,
       endpoint,
@@ -88,191 +94,212 @@
       hall,
       loaner,
       shift,
-      tally: ++this.tally,
+      tally: ++this.heartbeatSequence,
       baton,
       recallS,
       hands,
     };
   }
 
-  private serve({ method, body }: PlayedRequest, respond: Parameters<Service>[1]): void {
-    if (this.gone) return;
-    if (this.hangs) {
-      this.held.push(() => this.command(body as Commands, () => {}));
+  private serve({ method, body }: SimulatedRequest, respond: Parameters<RequestHandler>[1]): void {
+    if (this.terminated) return;
+    if (this.hung) {
+      this.heldCommands.push(() => this.executeRequest(body as CommandRequest, () => {}));
       return;
     }
-    if (this.deaf) return;
+    if (this.unresponsive) return;
     if (method === 'GET') {
-      respond(200, this.report());
+      respond(200, this.heartbeat());
       return;
     }
     const { world } = this;
-    const luck = draw(world.seed, 'command', this.cart.id, world.time.now());
-    if (luck < world.lateCommands) {
-      world.notes.add('late commands');
-      world.time.later(2000 + luck * 30_000, () => this.command(body as Commands, () => {}));
+    const sample = draw(world.seed, 'command', this.listed.id, world.time.now());
+    if (sample < world.delayedCommandRate) {
+      world.counts.add('delayed commands');
+      world.time.schedule(2000 + sample * 30_000, () =>
+        this.executeRequest(body as CommandRequest, () => {}),
+      );
       return;
     }
-    const lost = luck > 1 - world.lostAnswers;
-    if (lost) world.notes.add('lost answers to commands');
-    this.command(body as Commands, lost ? () => {} : respond);
+    const isResponseLost = sample > 1 - world.lostResponseRate;
+    if (isResponseLost) world.counts.add('lost command responses');
+    this.executeRequest(body as CommandRequest, isResponseLost ? () => {} : respond);
   }
 
-  private command({ baton, shift, orders }: Commands, respond: Parameters<Service>[1]): void {
-    this.sync();
-    const fit = shift === this.shift && this.execute(baton, orders);
-    respond(fit ? 200 : 409, this.report());
+  private executeRequest(
+    { baton: token, shift: epoch, orders: commands }: CommandRequest,
+    respond: Parameters<RequestHandler>[1],
+  ): void {
+    this.applyElapsedTime();
+    const accepted = epoch === this.agentEpoch && this.execute(token, commands);
+    respond(accepted ? 200 : 409, this.heartbeat());
   }
 
-  private execute(baton: number, orders: Order[]): boolean {
-    if (baton < this.baton) return false;
-    if (baton > this.baton || orders.length > 0) this.changed = true;
-    this.baton = baton;
-    for (const order of orders) {
-      const key = `${order.hand} ${order.try}`;
-      const hand = this.hands.get(key);
-      if (order.verb === 'run' && !hand) this.start(key, order);
-      else if (order.verb === 'kill' && hand) this.kill(hand, order.windDownS ?? 0);
-      else if (order.verb === 'forget' && hand?.standing === 'exited') this.hands.delete(key);
+  /** Returns false, and executes nothing, when the token is lower than the highest that was seen. */
+  private execute(token: number, commands: TaskCommand[]): boolean {
+    if (token < this.fencingToken) return false;
+    if (token > this.fencingToken || commands.length > 0) this.hasUnreportedChange = true;
+    this.fencingToken = token;
+    for (const command of commands) {
+      const key = `${command.hand} ${command.try}`;
+      const task = this.tasks.get(key);
+      if (command.verb === 'run' && !task) this.startTask(key, command);
+      else if (command.verb === 'kill' && task) this.stopTask(task, command.windDownS ?? 0);
+      else if (command.verb === 'forget' && task?.standing === 'exited') this.tasks.delete(key);
     }
     return true;
   }
 
-  private start(key: string, order: Order): void {
+  private startTask(key: string, command: TaskCommand): void {
     const { world } = this;
-    const job = world.jobOf(order.hand);
-    const hand: Hand = { hand: order.hand, try: order.try, standing: 'running', until: 0 };
-    this.hands.set(key, hand);
-    world.notes.add(job.awaits.length > 0 ? 'starts of jobs that needed others' : 'starts');
-    if (this.coresInUse() > coresOf(this.cart.rig)) {
-      this.exit(hand, 'full');
+    const job = world.jobOf(command.hand);
+    const task: AgentTask = {
+      hand: command.hand,
+      try: command.try,
+      standing: 'running',
+      stateEndsAt: 0,
+    };
+    this.tasks.set(key, task);
+    world.counts.add(job.awaits.length > 0 ? 'starts of dependent jobs' : 'starts');
+    if (this.cpusInUse() > cpusOfType(this.listed.rig)) {
+      this.exitTask(task, 'full');
       return;
     }
     if (this.images.has(job.deck)) {
-      this.begin(hand);
+      this.startRunning(task);
       return;
     }
     this.images.add(job.deck);
-    hand.standing = 'pulling';
-    hand.until = world.time.now() + (job.pullGb / PULL_GB_PER_S) * 1000;
+    task.standing = 'pulling';
+    task.stateEndsAt = world.time.now() + (job.pullGb / PULL_GB_PER_S) * 1000;
   }
 
-  /** It has a task of the job that has not ended. */
-  runs(job: string): boolean {
-    return [...this.hands.values()].some(
-      (h) => h.standing !== 'exited' && h.hand.startsWith(`${job}/`),
+  /** Reports whether a task of the job is on the machine and has not exited. */
+  hasLiveTask(jobId: string): boolean {
+    return [...this.tasks.values()].some(
+      (task) => task.standing !== 'exited' && task.hand.startsWith(`${jobId}/`),
     );
   }
 
-  /** Of one team's tasks, or of all. */
-  coresInUse(team: string | null = null): number {
-    let cores = 0;
-    for (const h of this.hands.values()) {
-      const job = this.world.jobOf(h.hand);
-      if (h.standing !== 'exited' && (team === null || job.crew === team)) cores += job.cores;
+  /** Returns the CPUs in use by one team, or by all teams when `team` is null. */
+  cpusInUse(team: string | null = null): number {
+    let cpus = 0;
+    for (const task of this.tasks.values()) {
+      const job = this.world.jobOf(task.hand);
+      if (task.standing !== 'exited' && (team === null || job.crew === team)) cpus += job.cores;
     }
-    return cores;
+    return cpus;
   }
 
-  private begin(hand: Hand): void {
-    this.changed = true;
-    hand.standing = 'running';
-    hand.until = this.world.time.now() + this.world.runMs(hand.hand, this.cart.id);
+  private startRunning(task: AgentTask): void {
+    this.hasUnreportedChange = true;
+    task.standing = 'running';
+    task.stateEndsAt = this.world.time.now() + this.world.runDurationMs(task.hand, this.listed.id);
   }
 
-  private kill(hand: Hand, windDownS: number): void {
-    if (hand.standing === 'exited' || hand.standing === 'saving') return;
+  private stopTask(task: AgentTask, graceS: number): void {
+    if (task.standing === 'exited' || task.standing === 'saving') return;
     const { world } = this;
-    const wanted = world.isLive(hand.hand);
-    if (wanted) world.notes.add(this.recallS === null ? 'preemptions' : 'stops for a spot notice');
-    else world.notes.add('stops of cancelled work');
-    if (windDownS > 0) world.notes.add('checkpoints saved');
-    if (windDownS === 0 || hand.standing === 'pulling') {
-      this.exit(hand, 'halted');
+    const isJobLive = world.isJobLive(task.hand);
+    if (isJobLive)
+      world.counts.add(
+        this.preemptionNoticeS === null ? 'preemptions' : 'task stops after a preemption notice',
+      );
+    else world.counts.add('task stops of ended jobs');
+    if (graceS > 0) world.counts.add('task stops with a grace period');
+    if (graceS === 0 || task.standing === 'pulling') {
+      this.exitTask(task, 'halted');
       return;
     }
-    hand.standing = 'saving';
-    hand.until = world.time.now() + windDownS * 1000;
+    task.standing = 'saving';
+    task.stateEndsAt = world.time.now() + graceS * 1000;
   }
 
-  private exit(hand: Hand, cause: string): void {
-    this.changed = true;
-    if (hand.standing === 'saving') hand.kept = true;
-    hand.standing = 'exited';
-    hand.cause = cause;
-    if (cause !== 'done' && cause !== 'halted') this.world.notes.add('failures');
+  private exitTask(task: AgentTask, cause: string): void {
+    this.hasUnreportedChange = true;
+    if (task.standing === 'saving') task.kept = true;
+    task.standing = 'exited';
+    task.cause = cause;
+    if (cause !== 'done' && cause !== 'halted') this.world.counts.add('failures');
   }
 
-  /** Its lease and its tasks' ends, to the moment. */
-  private sync(): void {
+  /** Ends the lease and the task states whose time is over. */
+  private applyElapsedTime(): void {
     const now = this.world.time.now();
-    if (now - this.leaseFrom > LEASE_MS) {
-      this.world.notes.add('sessions lost');
-      this.shift++;
-      this.hands.clear();
-      this.changed = true;
-      this.leaseFrom = now;
+    if (now - this.leaseStartedAt > LEASE_MS) {
+      this.world.counts.add('agent leases expired');
+      this.agentEpoch++;
+      this.tasks.clear();
+      this.hasUnreportedChange = true;
+      this.leaseStartedAt = now;
     }
-    for (const hand of this.hands.values()) {
-      if (hand.standing === 'exited' || hand.until > now) continue;
-      if (hand.standing === 'pulling') this.begin(hand);
-      else if (hand.standing === 'saving') this.exit(hand, 'halted');
-      else this.exit(hand, this.world.fails(hand.hand, this.cart.id) ? 'error' : 'done');
+    for (const task of this.tasks.values()) {
+      if (task.standing === 'exited' || task.stateEndsAt > now) continue;
+      if (task.standing === 'pulling') this.startRunning(task);
+      else if (task.standing === 'saving') this.exitTask(task, 'halted');
+      else this.exitTask(task, this.world.taskFails(task.hand, this.listed.id) ? 'error' : 'done');
     }
   }
 
   private async run(): Promise<void> {
     const { time, seed } = this.world;
-    this.due = time.now() + draw(seed, 'begins', this.cart.id) * REPORT_MS;
-    while (!this.gone) {
-      await time.sleep(TICK_MS);
-      if (this.gone || this.hangs) continue;
-      this.sync();
-      if (time.now() < this.due && !this.changed) continue;
-      this.changed = false;
-      this.due = time.now() + REPORT_MS * (0.75 + draw(seed, this.cart.id, time.now()) * 0.5);
-      await this.beat();
+    this.nextHeartbeatAt = time.now() + draw(seed, 'begins', this.listed.id) * HEARTBEAT_MS;
+    while (!this.terminated) {
+      await time.sleep(POLL_MS);
+      if (this.terminated || this.hung) continue;
+      this.applyElapsedTime();
+      if (time.now() < this.nextHeartbeatAt && !this.hasUnreportedChange) continue;
+      this.hasUnreportedChange = false;
+      this.nextHeartbeatAt =
+        time.now() + HEARTBEAT_MS * (0.75 + draw(seed, this.listed.id, time.now()) * 0.5);
+      await this.sendHeartbeat();
     }
   }
 
-  private async beat(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { world } = this;
     const sentAt = world.time.now();
-    const { shift } = this;
-    const body = this.report();
-    world.copyLater(this.cart.id, body);
-    const answer = await this.post(this.at, body);
-    if (this.gone || this.hangs || this.deaf) return;
-    this.sync();
-    const lost = draw(world.seed, 'answer', this.cart.id, sentAt) < world.lostAnswers;
-    if (answer?.status === 200 && lost) return this.world.notes.add('lost answers to reports');
-    if (answer?.status === 200) this.take(answer, shift, sentAt);
-    else await this.goElsewhere(answer);
+    const { agentEpoch: epoch } = this;
+    const body = this.heartbeat();
+    world.maybeDuplicateHeartbeat(this.listed.id, body);
+    const response = await this.post(this.controller, body);
+    if (this.terminated || this.hung || this.unresponsive) return;
+    this.applyElapsedTime();
+    const isResponseLost =
+      draw(world.seed, 'answer', this.listed.id, sentAt) < world.lostResponseRate;
+    if (response?.status === 200 && isResponseLost)
+      return this.world.counts.add('lost heartbeat responses');
+    if (response?.status === 200) this.applyResponse(response, epoch, sentAt);
+    else await this.changeController(response);
   }
 
-  private post(to: number, body: unknown): Promise<PlayedAnswer | null> {
+  private post(controller: number, body: unknown): Promise<SimulatedResponse | null> {
     const { net } = this.world;
-    const address = `c-${to}:8000`;
-    return net.request(this.cart.id, address, 'POST', '/agent/beat', body, REPORT_TIMEOUT_MS);
+    const address = `c-${controller}:8000`;
+    return net.request(this.listed.id, address, 'POST', '/agent/beat', body, HEARTBEAT_TIMEOUT_MS);
   }
 
-  private take(answer: PlayedAnswer, shift: number, sentAt: number): void {
-    const { baton, orders } = answer.body as { baton: number; orders: Order[] };
-    if (shift !== this.shift || baton < this.baton) return;
-    this.execute(baton, orders);
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+  private applyResponse(response: SimulatedResponse, epoch: number, sentAt: number): void {
+    const { baton: token, orders: commands } = response.body as {
+      baton: number;
+      orders: TaskCommand[];
+    };
+    if (epoch !== this.agentEpoch || token < this.fencingToken) return;
+    this.execute(token, commands);
+    this.leaseStartedAt = Math.max(this.leaseStartedAt, sentAt);
   }
 
-  private async goElsewhere(answer: PlayedAnswer | null): Promise<void> {
-    const named = Number(
-      String((answer?.body as { steward?: string } | undefined)?.steward ?? '').slice(2) ||
+  private async changeController(response: SimulatedResponse | null): Promise<void> {
+    const leader = Number(
+      String((response?.body as { steward?: string } | undefined)?.steward ?? '').slice(2) ||
         Number.NaN,
     );
-    if (answer?.status === 421 && named >= 0 && named !== this.at) this.at = named;
+    if (response?.status === 421 && leader >= 0 && leader !== this.controller)
+      this.controller = leader;
     else {
       await this.world.time.sleep(1000);
-      this.at = (this.at + 1) % 3;
+      this.controller = (this.controller + 1) % 3;
     }
-    this.changed = true;
+    this.hasUnreportedChange = true;
   }
 }
--- a/test/support/trace/net.ts
+++ b/test/support/trace/net.ts
@@ -2,46 +2,48 @@
 import net from 'node:net';
 import { decode } from 'cbor-x/encode';
 import { draw } from './draw.js';
-import type { PlayedTime } from './time.js';
+import type { SimulatedTime } from './time.js';
 import type { Trace } from './trace.js';
 
-/** Connections between controllers end at this port; all others carry HTTP. */
+/** Port of connections between controllers. Connections to other ports carry HTTP. */
 export const PEER_PORT = 7000;
 
-export interface PlayedRequest {
+export interface SimulatedRequest {
   from: string;
   method: string;
   target: string;
   body: unknown;
 }
 
-export interface PlayedAnswer {
+export interface SimulatedResponse {
   status: number;
   body: unknown;
 }
 
 type Respond = (status: number, body: unknown) => void;
-export type Service = (request: PlayedRequest, respond: Respond) => void;
+export type RequestHandler = (request: SimulatedRequest, respond: Respond) => void;
 
-/** One end of a connection. */
-class PlayedSocket extends EventEmitter {
+/** One end of a connection. It has the part of the interface of `net.Socket` that controllers use. */
+class SimulatedSocket extends EventEmitter {
   destroyed = false;
   bytesRead = 0;
   readonly writableLength = 0;
-  other: PlayedSocket | null = null;
-  /** Nothing arrives before what was sent earlier. */
-  lastArrival = 0;
+  /** The other end; null until the connection is open. */
+  remote: SimulatedSocket | null = null;
+  /** Arrival time of the latest data that was sent. Later data arrives no earlier. */
+  lastArrivalAt = 0;
+  /** Name of the host without its process number. */
   readonly name: string;
   private paused = false;
-  private readonly kept: Buffer[] = [];
+  private readonly pausedData: Buffer[] = [];
 
   constructor(
-    private readonly net: PlayedNet,
+    private readonly net: SimulatedNetwork,
     readonly host: string,
     readonly port: number,
   ) {
     super();
-    this.name = nameOf(host);
+    this.name = hostName(host);
     this.setMaxListeners(0);
   }
 
@@ -59,7 +61,7 @@
     if (this.destroyed) return;
     this.destroyed = true;
     this.net.send(this, null);
-    queueMicrotask(() => this.emitHere('close'));
+    queueMicrotask(() => this.emitOnHost('close'));
   }
 
   pause(): void {
@@ -72,94 +74,99 @@
 
   resume(): void {
     this.paused = false;
-    for (const data of this.kept.splice(0)) this.emitHere('data', data);
+    for (const data of this.pausedData.splice(0)) this.emitOnHost('data', data);
   }
 
   setTimeout(): void {}
 
-  /** What comes from the other end; null is its end. */
+  /** Receives data from the other end. Null closes the connection. */
   receive(data: Buffer | null): void {
     if (this.destroyed) return;
     if (data === null) {
-      this.emitHere('end');
+      this.emitOnHost('end');
       this.destroy();
       return;
     }
     this.bytesRead += data.length;
-    if (this.paused) this.kept.push(data);
-    else this.emitHere('data', data);
+    if (this.paused) this.pausedData.push(data);
+    else this.emitOnHost('data', data);
   }
 
-  emitHere(event: string, ...values: unknown[]): void {
-    this.net.time.host = this.host;
+  /** Emits an event with this host as the current one. */
+  emitOnHost(event: string, ...values: unknown[]): void {
+    this.net.time.currentHost = this.host;
     this.emit(event, ...values);
   }
 }
 
 type Accept = (socket: net.Socket) => void;
 
-/** A network in one process: hosts, cuts between them, and a trace of what controllers send. */
-export class PlayedNet {
-  /** Whether what one host sends to another is held back now. */
-  isCut: (from: string, to: string) => boolean = () => false;
-  private readonly servers = new Map<string, { host: string; accept: (s: PlayedSocket) => void }>();
-  private readonly sockets = new Set<PlayedSocket>();
-  private held: { from: PlayedSocket; to: PlayedSocket; data: Buffer | null }[] = [];
-  private readonly dead = new Set<string>();
+/** A simulated network with partitions between hosts. It records in a trace what controllers send. */
+export class SimulatedNetwork {
+  /** Reports whether messages from one host to another are held back now. */
+  isPartitioned: (from: string, to: string) => boolean = () => false;
+  private readonly servers = new Map<
+    string,
+    { host: string; accept: (s: SimulatedSocket) => void }
+  >();
+  private readonly sockets = new Set<SimulatedSocket>();
+  /** Data that arrived during a partition. */
+  private heldData: { from: SimulatedSocket; to: SimulatedSocket; data: Buffer | null }[] = [];
+  private readonly killedHosts = new Set<string>();
 
   constructor(
-    readonly time: PlayedTime,
+    readonly time: SimulatedTime,
     private readonly trace: Trace,
   ) {}
 
-  /** Puts this network in the place of the process's own; returns what takes it back. */
+  /** Replaces the network functions of the process. Returns a function that restores them. */
   install(): () => void {
     const { connect, createServer } = net;
     Object.assign(net, {
       connect: ({ host, port }: { host: string; port: number }) =>
-        this.connect(this.time.host, host, port),
-      createServer: (_options: unknown, accept: Accept) => this.server(accept),
+        this.connect(this.time.currentHost, host, port),
+      createServer: (_options: unknown, accept: Accept) => this.createServer(accept),
     });
     return () => Object.assign(net, { connect, createServer });
   }
 
-  /** The host's process is gone: its connections break, and nothing more leaves it. */
+  /** Ends the process of a host: its connections close, and it sends and receives nothing more. */
   kill(host: string): void {
-    this.dead.add(host);
+    this.killedHosts.add(host);
     for (const socket of [...this.sockets]) {
       if (socket.host !== host) continue;
-      const { other } = socket;
-      if (other) this.time.laterOn(other.host, 1, () => other.receive(null));
+      const { remote } = socket;
+      if (remote) this.time.scheduleOn(remote.host, 1, () => remote.receive(null));
       this.sockets.delete(socket);
     }
     for (const [address, server] of this.servers)
       if (server.host === host) this.servers.delete(address);
   }
 
-  /** Delivers what was held back, as far as its way is open again. */
+  /** Delivers held data again. Data between hosts that are still partitioned is held again. */
   heal(): void {
-    const { held } = this;
-    this.held = [];
-    for (const { from, to, data } of held) this.arrive(from, to, data);
+    const { heldData } = this;
+    this.heldData = [];
+    for (const { from, to, data } of heldData) this.deliver(from, to, data);
   }
 
-  /** A host that answers HTTP requests. */
-  serve(host: string, port: number, service: Service): void {
+  /** Registers an HTTP server. */
+  serve(host: string, port: number, handle: RequestHandler): void {
     this.servers.set(`${host}:${port}`, {
       host,
       accept: (socket) =>
         socket.on('data', (data: Buffer) => {
-          const [line, body] = partsOf(data);
+          const [line, body] = parseMessage(data);
           const [method = '', target = ''] = line.split(' ');
-          const from = socket.other?.name ?? '';
-          service({ from, method, target, body }, (status, answer) =>
-            socket.write(encode(`HTTP/1.1 ${status} Played`, answer)),
+          const from = socket.remote?.name ?? '';
+          handle({ from, method, target, body }, (status, responseBody) =>
+            socket.write(encodeMessage(`HTTP/1.1 ${status} Played`, responseBody)),
           );
         }),
     });
   }
 
-  /** One request with a connection of its own; null when there is no answer in time. */
+  /** Sends a request on a new connection. Resolves with null when there is no response in time. */
   request(
     from: string,
     address: string,
@@ -167,136 +174,146 @@
     target: string,
     body: unknown,
     timeoutMs: number,
-  ): Promise<PlayedAnswer | null> {
+  ): Promise<SimulatedResponse | null> {
     const [host = '', port = ''] = address.split(':');
     return new Promise((resolve) => {
       const socket = this.connect(from, host, Number(port));
-      const finish = (answer: PlayedAnswer | null) => {
-        timer.run = null;
+      const finish = (response: SimulatedResponse | null) => {
+        timer.callback = null;
         socket.destroy();
-        resolve(answer);
+        resolve(response);
       };
-      const timer = this.time.later(timeoutMs, () => finish(null));
+      const timer = this.time.schedule(timeoutMs, () => finish(null));
       socket.on('error', () => finish(null));
       socket.on('close', () => finish(null));
-      socket.on('connect', () => socket.write(encode(`${method} ${target} HTTP/1.1`, body)));
+      socket.on('connect', () => socket.write(encodeMessage(`${method} ${target} HTTP/1.1`, body)));
       socket.on('data', (data: Buffer) => {
-        const [line, answer] = partsOf(data);
-        finish({ status: Number(line.split(' ')[1]), body: answer });
+        const [line, responseBody] = parseMessage(data);
+        finish({ status: Number(line.split(' ')[1]), body: responseBody });
       });
     });
   }
 
-  send(from: PlayedSocket, data: Buffer | null): void {
-    const { other } = from;
-    if (!other || this.dead.has(from.host)) return;
-    from.lastArrival = Math.max(from.lastArrival, this.arrivalOf(from, other, data));
-    if (data && from.name.startsWith('c-')) this.note(from, other, data);
-    this.arrive(from, other, data);
+  /** Sends data to the other end, or closes the connection when `data` is null. */
+  send(from: SimulatedSocket, data: Buffer | null): void {
+    const { remote } = from;
+    if (!remote || this.killedHosts.has(from.host)) return;
+    from.lastArrivalAt = Math.max(from.lastArrivalAt, this.arrivalTime(from, remote, data));
+    if (data && from.name.startsWith('c-')) this.recordTrace(from, remote, data);
+    this.deliver(from, remote, data);
   }
 
-  private arrive(from: PlayedSocket, to: PlayedSocket, data: Buffer | null): void {
-    this.time.laterOn(to.host, from.lastArrival - this.time.now(), () => {
-      if (this.dead.has(to.host)) return;
-      if (this.isCut(from.name, to.name)) this.held.push({ from, to, data });
+  private deliver(from: SimulatedSocket, to: SimulatedSocket, data: Buffer | null): void {
+    this.time.scheduleOn(to.host, from.lastArrivalAt - this.time.now(), () => {
+      if (this.killedHosts.has(to.host)) return;
+      if (this.isPartitioned(from.name, to.name)) this.heldData.push({ from, to, data });
       else to.receive(data);
     });
   }
 
-  /** By what is sent: two messages of one moment come in the same order, whoever was first. */
-  private arrivalOf(from: PlayedSocket, to: PlayedSocket, data: Buffer | null): number {
+  /**
+   * The delay depends on the content, so messages that are sent at the same time
+   * arrive in the same order, whichever was sent first.
+   */
+  private arrivalTime(from: SimulatedSocket, to: SimulatedSocket, data: Buffer | null): number {
     const delay = data ? draw(from.host, to.host, data.toString('latin1')) : 0;
     return this.time.now() + 0.3 + delay;
   }
 
-  private note(from: PlayedSocket, to: PlayedSocket, data: Buffer): void {
+  private recordTrace(from: SimulatedSocket, to: SimulatedSocket, data: Buffer): void {
     const text = from.port === PEER_PORT ? peerText(data) : httpText(data);
-    this.trace.record(from.name, to.name, from.lastArrival, text);
+    this.trace.record(from.name, to.name, from.lastArrivalAt, text);
   }
 
-  private connect(from: string, host: string, port: number): PlayedSocket {
-    const near = new PlayedSocket(this, from, port);
-    this.sockets.add(near);
-    if (this.dead.has(from)) return near;
-    this.time.laterOn(from, 0.2 + draw(from, host, port), () => {
-      if (near.destroyed || this.dead.has(from) || this.isCut(nameOf(from), host)) return;
+  private connect(from: string, host: string, port: number): SimulatedSocket {
+    const clientEnd = new SimulatedSocket(this, from, port);
+    this.sockets.add(clientEnd);
+    if (this.killedHosts.has(from)) return clientEnd;
+    this.time.scheduleOn(from, 0.2 + draw(from, host, port), () => {
+      if (
+        clientEnd.destroyed ||
+        this.killedHosts.has(from) ||
+        this.isPartitioned(hostName(from), host)
+      )
+        return;
       const server = this.servers.get(`${host}:${port}`);
       if (!server) {
-        near.emitHere('error', new Error(`${host} refuses`));
-        near.destroy();
+        clientEnd.emitOnHost('error', new Error(`connection to ${host} refused`));
+        clientEnd.destroy();
         return;
       }
-      const far = new PlayedSocket(this, server.host, port);
-      this.sockets.add(far);
-      near.other = far;
-      far.other = near;
-      this.time.laterOn(server.host, 0, () => server.accept(far));
-      near.emitHere('connect');
+      const serverEnd = new SimulatedSocket(this, server.host, port);
+      this.sockets.add(serverEnd);
+      clientEnd.remote = serverEnd;
+      serverEnd.remote = clientEnd;
+      this.time.scheduleOn(server.host, 0, () => server.accept(serverEnd));
+      clientEnd.emitOnHost('connect');
     });
-    return near;
+    return clientEnd;
   }
 
-  private server(accept: Accept) {
-    const host = this.time.host;
+  private createServer(accept: Accept) {
+    const host = this.time.currentHost;
     const events = new EventEmitter();
     let address = '';
     return Object.assign(events, {
       maxConnections: 0,
-      listen: (port: number, name: string, _backlog?: unknown, ready?: () => void) => {
-        address = `${name}:${port}`;
+      listen: (port: number, hostName: string, _backlog?: unknown, onListening?: () => void) => {
+        address = `${hostName}:${port}`;
         this.servers.set(address, {
           host,
           accept: (socket) => accept(socket as unknown as net.Socket),
         });
-        ready?.();
+        onListening?.();
       },
       close: () => this.servers.delete(address),
     });
   }
 }
 
-/** A controller's name without which of its lives it is. */
-export function nameOf(host: string): string {
-  return host.split('#', 1)[0] as string;
+/** Returns the name of a host. The ids of controllers append the number of the process to it. */
+export function hostName(hostId: string): string {
+  return hostId.split('#', 1)[0] as string;
 }
 
-function encode(line: string, body: unknown): string {
+/** Encodes an HTTP message. The values of the first line and the Host header are part of the recorded histories. */
+function encodeMessage(line: string, body: unknown): string {
   const text = body === undefined ? '' : JSON.stringify(body);
   return `${line}\r\nHost: played\r\nContent-Length: ${Buffer.byteLength(text)}\r\n\r\n${text}`;
 }
 
-function partsOf(data: Buffer): [line: string, body: unknown] {
+function parseMessage(data: Buffer): [line: string, body: unknown] {
   const text = data.toString();
   const end = text.indexOf('\r\n\r\n');
   const body = text.slice(end + 4);
   return [text.slice(0, text.indexOf('\r\n')), body === '' ? undefined : JSON.parse(body)];
 }
 
-/** The first line without the version, the headers that matter and the body as it is. */
+/** Returns the first line without the version, the headers that affect the receiver, and the body. */
 function httpText(data: Buffer): string {
   const text = data.toString();
   const end = text.indexOf('\r\n\r\n');
   const [head, body] = [text.slice(0, end), text.slice(end + 4)];
   const [line = '', ...headers] = head.split('\r\n');
-  const kept = headers.filter((h) => /^(retry-after|connection)/i.test(h));
-  const what = line.replace(/ ?HTTP\/1\.1 ?/, '').replace(/^(\d+) .*/, '$1');
-  return [what, ...kept, body].join(' ');
+  const tracedHeaders = headers.filter((h) => /^(retry-after|connection)/i.test(h));
+  const startLine = line.replace(/ ?HTTP\/1\.1 ?/, '').replace(/^(\d+) .*/, '$1');
+  return [startLine, ...tracedHeaders, body].join(' ');
 }
 
-/** For JSON.stringify, which sees a buffer as an object of this type. */
-function bytesAsText(_name: string, value: unknown): unknown {
+/** Replacer for JSON.stringify, which represents a buffer as an object of type "Buffer". */
+function bufferToText(_name: string, value: unknown): unknown {
   const { type, data } = (value ?? {}) as { type?: string; data?: number[] };
   return type === 'Buffer' && data ? Buffer.from(data).toString() : value;
 }
 
-/** Frames as JSON; what they pass on stands in them as text. */
+/** Returns the frames as JSON, with the bytes of forwarded messages as text. */
 function peerText(data: Buffer): string {
   const texts: string[] = [];
-  for (let at = 0; at + 4 <= data.length; ) {
-    const size = data.readUInt32BE(at);
-    const frame = decode(data.subarray(at + 4, at + 4 + size));
-    texts.push(JSON.stringify(frame, bytesAsText));
-    at += 4 + size;
+  for (let offset = 0; offset + 4 <= data.length; ) {
+    const length = data.readUInt32BE(offset);
+    const frame = decode(data.subarray(offset + 4, offset + 4 + length));
+    texts.push(JSON.stringify(frame, bufferToText));
+    offset += 4 + length;
   }
   return texts.join(' ');
 }
--- a/test/support/trace/state-service.ts
+++ b/test/support/trace/state-service.ts
@@ -1,119 +1,142 @@
 import { draw } from './draw.js';
-import type { PlayedNet, PlayedRequest, Service } from './net.js';
-import type { Notes } from './notes.js';
+import type { EventCounts } from './event-counts.js';
+import type { RequestHandler, SimulatedNetwork, SimulatedRequest } from './net.js';
 
+/** A stored key. */
 interface Row {
-  path: string;
-  v: unknown;
-  stamp: number;
-  ticket: number | null;
+  key: string;
+  value: unknown;
+  /** Revision of the store at the last write of the key. */
+  version: number;
+  /** Null when the key is not bound to a lease. */
+  leaseId: number | null;
 }
 
-interface News {
-  path: string;
-  news: { set?: string; v?: unknown; delete?: string; stamp: number };
+/** A change of a key, with the event that a watch receives in the form of the protocol. */
+interface StoredEvent {
+  key: string;
+  event: { set?: string; v?: unknown; delete?: string; stamp: number };
 }
 
-interface Write {
+/** A write of a transaction, in the form of the protocol. */
+interface Change {
   set?: string;
   v?: unknown;
   ticket?: number;
   delete?: string;
 }
 
+/** A transaction, in the form of the protocol. */
 interface Transaction {
   when: { path: string; stamp: number }[];
-  writes: Write[];
+  writes: Change[];
 }
 
-type Respond = Parameters<Service>[1];
+type Respond = Parameters<RequestHandler>[1];
 
-/** What goes wrong for one controller: parts of its requests. */
-export interface StateTrouble {
-  /** The status with which all requests are refused. */
-  refusal: number | null;
-  /** Carried out, and the answer lost. */
-  lostAnswers: number;
-  /** Transactions carried out some seconds later, without an answer. */
-  late: number;
+/** Faults that the service shows to one controller. The rates are fractions of its requests. */
+export interface StateFaults {
+  /** Status with which all requests are rejected; null when they are not. */
+  errorStatus: number | null;
+  /** Requests that are executed without a response. */
+  lostResponseRate: number;
+  /** Transactions that are executed 3 to 23 seconds later, without a response. */
+  delayedTransactionRate: number;
 }
 
-/** What the service takes; larger transactions are rejected, faster ones refused. */
+/**
+ * Limits of transactions. The service responds with status 400 to a larger
+ * transaction, and with 429 to more writes per second.
+ */
 export interface StateLimits {
-  valueBytes: number;
-  writes: number;
-  writesPerS: number;
+  maxValueBytes: number;
+  maxWrites: number;
+  maxWritesPerS: number;
 }
 
-const NO_TROUBLE: StateTrouble = { refusal: null, lostAnswers: 0, late: 0 };
-/** Rows in a page of a list. */
+const NO_FAULTS: StateFaults = {
+  errorStatus: null,
+  lostResponseRate: 0,
+  delayedTransactionRate: 0,
+};
+/** Maximum number of keys in a page of a list. */
 const PAGE_ROWS = 20;
 
-/** The state service in the wire's words: versions, leases, watches, and faults by script. */
-export class PlayedState {
+/**
+ * The state service, with versions, leases, watches and scripted faults. Its
+ * messages use the field names of the protocol.
+ */
+export class SimulatedStateService {
   readonly rows = new Map<string, Row>();
-  readonly troubles = new Map<string, StateTrouble>();
+  /** Faults by the name of the controller that sees them. */
+  readonly faults = new Map<string, StateFaults>();
+  /** Null while transactions are not limited. */
   limits: StateLimits | null = null;
-  /** Watches from before this are told that they are too old. */
-  private oldest = 0;
+  /** Watches that begin after an earlier revision get status 410, because their events are compacted. */
+  private oldestWatchRevision = 0;
   private revision = 1;
-  private news: News[] = [];
-  private readonly leases = new Map<number, { lifeMs: number; ends: number }>();
-  private lastLease = 0;
-  private waiting: (() => void)[] = [];
+  private events: StoredEvent[] = [];
+  private readonly leases = new Map<number, { ttlMs: number; endsAt: number }>();
+  private lastLeaseId = 0;
+  /** Callbacks of watches that wait for an event. */
+  private waitingWatches: (() => void)[] = [];
   private outage = false;
-  /** The writes of the second that runs. */
-  private second = 0;
-  private written = 0;
+  private currentSecond = 0;
+  /** Writes in the current second of simulated time. */
+  private writesInSecond = 0;
 
   constructor(
-    private readonly net: PlayedNet,
+    private readonly net: SimulatedNetwork,
     private readonly seed: string,
-    private readonly notes: Notes,
+    private readonly counts: EventCounts,
   ) {
     net.serve('state', 1, (request, respond) => this.handle(request, respond));
   }
 
-  /** Nobody is served; afterwards all leases have their full time again. */
+  /**
+   * During an outage, all requests get status 503 and no lease expires. At its
+   * end all leases are renewed.
+   */
   setOutage(on: boolean): void {
     const now = this.net.time.now();
-    if (this.outage && !on) for (const l of this.leases.values()) l.ends = now + l.lifeMs;
+    if (this.outage && !on)
+      for (const lease of this.leases.values()) lease.endsAt = now + lease.ttlMs;
     this.outage = on;
   }
 
-  /** From now on every watch that stands is too old. */
+  /** Compacts all events up to now, so that every waiting watch gets status 410. */
   compact(): void {
-    this.oldest = ++this.revision;
-    for (const wake of this.waiting.splice(0)) wake();
+    this.oldestWatchRevision = ++this.revision;
+    for (const notify of this.waitingWatches.splice(0)) notify();
   }
 
-  private handle(request: PlayedRequest, respond: Respond): void {
-    const trouble = this.troubles.get(request.from) ?? NO_TROUBLE;
+  private handle(request: SimulatedRequest, respond: Respond): void {
+    const faults = this.faults.get(request.from) ?? NO_FAULTS;
     const { time } = this.net;
-    const refusal = this.outage ? 503 : trouble.refusal;
-    if (refusal !== null) {
-      this.refuse(refusal, respond);
+    const errorStatus = this.outage ? 503 : faults.errorStatus;
+    if (errorStatus !== null) {
+      this.respondWithError(errorStatus, respond);
       return;
     }
-    this.expire();
-    const luck = draw(this.seed, 'state', request.from, time.now(), JSON.stringify(request.body));
-    const writes = request.target === '/multi';
-    if (writes && luck < trouble.late) {
-      this.notes.add('late transactions');
-      time.later(3000 + luck * 20_000, () => this.serve(request, () => {}));
+    this.expireLeases();
+    const sample = draw(this.seed, 'state', request.from, time.now(), JSON.stringify(request.body));
+    const isTransaction = request.target === '/multi';
+    if (isTransaction && sample < faults.delayedTransactionRate) {
+      this.counts.add('delayed transactions');
+      time.schedule(3000 + sample * 20_000, () => this.serve(request, () => {}));
       return;
     }
-    const lost = luck > 1 - trouble.lostAnswers;
-    if (lost) this.notes.add('lost answers of the state service');
-    this.serve(request, lost ? () => {} : respond);
+    const isResponseLost = sample > 1 - faults.lostResponseRate;
+    if (isResponseLost) this.counts.add('lost state service responses');
+    this.serve(request, isResponseLost ? () => {} : respond);
   }
 
-  private refuse(status: number, respond: Respond): void {
-    this.notes.add(`state service: ${status}`);
+  private respondWithError(status: number, respond: Respond): void {
+    this.counts.add(`state service: ${status}`);
     respond(status, {});
   }
 
-  private serve(request: PlayedRequest, respond: Respond): void {
+  private serve(request: SimulatedRequest, respond: Respond): void {
     const { method, body } = request;
     const url = new URL(request.target, 'http://state');
     const [, kind = '', ...rest] = url.pathname.split('/');
@@ -134,143 +157,159 @@
       this.list(query('starts'), query('after'), Number(query('limit')), respond);
       return;
     }
-    const lease = Number(rest[0]);
+    const leaseId = Number(rest[0]);
     if (kind !== 'grants') {
       respond(404, {});
       return;
     }
     if (rest.length === 0) {
-      this.grant((body as { lifeMs: number }).lifeMs, respond);
+      this.grantLease((body as { lifeMs: number }).lifeMs, respond);
       return;
     }
-    if (method === 'DELETE') this.end(lease);
-    else if (!this.touch(lease)) {
+    if (method === 'DELETE') this.endLease(leaseId);
+    else if (!this.renewLease(leaseId)) {
       respond(404, {});
       return;
     }
     respond(200, {});
   }
 
-  private read(path: string, respond: Respond): void {
-    const row = this.rows.get(path);
-    if (row) respond(200, { path, v: row.v, stamp: row.stamp });
+  private read(key: string, respond: Respond): void {
+    const row = this.rows.get(key);
+    if (row) respond(200, { path: key, v: row.value, stamp: row.version });
     else respond(404, {});
   }
 
-  private list(starts: string, after: string, limit: number, respond: Respond): void {
-    const all = [...this.rows.values()]
-      .filter((r) => r.path.startsWith(starts) && r.path > after)
-      .sort((a, b) => (a.path < b.path ? -1 : 1));
-    const most = Math.min(limit, PAGE_ROWS);
-    const rows = all.slice(0, most).map(({ path, v, stamp }) => ({ path, v, stamp }));
-    respond(200, { rows, hasNext: all.length > most, ledgerRev: this.revision });
+  private list(prefix: string, after: string, limit: number, respond: Respond): void {
+    const matching = [...this.rows.values()]
+      .filter((row) => row.key.startsWith(prefix) && row.key > after)
+      .sort((a, b) => (a.key < b.key ? -1 : 1));
+    const pageSize = Math.min(limit, PAGE_ROWS);
+    const rows = matching
+      .slice(0, pageSize)
+      .map(({ key, value, version }) => ({ path: key, v: value, stamp: version }));
+    respond(200, { rows, hasNext: matching.length > pageSize, ledgerRev: this.revision });
   }
 
   private transact({ when, writes }: Transaction, respond: Respond): void {
-    this.expire();
-    if (writes.some((w) => w.ticket !== undefined && !this.leases.has(w.ticket))) {
+    this.expireLeases();
+    if (writes.some((change) => change.ticket !== undefined && !this.leases.has(change.ticket))) {
       respond(400, { error: 'no such ticket' });
       return;
     }
     if (this.isTooLarge(when, writes)) {
-      this.refuse(400, respond);
+      this.respondWithError(400, respond);
       return;
     }
-    if (this.isTooFast(writes)) {
-      this.refuse(429, respond);
+    if (this.exceedsWriteRate(writes)) {
+      this.respondWithError(429, respond);
       return;
     }
     const failed = when
-      .filter((c) => (this.rows.get(c.path)?.stamp ?? 0) !== c.stamp)
-      .map((c) => c.path);
+      .filter((condition) => (this.rows.get(condition.path)?.version ?? 0) !== condition.stamp)
+      .map((condition) => condition.path);
     if (failed.length > 0) {
-      this.notes.add('transactions in conflict');
+      this.counts.add('transaction conflicts');
       respond(409, { ledgerRev: this.revision, failed });
       return;
     }
-    this.write(writes);
+    this.apply(writes);
     respond(200, { ledgerRev: this.revision });
   }
 
-  private isTooLarge(when: unknown[], writes: Write[]): boolean {
+  private isTooLarge(conditions: unknown[], changes: Change[]): boolean {
     if (!this.limits) return false;
-    const { valueBytes, writes: most } = this.limits;
-    const large = writes.some((w) => Buffer.byteLength(JSON.stringify(w.v ?? null)) > valueBytes);
-    return large || writes.length > most || when.length > most * 4;
+    const { maxValueBytes, maxWrites } = this.limits;
+    const hasLargeValue = changes.some(
+      (change) => Buffer.byteLength(JSON.stringify(change.v ?? null)) > maxValueBytes,
+    );
+    return hasLargeValue || changes.length > maxWrites || conditions.length > maxWrites * 4;
   }
 
-  private isTooFast(writes: Write[]): boolean {
+  private exceedsWriteRate(changes: Change[]): boolean {
     const second = Math.floor(this.net.time.now() / 1000);
-    if (second !== this.second) this.written = 0;
-    this.second = second;
-    this.written += writes.length;
-    return this.limits !== null && this.written > this.limits.writesPerS;
+    if (second !== this.currentSecond) this.writesInSecond = 0;
+    this.currentSecond = second;
+    this.writesInSecond += changes.length;
+    return this.limits !== null && this.writesInSecond > this.limits.maxWritesPerS;
   }
 
-  private write(writes: Write[]): void {
-    const stamp = ++this.revision;
-    for (const w of writes) {
-      const path = w.set ?? w.delete ?? '';
-      if (w.set === undefined) this.rows.delete(path);
-      else this.rows.set(path, { path, v: w.v, stamp, ticket: w.ticket ?? null });
-      this.news.push({
-        path,
-        news: w.set === undefined ? { delete: path, stamp } : { set: path, v: w.v, stamp },
+  private apply(changes: Change[]): void {
+    const version = ++this.revision;
+    for (const change of changes) {
+      const key = change.set ?? change.delete ?? '';
+      if (change.set === undefined) this.rows.delete(key);
+      else
+        this.rows.set(key, {
+          key,
+          value: change.v,
+          version,
+          leaseId: change.ticket ?? null,
+        });
+      this.events.push({
+        key,
+        event:
+          change.set === undefined
+            ? { delete: key, stamp: version }
+            : { set: key, v: change.v, stamp: version },
       });
     }
-    for (const wake of this.waiting.splice(0)) wake();
+    for (const notify of this.waitingWatches.splice(0)) notify();
   }
 
-  private watch(starts: string, after: number, waitMs: number, respond: Respond): void {
-    const until = this.net.time.now() + waitMs;
-    const look = () => {
-      if (answered) return;
-      const news = this.since(starts, after);
-      const over = this.net.time.now() >= until - 0.001;
-      const old = after < this.oldest;
-      if (news.length === 0 && !over && !old) {
-        this.waiting.push(look);
+  /** Responds with the events after a revision, at the latest after `waitMs`. */
+  private watch(prefix: string, after: number, waitMs: number, respond: Respond): void {
+    const deadlineAt = this.net.time.now() + waitMs;
+    const tryRespond = () => {
+      if (hasResponded) return;
+      const events = this.eventsSince(prefix, after);
+      const isTimedOut = this.net.time.now() >= deadlineAt - 0.001;
+      const isCompacted = after < this.oldestWatchRevision;
+      if (events.length === 0 && !isTimedOut && !isCompacted) {
+        this.waitingWatches.push(tryRespond);
         return;
       }
-      answered = true;
-      timer.run = null;
-      if (old) this.refuse(410, respond);
-      else respond(200, { news: news.map((n) => n.news), ledgerRev: this.revision });
+      hasResponded = true;
+      timer.callback = null;
+      if (isCompacted) this.respondWithError(410, respond);
+      else respond(200, { news: events.map((stored) => stored.event), ledgerRev: this.revision });
     };
-    let answered = false;
-    const timer = this.net.time.later(waitMs, look);
-    look();
+    let hasResponded = false;
+    const timer = this.net.time.schedule(waitMs, tryRespond);
+    tryRespond();
   }
 
-  private since(starts: string, after: number): News[] {
-    let from = this.news.length;
-    while (from > 0 && (this.news[from - 1] as News).news.stamp > after) from--;
-    return this.news.slice(from).filter((n) => n.path.startsWith(starts));
+  private eventsSince(prefix: string, after: number): StoredEvent[] {
+    let from = this.events.length;
+    while (from > 0 && (this.events[from - 1] as StoredEvent).event.stamp > after) from--;
+    return this.events.slice(from).filter((stored) => stored.key.startsWith(prefix));
   }
 
-  private grant(lifeMs: number, respond: Respond): void {
-    this.leases.set(++this.lastLease, { lifeMs, ends: this.net.time.now() + lifeMs });
-    this.net.time.later(lifeMs + 1, () => this.expire());
-    respond(200, { ticket: this.lastLease });
+  private grantLease(ttlMs: number, respond: Respond): void {
+    this.leases.set(++this.lastLeaseId, { ttlMs, endsAt: this.net.time.now() + ttlMs });
+    this.net.time.schedule(ttlMs + 1, () => this.expireLeases());
+    respond(200, { ticket: this.lastLeaseId });
   }
 
-  private touch(id: number): boolean {
+  /** Returns false when there is no such lease. */
+  private renewLease(id: number): boolean {
     const lease = this.leases.get(id);
     if (!lease) return false;
-    lease.ends = this.net.time.now() + lease.lifeMs;
-    this.net.time.later(lease.lifeMs + 1, () => this.expire());
+    lease.endsAt = this.net.time.now() + lease.ttlMs;
+    this.net.time.schedule(lease.ttlMs + 1, () => this.expireLeases());
     return true;
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     if (this.outage) return;
     const now = this.net.time.now();
-    for (const [id, l] of this.leases) if (l.ends <= now) this.end(id);
+    for (const [id, lease] of this.leases) if (lease.endsAt <= now) this.endLease(id);
   }
 
-  private end(id: number): void {
+  /** Ends the lease and deletes the keys that are bound to it. */
+  private endLease(id: number): void {
     if (!this.leases.delete(id)) return;
-    const ended = [...this.rows.values()].filter((r) => r.ticket === id);
-    if (ended.length > 0) this.write(ended.map((r) => ({ delete: r.path })));
+    const bound = [...this.rows.values()].filter((row) => row.leaseId === id);
+    if (bound.length > 0) this.apply(bound.map((row) => ({ delete: row.key })));
   }
 }
--- a/test/support/trace/time.ts
+++ b/test/support/trace/time.ts
@@ -2,123 +2,137 @@
 import { draw } from './draw.js';
 
 interface Timer {
-  at: number;
-  order: number;
-  run: (() => void) | null;
+  dueAt: number;
+  /** Order of creation, which decides between timers that are due at the same time. */
+  sequence: number;
+  /** Null when the timer is cancelled. */
+  callback: (() => void) | null;
 }
 
-/** Rounds of the event loop after each timer: more than immediates follow on each other. */
-const TURNS = 2;
-/** Time of day when a history begins. */
-const WALL = 1_800_000_000_000;
+/**
+ * Turns of the event loop after each timer. There must be more of them than
+ * immediates that the code under test chains one after another.
+ */
+const EVENT_LOOP_TURNS = 2;
+/** Time of day at which the simulated clock reads 0, in milliseconds since the epoch. */
+const WALL_CLOCK_START_MS = 1_800_000_000_000;
 
-function comesBefore(a: Timer, b: Timer): boolean {
-  return a.at < b.at || (a.at === b.at && a.order < b.order);
+function isDueBefore(a: Timer, b: Timer): boolean {
+  return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.sequence < b.sequence);
 }
 
 /**
- * Time that passes only when a history is played. Each timer belongs to a
- * host, and all that follows from it is done before the next timer: so the
- * host is known for whatever code of a controller runs. While it is installed, the
- * process's timers, its time of day and its random numbers are played too.
+ * A simulated clock, in milliseconds, that advances only in `runUntil`. Each
+ * timer belongs to a host, and all work that follows from it completes before
+ * the next timer runs, so `currentHost` is correct for any code that runs.
+ * While installed, it also replaces the timers, the time of day and the random
+ * numbers of the process.
  */
-export class PlayedTime implements Clock {
-  private time = 1000;
-  private made = 0;
-  private drawn = 0;
-  private drawnAt = 0;
-  /** The host to which the code that runs belongs. */
-  host = '';
-  /** A binary heap, the next timer first. */
+export class SimulatedTime implements Clock {
+  private currentTime = 1000;
+  private timersCreated = 0;
+  /** Random numbers drawn earlier at the same time. */
+  private drawIndex = 0;
+  private lastDrawAt = 0;
+  /** The host that owns the code that is running. */
+  currentHost = '';
+  /** A binary heap with the next timer first. Cancelled timers stay in it until they are due. */
   private readonly heap: Timer[] = [];
 
   constructor(private readonly seed: string) {}
 
   now(): number {
-    return this.time;
+    return this.currentTime;
   }
 
   wall(): number {
-    return WALL + this.time;
+    return WALL_CLOCK_START_MS + this.currentTime;
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       if (signal?.aborted) return reject(new AbortedError());
-      const stop = () => {
-        timer.run = null;
+      const onAbort = () => {
+        timer.callback = null;
         reject(new AbortedError());
       };
-      const timer = this.later(ms, () => {
-        signal?.removeEventListener('abort', stop);
+      const timer = this.schedule(ms, () => {
+        signal?.removeEventListener('abort', onAbort);
         resolve();
       });
-      signal?.addEventListener('abort', stop, { once: true });
+      signal?.addEventListener('abort', onAbort, { once: true });
     });
   }
 
-  /** Runs the work on the host that asks for it. */
-  later(ms: number, work: () => void): Timer {
-    return this.laterOn(this.host, ms, work);
+  /** Runs the callback after `ms` on the current host. */
+  schedule(ms: number, callback: () => void): Timer {
+    return this.scheduleOn(this.currentHost, ms, callback);
   }
 
-  laterOn(host: string, ms: number, work: () => void): Timer {
-    const run = () => {
-      this.host = host;
-      work();
+  scheduleOn(host: string, ms: number, task: () => void): Timer {
+    const callback = () => {
+      this.currentHost = host;
+      task();
+    };
+    const timer: Timer = {
+      dueAt: this.currentTime + Math.max(0, ms),
+      sequence: ++this.timersCreated,
+      callback,
     };
-    const timer: Timer = { at: this.time + Math.max(0, ms), order: ++this.made, run };
     this.push(timer);
     return timer;
   }
 
-  /** Plays all that happens up to then. */
-  async playUntil(end: number): Promise<void> {
-    await settle();
-    for (let next = this.heap[0]; next && next.at <= end; next = this.heap[0]) {
+  /** Runs all timers that are due by `endAt`, with the work that follows from them. */
+  async runUntil(endAt: number): Promise<void> {
+    await drainEventLoop();
+    for (let next = this.heap[0]; next && next.dueAt <= endAt; next = this.heap[0]) {
       this.pop();
-      if (!next.run) continue;
-      this.time = Math.max(this.time, next.at);
-      next.run();
-      await settle();
+      if (!next.callback) continue;
+      this.currentTime = Math.max(this.currentTime, next.dueAt);
+      next.callback();
+      await drainEventLoop();
     }
-    this.time = end;
+    this.currentTime = endAt;
   }
 
-  /** Puts played time in the place of the process's own; returns what takes it back. */
+  /** Replaces the time functions and the random numbers of the process. Returns a function that restores them. */
   install(): () => void {
     const { setTimeout, clearTimeout, setInterval, clearInterval } = globalThis;
-    const own = { now: Date.now, random: Math.random };
+    const original = { now: Date.now, random: Math.random };
     const cancel = (timer: unknown) => {
-      if (timer) (timer as Timer).run = null;
+      if (timer) (timer as Timer).callback = null;
     };
     Object.assign(globalThis, {
-      setTimeout: (work: () => void, ms = 0) => this.later(ms, work),
+      setTimeout: (callback: () => void, ms = 0) => this.schedule(ms, callback),
       clearTimeout: cancel,
-      setInterval: (work: () => void, ms: number) => this.every(ms, work),
+      setInterval: (callback: () => void, ms: number) => this.scheduleInterval(ms, callback),
       clearInterval: cancel,
     });
     Date.now = () => this.wall();
     Math.random = () => this.random();
     return () => {
       Object.assign(globalThis, { setTimeout, clearTimeout, setInterval, clearInterval });
-      Date.now = own.now;
-      Math.random = own.random;
+      Date.now = original.now;
+      Math.random = original.random;
     };
   }
 
-  /** Drawn for the host and moment, so that it does not matter who else draws. */
+  /**
+   * Depends on the seed, the host, the time and the number of earlier draws at
+   * that time, so draws at other times have no effect.
+   */
   private random(): number {
-    this.drawn = this.drawnAt === this.time ? this.drawn + 1 : 0;
-    this.drawnAt = this.time;
-    return draw(this.seed, this.host, this.time, this.drawn);
+    this.drawIndex = this.lastDrawAt === this.currentTime ? this.drawIndex + 1 : 0;
+    this.lastDrawAt = this.currentTime;
+    return draw(this.seed, this.currentHost, this.currentTime, this.drawIndex);
   }
 
-  private every(ms: number, work: () => void): Timer {
-    const timer = this.later(ms, () => {
-      work();
-      if (!timer.run) return;
-      timer.at = this.time + ms;
+  private scheduleInterval(ms: number, callback: () => void): Timer {
+    const timer = this.schedule(ms, () => {
+      callback();
+      if (!timer.callback) return;
+      timer.dueAt = this.currentTime + ms;
       this.push(timer);
     });
     return timer;
@@ -126,35 +140,35 @@
 
   private push(timer: Timer): void {
     const { heap } = this;
-    let place = heap.push(timer) - 1;
-    while (place > 0) {
-      const parent = (place - 1) >> 1;
-      if (!comesBefore(timer, heap[parent] as Timer)) break;
-      heap[place] = heap[parent] as Timer;
-      place = parent;
+    let index = heap.push(timer) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!isDueBefore(timer, heap[parent] as Timer)) break;
+      heap[index] = heap[parent] as Timer;
+      index = parent;
     }
-    heap[place] = timer;
+    heap[index] = timer;
   }
 
   private pop(): void {
     const { heap } = this;
     const last = heap.pop() as Timer;
     if (heap.length === 0) return;
-    let place = 0;
+    let index = 0;
     for (;;) {
-      let child = place * 2 + 1;
+      let child = index * 2 + 1;
       if (child >= heap.length) break;
-      if (child + 1 < heap.length && comesBefore(heap[child + 1] as Timer, heap[child] as Timer))
+      if (child + 1 < heap.length && isDueBefore(heap[child + 1] as Timer, heap[child] as Timer))
         child++;
-      if (!comesBefore(heap[child] as Timer, last)) break;
-      heap[place] = heap[child] as Timer;
-      place = child;
+      if (!isDueBefore(heap[child] as Timer, last)) break;
+      heap[index] = heap[child] as Timer;
+      index = child;
     }
-    heap[place] = last;
+    heap[index] = last;
   }
 }
 
-/** Lets all that is ready to run do so. */
-async function settle(): Promise<void> {
-  for (let i = 0; i < TURNS; i++) await new Promise((resolve) => setImmediate(resolve));
+/** Lets all pending promises and immediates run. */
+async function drainEventLoop(): Promise<void> {
+  for (let i = 0; i < EVENT_LOOP_TURNS; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/trace/trace.ts
+++ b/test/support/trace/trace.ts
@@ -1,41 +1,42 @@
 import { createHash } from 'node:crypto';
 
-interface Line {
-  at: number;
+/** One write of a controller to a connection. */
+interface TraceLine {
+  arrivesAt: number;
   text: string;
 }
 
-/** Hexadecimal digits of a digest that the test keeps. */
-const DIGITS = 16;
+/** Length of a digest. The test stores only the first hexadecimal digits of the hash. */
+const DIGEST_HEX_DIGITS = 16;
 
 /**
- * All that left the controllers in one history. Each pair of a controller and
- * a receiver has a channel of its own: in which order independent receivers
- * are served at one moment does not matter.
+ * Everything that the controllers sent in one history. Each pair of a
+ * controller and a receiver has its own channel, because the order in which a
+ * controller serves independent receivers at the same time does not matter.
  */
 export class Trace {
-  private readonly channels = new Map<string, Line[]>();
+  private readonly channels = new Map<string, TraceLine[]>();
 
-  record(from: string, to: string, at: number, text: string): void {
+  record(from: string, to: string, arrivesAt: number, text: string): void {
     const name = `${from} -> ${to}`;
     const lines = this.channels.get(name) ?? [];
     this.channels.set(name, lines);
-    lines.push({ at, text });
+    lines.push({ arrivesAt, text });
   }
 
-  /** The channels by name, each in the order of arrival. */
+  /** Returns the channels sorted by name, each with its lines in order of arrival. */
   text(): string {
-    const parts: string[] = [];
+    const output: string[] = [];
     for (const name of [...this.channels.keys()].sort()) {
-      const lines = this.channels.get(name) as Line[];
-      lines.sort((a, b) => a.at - b.at || (a.text < b.text ? -1 : 1));
-      parts.push(`== ${name}`, ...lines.map((l) => `${l.at.toFixed(3)} ${l.text}`));
+      const lines = this.channels.get(name) as TraceLine[];
+      lines.sort((a, b) => a.arrivesAt - b.arrivesAt || (a.text < b.text ? -1 : 1));
+      output.push(`== ${name}`, ...lines.map((l) => `${l.arrivesAt.toFixed(3)} ${l.text}`));
     }
-    return `${parts.join('\n')}\n`;
+    return `${output.join('\n')}\n`;
   }
 }
 
-/** By which the test knows a trace's text. */
+/** Returns the digest by which the test identifies the text of a trace. */
 export function digestOf(text: string): string {
-  return createHash('sha256').update(text).digest('hex').slice(0, DIGITS);
+  return createHash('sha256').update(text).digest('hex').slice(0, DIGEST_HEX_DIGITS);
 }
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -3,17 +3,18 @@
 import { DEFAULT_POLICY } from '../../../src/config/policy.js';
 import { parsePlatform } from '../../../src/config/settings.js';
 import { createController } from '../../../src/controller/wiring.js';
-import { type Cart, PlayedCloud } from './cloud.js';
+import { type CloudMachine, SimulatedCloud } from './cloud.js';
 import { draw } from './draw.js';
-import { PlayedMachine } from './machine.js';
-import { nameOf, PEER_PORT, PlayedNet } from './net.js';
-import { Notes } from './notes.js';
-import { PlayedState, type StateTrouble } from './state-service.js';
-import { PlayedTime } from './time.js';
+import { EventCounts } from './event-counts.js';
+import { SimulatedMachine } from './machine.js';
+import { hostName, PEER_PORT, SimulatedNetwork } from './net.js';
+import { SimulatedStateService, type StateFaults } from './state-service.js';
+import { SimulatedTime } from './time.js';
 import { Trace } from './trace.js';
 
 const CONTROLLERS = [0, 1, 2];
-const ZONES = ['a', 'b', 'a'];
+const CONTROLLER_ZONES = ['a', 'b', 'a'];
+/** Port for users and agents. */
 const USER_PORT = 8000;
 const USER_TIMEOUT_MS = 3000;
 
@@ -32,12 +33,12 @@
   ],
   workers: { report_s: 3, lease_s: 20, cancel_s: 50 },
   cloud: { rps: 3, list_lag_s: 5 },
-  // The real process's memory must not decide anything here.
+  // So large that the memory use of the real process has no effect.
   quota: { cpu: 0.1, memory_mb: 1_000_000, max_sockets: 500 },
   skew_ms: 5,
 };
 
-/** The state service's limits as the settings name them. */
+/** Limits of the state service, with the field names of the settings file. */
 export interface StateSettings {
   rps: number;
   write_rps: number;
@@ -46,9 +47,9 @@
   next?: { write_rps: number; value_kb: number; txn_ops: number };
 }
 
-const STATE: StateSettings = { rps: 200, write_rps: 50, value_kb: 8, txn_ops: 12 };
+const STATE_SETTINGS: StateSettings = { rps: 200, write_rps: 50, value_kb: 8, txn_ops: 12 };
 
-/** A submission in the wire's words. */
+/** A job submission, with the field names of the protocol. */
 export interface Submission {
   id: string;
   bracket: string;
@@ -72,7 +73,7 @@
   dueS?: number;
 }
 
-const SUBMISSION: Submission = {
+const DEFAULT_SUBMISSION: Submission = {
   id: '',
   bracket: 'work',
   crew: 'ops',
@@ -93,248 +94,287 @@
   awaits: [],
 };
 
-interface Life {
+/** A running controller. */
+interface ControllerProcess {
+  /** The controller's name and, after a `#`, the number of its process. */
   host: string;
   stop: AbortController;
 }
 
 /**
- * Three whole controllers, in played time and on a played network, with all
- * that they talk to. Nothing of their inside is touched: it may be rewritten
- * freely while what they send stays the same.
+ * Three complete controllers on simulated time and a simulated network, with
+ * simulated machines, users, cloud and state service. The simulation uses
+ * nothing internal to the controllers, so their code may change freely as long
+ * as they send the same messages.
  */
 export class TracedWorld {
-  readonly time: PlayedTime;
+  readonly time: SimulatedTime;
   readonly trace = new Trace();
-  readonly net: PlayedNet;
-  readonly state: PlayedState;
-  readonly cloud: PlayedCloud;
-  readonly machines = new Map<string, PlayedMachine>();
+  readonly net: SimulatedNetwork;
+  readonly state: SimulatedStateService;
+  readonly cloud: SimulatedCloud;
+  readonly machines = new Map<string, SimulatedMachine>();
+  /** Submissions by job id. */
   readonly jobs = new Map<string, Submission>();
-  readonly notes = new Notes();
-  /** Parts of commands and answers to reports that are lost, commands that come late, reports copied. */
-  lostAnswers = 0;
-  lateCommands = 0;
-  copies = 0;
-  /** Whether this task fails on this machine. */
-  fails: (hand: string, machine: string) => boolean = () => false;
-  /** Between which hosts nothing passes. */
-  private readonly cuts = new Set<(from: string, to: string) => boolean>();
-  private readonly lives = new Map<number, Life>();
-  /** Jobs whose users have asked to cancel them. */
-  private readonly cancelled = new Set<string>();
-  private started = 0;
-  private asked = 0;
+  readonly counts = new EventCounts();
+  /** Fraction of the responses to commands and heartbeats that are lost. */
+  lostResponseRate = 0;
+  /** Fraction of the commands that arrive late. */
+  delayedCommandRate = 0;
+  /** Fraction of the heartbeats of which a delayed copy is sent. */
+  duplicateHeartbeatRate = 0;
+  /** Reports whether the task fails on the machine. */
+  taskFails: (task: string, machine: string) => boolean = () => false;
+  /** Each reports whether it separates two hosts. */
+  private readonly partitions = new Set<(from: string, to: string) => boolean>();
+  /** Running controllers by index. */
+  private readonly controllers = new Map<number, ControllerProcess>();
+  /** Ids of the jobs that users have asked to cancel. */
+  private readonly cancelledByUser = new Set<string>();
+  private controllersStarted = 0;
+  private jobIdsIssued = 0;
 
   constructor(
     readonly seed: string,
     private readonly stateSettings: Partial<StateSettings> = {},
   ) {
-    this.time = new PlayedTime(seed);
-    this.net = new PlayedNet(this.time, this.trace);
-    this.net.isCut = (from, to) => [...this.cuts].some((cut) => cut(from, to) || cut(to, from));
-    this.state = new PlayedState(this.net, seed, this.notes);
-    this.cloud = new PlayedCloud(
+    this.time = new SimulatedTime(seed);
+    this.net = new SimulatedNetwork(this.time, this.trace);
+    this.net.isPartitioned = (from, to) =>
+      [...this.partitions].some((separates) => separates(from, to) || separates(to, from));
+    this.state = new SimulatedStateService(this.net, seed, this.counts);
+    this.cloud = new SimulatedCloud(
       this.net,
       seed,
-      (cart) => this.boot(cart),
-      (id, returned) => this.remove(id, returned),
+      (machine) => this.addMachine(machine),
+      (id, terminated) => this.removeMachine(id, terminated),
     );
   }
 
-  /** Runs the work with played time and network in the process's place. */
-  async play(work: () => Promise<void>): Promise<void> {
-    const undo = [this.time.install(), this.net.install()];
+  /** Runs the history with simulated time and network, and stops all controllers and machines at its end. */
+  async simulate(history: () => Promise<void>): Promise<void> {
+    const restorers = [this.time.install(), this.net.install()];
     try {
-      await work();
+      await history();
       for (const i of CONTROLLERS) this.crash(i);
-      for (const m of this.machines.values()) m.gone = true;
+      for (const machine of this.machines.values()) machine.terminated = true;
       await this.run(1);
     } finally {
-      for (const restore of undo) restore();
+      for (const restore of restorers) restore();
     }
   }
 
   run(seconds: number): Promise<void> {
-    return this.time.playUntil(this.time.now() + seconds * 1000);
+    return this.time.runUntil(this.time.now() + seconds * 1000);
   }
 
   // Controllers
 
+  /** Starts a controller. A running one is killed first. */
   start(i: number): void {
     this.crash(i);
     const name = `c-${i}`;
-    const host = `${name}#${++this.started}`;
+    const host = `${name}#${++this.controllersStarted}`;
     const stop = new AbortController();
     setMaxListeners(0, stop.signal);
-    this.lives.set(i, { host, stop });
-    const platform = parsePlatform(JSON.stringify(settingsOf(i, this.stateSettings)), 'played');
+    this.controllers.set(i, { host, stop });
+    const platform = parsePlatform(
+      JSON.stringify(settingsOf(i, this.stateSettings)),
+      'simulated settings',
+    );
     const log = pino({ level: 'silent' });
-    const life = `${name}-${this.started}`;
-    this.time.laterOn(host, 0, () => {
+    const incarnation = `${name}-${this.controllersStarted}`;
+    this.time.scheduleOn(host, 0, () => {
       const options = {
         platform,
         policy: DEFAULT_POLICY,
         clock: this.time,
         log,
-        incarnation: life,
+        incarnation,
       };
       void createController(options).run(stop.signal);
     });
   }
 
-  /** Ends like a killed process: nothing more leaves it. */
+  /** Kills a controller: it sends nothing more. */
   crash(i: number): void {
-    const life = this.lives.get(i);
-    if (!life) return;
-    this.lives.delete(i);
-    this.net.kill(life.host);
-    this.time.laterOn(life.host, 0, () => life.stop.abort());
+    const controller = this.controllers.get(i);
+    if (!controller) return;
+    this.controllers.delete(i);
+    this.net.kill(controller.host);
+    this.time.scheduleOn(controller.host, 0, () => controller.stop.abort());
   }
 
-  /** The controller whose key stands in the state service; the first when none does. */
-  get leading(): number {
-    const record = this.state.rows.get('leader')?.v as { node?: string } | undefined;
+  /** Index of the controller that holds the leader key in the state service; 0 when the key is absent. */
+  get leaderIndex(): number {
+    const record = this.state.rows.get('leader')?.value as { node?: string } | undefined;
     return record?.node ? Number(record.node.slice(2)) : 0;
   }
 
-  trouble(i: number, ms: number, fields: Partial<StateTrouble>): void {
+  /** Lets the state service show faults to one controller for `ms`. */
+  injectStateFaults(i: number, ms: number, faults: Partial<StateFaults>): void {
     const name = `c-${i}`;
-    this.state.troubles.set(name, { refusal: null, lostAnswers: 0, late: 0, ...fields });
-    this.time.later(ms, () => this.state.troubles.delete(name));
+    this.state.faults.set(name, {
+      errorStatus: null,
+      lostResponseRate: 0,
+      delayedTransactionRate: 0,
+      ...faults,
+    });
+    this.time.schedule(ms, () => this.state.faults.delete(name));
   }
 
-  /** Holds back all between two groups of hosts for a while. */
-  cut(ms: number, one: (host: string) => boolean, other: (host: string) => boolean): void {
-    const cut = (from: string, to: string) => one(from) && other(to);
-    this.cuts.add(cut);
-    this.time.later(ms, () => {
-      this.cuts.delete(cut);
+  /** Holds back all messages between two groups of hosts for `ms`. */
+  partition(
+    ms: number,
+    isFirst: (host: string) => boolean,
+    isSecond: (host: string) => boolean,
+  ): void {
+    const separates = (from: string, to: string) => isFirst(from) && isSecond(to);
+    this.partitions.add(separates);
+    this.time.schedule(ms, () => {
+      this.partitions.delete(separates);
       this.net.heal();
     });
   }
 
-  /** In which zone a host stands; null for services and users, which all reach. */
+  /** Returns the zone of a controller or machine; null for services and users, which have none. */
   zoneOf(host: string): string | null {
-    if (host.startsWith('c-')) return ZONES[Number(nameOf(host).slice(2))] ?? null;
-    return this.machines.get(host)?.cart.hall ?? null;
+    if (host.startsWith('c-')) return CONTROLLER_ZONES[Number(hostName(host).slice(2))] ?? null;
+    return this.machines.get(host)?.listed.hall ?? null;
   }
 
   // Machines
 
-  private boot(cart: Cart): void {
-    this.machines.set(cart.id, new PlayedMachine(this, cart));
+  private addMachine(listed: CloudMachine): void {
+    this.machines.set(listed.id, new SimulatedMachine(this, listed));
   }
 
-  private remove(id: string, returned: boolean): void {
-    const m = this.machines.get(id);
-    if (returned) this.notes.add(`${conditionOf(m)} machines returned`);
-    if (!m) return;
-    m.gone = true;
+  private removeMachine(id: string, terminated: boolean): void {
+    const machine = this.machines.get(id);
+    if (terminated) this.counts.add(`${conditionOf(machine)} machines terminated`);
+    if (!machine) return;
+    machine.terminated = true;
     this.net.kill(id);
     this.machines.delete(id);
   }
 
-  /** The cloud announces that it takes the machine, and takes it. */
-  recall(m: PlayedMachine, seconds: number): void {
-    this.notes.add('spot notices');
-    m.recall(seconds);
-    this.time.later(seconds * 1000, () => this.cloud.take(m.cart.id));
+  /** Sends a preemption notice to the machine and preempts it `noticeS` seconds later. */
+  preempt(machine: SimulatedMachine, noticeS: number): void {
+    this.counts.add('preemption notices');
+    machine.notifyPreemption(noticeS);
+    this.time.schedule(noticeS * 1000, () => this.cloud.remove(machine.listed.id));
   }
 
-  /** A copy of a report comes late, at any controller. */
-  copyLater(machine: string, body: unknown): void {
-    const luck = draw(this.seed, 'copy', machine, this.time.now());
-    if (luck >= this.copies) return;
-    this.notes.add('late copies');
-    this.time.later(2000 + (luck / this.copies) * 25_000, () => {
-      const to = Math.floor(draw(this.seed, 'to', machine, this.time.now()) * 3);
-      void this.net.request(machine, `c-${to}:8000`, 'POST', '/agent/beat', body, 4000);
+  /** Sends a delayed copy of some heartbeats to a random controller. */
+  maybeDuplicateHeartbeat(machine: string, body: unknown): void {
+    const sample = draw(this.seed, 'copy', machine, this.time.now());
+    if (sample >= this.duplicateHeartbeatRate) return;
+    this.counts.add('duplicate heartbeats');
+    this.time.schedule(2000 + (sample / this.duplicateHeartbeatRate) * 25_000, () => {
+      const controller = Math.floor(draw(this.seed, 'to', machine, this.time.now()) * 3);
+      void this.net.request(machine, `c-${controller}:8000`, 'POST', '/agent/beat', body, 4000);
     });
   }
 
-  jobOf(hand: string): Submission {
-    return this.jobs.get(hand.split('/')[0] as string) ?? SUBMISSION;
+  /** Returns the submission of the task's job. */
+  jobOf(task: string): Submission {
+    return this.jobs.get(task.split('/')[0] as string) ?? DEFAULT_SUBMISSION;
   }
 
-  isRunning(id: string): boolean {
-    return [...this.machines.values()].some((m) => m.runs(id));
+  hasLiveTask(jobId: string): boolean {
+    return [...this.machines.values()].some((machine) => machine.hasLiveTask(jobId));
   }
 
-  isLive(hand: string): boolean {
-    return this.state.rows.has(`live/${hand.split('/')[0]}`);
+  /** Reports whether the task's job has not ended. */
+  isJobLive(task: string): boolean {
+    return this.state.rows.has(`live/${task.split('/')[0]}`);
   }
 
-  runMs(hand: string, machine: string): number {
-    const { expectedS } = this.jobOf(hand);
-    return expectedS * 1000 * (0.5 + draw(this.seed, 'length', hand, machine));
+  /** Returns the run time of the task on the machine: 50 to 150% of the expected one. */
+  runDurationMs(task: string, machine: string): number {
+    const { expectedS } = this.jobOf(task);
+    return expectedS * 1000 * (0.5 + draw(this.seed, 'length', task, machine));
   }
 
-  /** Looks now and then at what no message shows by itself. */
-  look(): void {
+  /** Counts the teams at their CPU limit. Called once a second, because no message shows it. */
+  countTeamsAtLimit(): void {
     for (const { name, cpus_max } of SETTINGS.teams) {
-      let cores = 0;
-      for (const m of this.machines.values()) cores += m.coresInUse(name);
-      if (cpus_max > 0 && cores === cpus_max) this.notes.add('seconds of a team at its limit');
+      let cpus = 0;
+      for (const machine of this.machines.values()) cpus += machine.cpusInUse(name);
+      if (cpus_max > 0 && cpus === cpus_max)
+        this.counts.add('seconds with a team at its CPU limit');
     }
   }
 
-  /** Counts what only the end shows. */
-  sumUp(): void {
-    this.notes.add('capacity refusals', this.cloud.refusals);
-    for (const { path, v } of this.state.rows.values()) {
-      const { state } = v as { state?: string };
-      const [kind, id = ''] = path.split('/');
-      if (kind === 'over' && state === 'cancelled' && !this.cancelled.has(id))
-        this.notes.add('cancellations carried on');
+  /** Counts the events that only the final state shows. */
+  countFinalEvents(): void {
+    this.counts.add('capacity refusals', this.cloud.capacityRefusals);
+    for (const { key, value } of this.state.rows.values()) {
+      const { state } = value as { state?: string };
+      const [kind, id = ''] = key.split('/');
+      if (kind === 'over' && state === 'cancelled' && !this.cancelledByUser.has(id))
+        this.counts.add('cancellations propagated to dependent jobs');
     }
   }
 
   // Users
 
-  submit(fields: Partial<Submission> = {}, to = this.anyController()): string {
-    const id = fields.id ?? `req-${String(++this.asked).padStart(6, '0')}`;
-    const job = { ...SUBMISSION, ...this.jobs.get(id), ...fields, id };
+  /** Submits a job, or submits it again when `fields.id` is a known one. Returns its id. */
+  submit(fields: Partial<Submission> = {}, controller = this.anyController()): string {
+    const id = fields.id ?? `req-${String(++this.jobIdsIssued).padStart(6, '0')}`;
+    const job = { ...DEFAULT_SUBMISSION, ...this.jobs.get(id), ...fields, id };
     this.jobs.set(id, job);
-    this.ask('POST', '/v1/jobs', job, to);
+    this.sendUserRequest('POST', '/v1/jobs', job, controller);
     return id;
   }
 
-  cancel(id: string, to = this.anyController()): void {
-    this.notes.add('cancellations asked');
-    this.cancelled.add(id);
-    this.ask('POST', `/v1/jobs/${id}/withdraw`, undefined, to);
+  cancel(id: string, controller = this.anyController()): void {
+    this.counts.add('cancellation requests');
+    this.cancelledByUser.add(id);
+    this.sendUserRequest('POST', `/v1/jobs/${id}/withdraw`, undefined, controller);
   }
 
-  query(id: string, to = this.anyController()): void {
-    this.ask('GET', `/v1/jobs/${id}`, undefined, to);
+  query(id: string, controller = this.anyController()): void {
+    this.sendUserRequest('GET', `/v1/jobs/${id}`, undefined, controller);
   }
 
-  ask(method: string, target: string, body: unknown, to: number): void {
-    const user = `user-of-${to}`;
-    void this.net.request(user, `c-${to}:${USER_PORT}`, method, target, body, USER_TIMEOUT_MS);
+  sendUserRequest(method: string, target: string, body: unknown, controller: number): void {
+    const user = `user-of-${controller}`;
+    void this.net.request(
+      user,
+      `c-${controller}:${USER_PORT}`,
+      method,
+      target,
+      body,
+      USER_TIMEOUT_MS,
+    );
   }
 
   private anyController(): number {
-    return Math.floor(draw(this.seed, 'controller', this.time.now(), this.asked) * 3);
+    return Math.floor(draw(this.seed, 'controller', this.time.now(), this.jobIdsIssued) * 3);
   }
 }
 
-function conditionOf(m: PlayedMachine | undefined): string {
-  if (!m) return 'never booted';
-  if (m.hangs) return 'silent';
-  return m.deaf ? 'deaf' : 'heard';
+/** Returns the condition of a machine at its termination, as the counters name it. */
+function conditionOf(machine: SimulatedMachine | undefined): string {
+  if (!machine) return 'never booted';
+  if (machine.hung) return 'hung';
+  return machine.unresponsive ? 'unresponsive' : 'healthy';
 }
 
 function settingsOf(i: number, state: Partial<StateSettings>) {
   const others = CONTROLLERS.filter((j) => j !== i);
   return {
     node: `c-${i}`,
-    zone: ZONES[i],
+    zone: CONTROLLER_ZONES[i],
     bind: `c-${i}:${USER_PORT}`,
     peer_listen: `c-${i}:${PEER_PORT}`,
-    peers: others.map((j) => ({ node: `c-${j}`, zone: ZONES[j], address: `c-${j}:${PEER_PORT}` })),
+    peers: others.map((j) => ({
+      node: `c-${j}`,
+      zone: CONTROLLER_ZONES[j],
+      address: `c-${j}:${PEER_PORT}`,
+    })),
     external: { cloud: 'cloud:2', state: 'state:1' },
-    settings: { ...SETTINGS, state: { ...STATE, ...state } },
+    settings: { ...SETTINGS, state: { ...STATE_SETTINGS, ...state } },
   };
 }
