--- a/test/decision-trace.test.ts
+++ b/test/decision-trace.test.ts
@@ -115,7 +115,7 @@
   writeFileSync(join(directory, `${kind.replaceAll(' ', '-')}-${seed}.txt`), text);
 }
 
-test('the controllers send the same messages as recorded in every history', async (t) => {
+test('controllers send the recorded messages in every history', async (t) => {
   const histories = await runHistories();
   const directory = process.env.TRACE_DIR;
   if (directory) for (const history of histories) writeTrace(directory, history);
--- a/test/support/trace/cloud.ts
+++ b/test/support/trace/cloud.ts
@@ -28,7 +28,7 @@
 /** Announced boot time of each machine type, in seconds. The actual time is 70 to 130% of it. */
 const BOOT_S = 6;
 
-/** A machine type without accelerators and one with, as the protocol describes them. */
+/** Two machine types, one of them with accelerators, with the field names of the protocol. */
 const MACHINE_TYPES = [
   { sku: 'm16', cores: 16, accelerators: 0, memoryGb: 64, rate: 1, spotPrice: 0.3 },
   { sku: 'g8', cores: 8, accelerators: 2, memoryGb: 64, rate: 3, spotPrice: 1.2 },
@@ -75,7 +75,7 @@
     net.serve('cloud', 2, (request, respond) => this.handle(request, respond));
   }
 
-  /** Removes a machine: terminated on request, or else preempted by the cloud. */
+  /** Removes a machine. `terminated` is true for a termination and false for a preemption. */
   remove(id: string, terminated = false): void {
     const machine = this.machines.get(id);
     if (!machine) return;
@@ -140,9 +140,12 @@
     const sameKind = [...this.machines.values()].filter(
       (m) => m.rig === type && m.hall === zone && m.loaner === spot,
     );
-    const created = Math.min(count, Math.max(0, this.capacity(type, zone, spot) - sameKind.length));
-    const ids = Array.from({ length: created }, () => this.createMachine(type, zone, spot));
-    if (created > 0) this.provisionedByRequest.set(name, ids);
+    const createdCount = Math.min(
+      count,
+      Math.max(0, this.capacity(type, zone, spot) - sameKind.length),
+    );
+    const ids = Array.from({ length: createdCount }, () => this.createMachine(type, zone, spot));
+    if (createdCount > 0) this.provisionedByRequest.set(name, ids);
     return ids;
   }
 
--- a/test/support/trace/event-counts.ts
+++ b/test/support/trace/event-counts.ts
@@ -13,7 +13,7 @@
   }
 }
 
-/** Names of the events that are counted in a trace, and the message text that identifies each. */
+/** Events that are counted in a trace, each with the pattern that matches it in the text. */
 const TRACE_PATTERNS: [name: string, pattern: RegExp][] = [
   ['start commands', /"verb":"run"/g],
   ['stop commands', /"verb":"kill"/g],
--- a/test/support/trace/histories.ts
+++ b/test/support/trace/histories.ts
@@ -4,9 +4,10 @@
 
 /** The faults and the length of one kind of history. */
 interface HistoryScript {
-  /** Time of the first fault, interval between faults, and time of the end, all counted from the first user action. */
+  /** Seconds from the first user request to the first fault. */
   firstFaultS: number;
   faultIntervalS: number;
+  /** Seconds from the first user request to the final status queries. */
   durationS: number;
   /** Injects a fault. `faultIndex` counts from 0. */
   injectFault: (run: HistoryRun, faultIndex: number) => void;
@@ -72,8 +73,8 @@
     this.world.preempt(machine, noticeS);
   }
 
-  /** Sends the user requests of one step: a submission, status query, repeated or invalid submission, or cancellation. */
-  sendRequests(step: number): void {
+  /** Sends a submission (new, repeated or invalid), status query or cancellation. */
+  sendRequest(step: number): void {
     const { world, jobIds } = this;
     const sample = this.draw('use', step);
     const id = this.pick(jobIds.slice(-10), 'id', step);
@@ -116,7 +117,7 @@
     let faultsInjected = 0;
     for (let step = 0; step < script.durationS; step++) {
       // Users stop before the end, so that scale-in terminates idle machines.
-      if (step < script.durationS * 0.7) run.sendRequests(step);
+      if (step < script.durationS * 0.7) run.sendRequest(step);
       if (step >= script.firstFaultS && (step - script.firstFaultS) % script.faultIntervalS === 0)
         script.injectFault(run, faultsInjected++);
       await world.run(1);
@@ -137,10 +138,10 @@
 
 /**
  * Scripts by kind of history. Users send a request every second, more often than
- * a machine sends a heartbeat. Nothing fails but what the script makes fail.
+ * a machine sends a heartbeat. Only the faults of the script occur.
  */
 const SCRIPTS: Record<string, HistoryScript> = {
-  // Preemptions of spot machines, with little capacity in the cloud.
+  // Preemptions of spot machines, with limited capacity in the cloud.
   calm: {
     firstFaultS: 18,
     faultIntervalS: 6,
@@ -150,13 +151,13 @@
     },
     injectFault: (run, faultIndex) => {
       const spot = [...run.world.machines.values()].filter(
-        (machine) => machine.listed.loaner && !run.preempted.has(machine),
+        (machine) => machine.cloudMachine.loaner && !run.preempted.has(machine),
       );
       const machine = run.pick(spot, 'spot', faultIndex);
       if (machine) run.preempt(machine, 4 + faultIndex * 3);
     },
   },
-  // Crashes of the leader, and of all controllers.
+  // Crashes of the leader or of all controllers, followed by failovers.
   takeovers: {
     firstFaultS: 15,
     faultIntervalS: 12,
@@ -179,28 +180,28 @@
     injectFault: (run, faultIndex) => {
       const { world } = run;
       const leader = `c-${world.leaderIndex}`;
-      const ms = 8000 + run.draw('cut', faultIndex) * 14_000;
+      const durationMs = 8000 + run.draw('cut', faultIndex) * 14_000;
       const isMachine = (host: string) => host.startsWith('n-');
       const isPeer = (host: string) => host.startsWith('c-') && host !== leader;
       if (faultIndex % 4 === 0)
         world.partition(
-          ms,
+          durationMs,
           (h) => h === leader,
           (h) => isMachine(h) && h.endsWith('1'),
         );
       else if (faultIndex % 4 === 1)
         world.partition(
-          ms,
+          durationMs,
           (h) => h === leader,
           (h) => isPeer(h) || isMachine(h),
         );
       else if (faultIndex % 4 === 2)
         world.partition(
-          ms,
+          durationMs,
           (h) => world.zoneOf(h) === 'a',
           (h) => world.zoneOf(h) === 'b',
         );
-      else world.partition(ms, (h) => h === leader, isMachine);
+      else world.partition(durationMs, (h) => h === leader, isMachine);
     },
   },
   // Errors, lost responses, delayed transactions, outages and compactions of the state service.
@@ -210,17 +211,19 @@
     durationS: 64,
     injectFault: (run, faultIndex) => {
       const { world } = run;
-      const ms = 2000 + run.draw('state', faultIndex) * 9000;
+      const durationMs = 2000 + run.draw('state', faultIndex) * 9000;
       const controller = faultIndex % 2 === 0 ? world.leaderIndex : (world.leaderIndex + 1) % 3;
-      if (faultIndex % 6 === 0) world.injectStateFaults(controller, ms, { errorStatus: 429 });
-      else if (faultIndex % 6 === 1) world.injectStateFaults(controller, ms, { errorStatus: 503 });
+      if (faultIndex % 6 === 0)
+        world.injectStateFaults(controller, durationMs, { errorStatus: 429 });
+      else if (faultIndex % 6 === 1)
+        world.injectStateFaults(controller, durationMs, { errorStatus: 503 });
       else if (faultIndex % 6 === 2)
-        world.injectStateFaults(controller, ms, { lostResponseRate: 0.3 });
+        world.injectStateFaults(controller, durationMs, { lostResponseRate: 0.3 });
       else if (faultIndex % 6 === 3) {
         world.state.setOutage(true);
-        world.time.schedule(ms * 2, () => world.state.setOutage(false));
+        world.time.schedule(durationMs * 2, () => world.state.setOutage(false));
       } else if (faultIndex % 6 === 4)
-        world.injectStateFaults(controller, ms * 2, { delayedTransactionRate: 0.6 });
+        world.injectStateFaults(controller, durationMs * 2, { delayedTransactionRate: 0.6 });
       else world.state.compact();
     },
   },
@@ -243,7 +246,7 @@
       );
     },
   },
-  // Lost responses and outages of the cloud, and machines that never boot.
+  // Lost responses and outages of the cloud, limited capacity, and machines that never boot.
   cloud: {
     firstFaultS: 8,
     faultIntervalS: 9,
@@ -298,7 +301,7 @@
       if (faultIndex % 5 === 4) crashAndRestart(run, world.leaderIndex, 2000);
     },
   },
-  // More work than a single machine holds.
+  // More work than fits on the two machines that the cloud provides.
   crowded: {
     firstFaultS: 12,
     faultIntervalS: 9,
@@ -315,7 +318,7 @@
       else jobIds.push(world.submit({ rank: 'critical', cores: 16, hands: 1, loaner: false }));
     },
   },
-  // Hung and unresponsive machines, with crashes of the leader and an outage of the state service.
+  // Hung and unresponsive machines, crashes of the leader, and a state service outage.
   silence: {
     firstFaultS: 16,
     faultIntervalS: 13,
@@ -343,7 +346,7 @@
       world.time.schedule(33_000, () => world.state.setOutage(false));
     },
   },
-  // Dependency lists too long for one value of the state service.
+  // Dependency lists that exceed the maximum value size of the state service.
   'long lists': {
     firstFaultS: 6,
     faultIntervalS: 11,
--- a/test/support/trace/machine.ts
+++ b/test/support/trace/machine.ts
@@ -3,7 +3,10 @@
 import type { RequestHandler, SimulatedRequest, SimulatedResponse } from './net.js';
 import type { TracedWorld } from './world.js';
 
-/** A task attempt on the machine. All fields but `stateEndsAt` are sent in heartbeats under these names. */
+/**
+ * A task attempt on the machine. All fields but `stateEndsAt` are sent in
+ * heartbeats under these names.
+ */
 interface AgentTask {
   hand: string;
   try: number;
@@ -39,9 +42,12 @@
 
 /** A machine with its agent, which follows the agent protocol. */
 export class SimulatedMachine {
-  /** While true, heartbeat responses and commands do not reach the agent, but its heartbeats are sent. */
+  /** While true, the agent sends heartbeats but receives neither responses nor commands. */
   unresponsive = false;
-  /** While true, the agent sends nothing. Commands that arrive are executed on `resume`, without a response. */
+  /**
+   * While true, the agent sends nothing. Commands that arrive are executed on
+   * `resume`, without a response.
+   */
   hung = false;
   /** True when a heartbeat is due because something changed since the last one. */
   private hasUnreportedChange = true;
@@ -63,18 +69,18 @@
 
   constructor(
     private readonly world: TracedWorld,
-    readonly listed: CloudMachine,
+    readonly cloudMachine: CloudMachine,
   ) {
     this.leaseStartedAt = world.time.now();
-    this.controller = Math.floor(draw(world.seed, 'first', listed.id) * 3);
-    const [host = '', port = ''] = listed.endpoint.split(':');
+    this.controller = Math.floor(draw(world.seed, 'first', cloudMachine.id) * 3);
+    const [host = '', port = ''] = cloudMachine.endpoint.split(':');
     world.net.serve(host, Number(port), (request, respond) => this.serve(request, respond));
     void this.run();
   }
 
   /** Delivers a preemption notice to the agent. */
-  notifyPreemption(seconds: number): void {
-    this.preemptionNoticeS = seconds;
+  notifyPreemption(noticeS: number): void {
+    this.preemptionNoticeS = noticeS;
     this.hasUnreportedChange = true;
   }
 
@@ -84,7 +90,7 @@
   }
 
   private heartbeat() {
-    const { id, endpoint, rig, hall, loaner } = this.listed;
+    const { id, endpoint, rig, hall, loaner } = this.cloudMachine;
     const hands = [...this.tasks.values()].map(({ stateEndsAt, ...fields }) => fields);
     const { agentEpoch: shift, fencingToken: baton, preemptionNoticeS: recallS } = this;
     return {
@@ -113,7 +119,7 @@
       return;
     }
     const { world } = this;
-    const sample = draw(world.seed, 'command', this.listed.id, world.time.now());
+    const sample = draw(world.seed, 'command', this.cloudMachine.id, world.time.now());
     if (sample < world.delayedCommandRate) {
       world.counts.add('delayed commands');
       world.time.schedule(2000 + sample * 30_000, () =>
@@ -135,7 +141,7 @@
     respond(accepted ? 200 : 409, this.heartbeat());
   }
 
-  /** Returns false, and executes nothing, when the token is lower than the highest that was seen. */
+  /** Returns false and executes nothing when the token is lower than an earlier one. */
   private execute(token: number, commands: TaskCommand[]): boolean {
     if (token < this.fencingToken) return false;
     if (token > this.fencingToken || commands.length > 0) this.hasUnreportedChange = true;
@@ -161,7 +167,7 @@
     };
     this.tasks.set(key, task);
     world.counts.add(job.awaits.length > 0 ? 'starts of dependent jobs' : 'starts');
-    if (this.cpusInUse() > cpusOfType(this.listed.rig)) {
+    if (this.cpusInUse() > cpusOfType(this.cloudMachine.rig)) {
       this.exitTask(task, 'full');
       return;
     }
@@ -194,7 +200,8 @@
   private startRunning(task: AgentTask): void {
     this.hasUnreportedChange = true;
     task.standing = 'running';
-    task.stateEndsAt = this.world.time.now() + this.world.runDurationMs(task.hand, this.listed.id);
+    task.stateEndsAt =
+      this.world.time.now() + this.world.runDurationMs(task.hand, this.cloudMachine.id);
   }
 
   private stopTask(task: AgentTask, graceS: number): void {
@@ -237,13 +244,17 @@
       if (task.standing === 'exited' || task.stateEndsAt > now) continue;
       if (task.standing === 'pulling') this.startRunning(task);
       else if (task.standing === 'saving') this.exitTask(task, 'halted');
-      else this.exitTask(task, this.world.taskFails(task.hand, this.listed.id) ? 'error' : 'done');
+      else
+        this.exitTask(
+          task,
+          this.world.taskFails(task.hand, this.cloudMachine.id) ? 'error' : 'done',
+        );
     }
   }
 
   private async run(): Promise<void> {
     const { time, seed } = this.world;
-    this.nextHeartbeatAt = time.now() + draw(seed, 'begins', this.listed.id) * HEARTBEAT_MS;
+    this.nextHeartbeatAt = time.now() + draw(seed, 'begins', this.cloudMachine.id) * HEARTBEAT_MS;
     while (!this.terminated) {
       await time.sleep(POLL_MS);
       if (this.terminated || this.hung) continue;
@@ -251,7 +262,7 @@
       if (time.now() < this.nextHeartbeatAt && !this.hasUnreportedChange) continue;
       this.hasUnreportedChange = false;
       this.nextHeartbeatAt =
-        time.now() + HEARTBEAT_MS * (0.75 + draw(seed, this.listed.id, time.now()) * 0.5);
+        time.now() + HEARTBEAT_MS * (0.75 + draw(seed, this.cloudMachine.id, time.now()) * 0.5);
       await this.sendHeartbeat();
     }
   }
@@ -261,12 +272,12 @@
     const sentAt = world.time.now();
     const { agentEpoch: epoch } = this;
     const body = this.heartbeat();
-    world.maybeDuplicateHeartbeat(this.listed.id, body);
+    world.maybeDuplicateHeartbeat(this.cloudMachine.id, body);
     const response = await this.post(this.controller, body);
     if (this.terminated || this.hung || this.unresponsive) return;
     this.applyElapsedTime();
     const isResponseLost =
-      draw(world.seed, 'answer', this.listed.id, sentAt) < world.lostResponseRate;
+      draw(world.seed, 'answer', this.cloudMachine.id, sentAt) < world.lostResponseRate;
     if (response?.status === 200 && isResponseLost)
       return this.world.counts.add('lost heartbeat responses');
     if (response?.status === 200) this.applyResponse(response, epoch, sentAt);
@@ -276,7 +287,14 @@
   private post(controller: number, body: unknown): Promise<SimulatedResponse | null> {
     const { net } = this.world;
     const address = `c-${controller}:8000`;
-    return net.request(this.listed.id, address, 'POST', '/agent/beat', body, HEARTBEAT_TIMEOUT_MS);
+    return net.request(
+      this.cloudMachine.id,
+      address,
+      'POST',
+      '/agent/beat',
+      body,
+      HEARTBEAT_TIMEOUT_MS,
+    );
   }
 
   private applyResponse(response: SimulatedResponse, epoch: number, sentAt: number): void {
--- a/test/support/trace/net.ts
+++ b/test/support/trace/net.ts
@@ -23,7 +23,7 @@
 type Respond = (status: number, body: unknown) => void;
 export type RequestHandler = (request: SimulatedRequest, respond: Respond) => void;
 
-/** One end of a connection. It has the part of the interface of `net.Socket` that controllers use. */
+/** One end of a connection. Implements the part of `net.Socket` that controllers use. */
 class SimulatedSocket extends EventEmitter {
   destroyed = false;
   bytesRead = 0;
@@ -101,7 +101,7 @@
 
 type Accept = (socket: net.Socket) => void;
 
-/** A simulated network with partitions between hosts. It records in a trace what controllers send. */
+/** A simulated network with partitions between hosts. Records all data that controllers send. */
 export class SimulatedNetwork {
   /** Reports whether messages from one host to another are held back now. */
   isPartitioned: (from: string, to: string) => boolean = () => false;
@@ -166,7 +166,7 @@
     });
   }
 
-  /** Sends a request on a new connection. Resolves with null when there is no response in time. */
+  /** Sends a request on a new connection. Resolves with null on failure or timeout. */
   request(
     from: string,
     address: string,
@@ -258,8 +258,8 @@
     let address = '';
     return Object.assign(events, {
       maxConnections: 0,
-      listen: (port: number, hostName: string, _backlog?: unknown, onListening?: () => void) => {
-        address = `${hostName}:${port}`;
+      listen: (port: number, bindHost: string, _backlog?: unknown, onListening?: () => void) => {
+        address = `${bindHost}:${port}`;
         this.servers.set(address, {
           host,
           accept: (socket) => accept(socket as unknown as net.Socket),
@@ -271,12 +271,15 @@
   }
 }
 
-/** Returns the name of a host. The ids of controllers append the number of the process to it. */
+/** Returns the name of a host: its id without the process number of a controller. */
 export function hostName(hostId: string): string {
   return hostId.split('#', 1)[0] as string;
 }
 
-/** Encodes an HTTP message. The values of the first line and the Host header are part of the recorded histories. */
+/**
+ * Encodes an HTTP message. The delay of a message depends on its bytes, so any
+ * change of this text, such as the Host header, changes the recorded histories.
+ */
 function encodeMessage(line: string, body: unknown): string {
   const text = body === undefined ? '' : JSON.stringify(body);
   return `${line}\r\nHost: played\r\nContent-Length: ${Buffer.byteLength(text)}\r\n\r\n${text}`;
@@ -289,7 +292,7 @@
   return [text.slice(0, text.indexOf('\r\n')), body === '' ? undefined : JSON.parse(body)];
 }
 
-/** Returns the first line without the version, the headers that affect the receiver, and the body. */
+/** Returns the first line without the version, the traced headers and the body. */
 function httpText(data: Buffer): string {
   const text = data.toString();
   const end = text.indexOf('\r\n\r\n');
--- a/test/support/trace/state-service.ts
+++ b/test/support/trace/state-service.ts
@@ -34,7 +34,7 @@
 
 type Respond = Parameters<RequestHandler>[1];
 
-/** Faults that the service shows to one controller. The rates are fractions of its requests. */
+/** Faults of the service towards one controller. The rates are fractions of its requests. */
 export interface StateFaults {
   /** Status with which all requests are rejected; null when they are not. */
   errorStatus: number | null;
@@ -68,11 +68,11 @@
  */
 export class SimulatedStateService {
   readonly rows = new Map<string, Row>();
-  /** Faults by the name of the controller that sees them. */
+  /** Faults by the name of the controller that they affect. */
   readonly faults = new Map<string, StateFaults>();
   /** Null while transactions are not limited. */
   limits: StateLimits | null = null;
-  /** Watches that begin after an earlier revision get status 410, because their events are compacted. */
+  /** A watch after an earlier revision gets status 410, because its events are compacted. */
   private oldestWatchRevision = 0;
   private revision = 1;
   private events: StoredEvent[] = [];
--- a/test/support/trace/time.ts
+++ b/test/support/trace/time.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * Turns of the event loop after each timer. There must be more of them than
- * immediates that the code under test chains one after another.
+ * Number of event loop turns after each timer. It must exceed the length of the
+ * longest chain of immediates in the code under test.
  */
 const EVENT_LOOP_TURNS = 2;
 /** Time of day at which the simulated clock reads 0, in milliseconds since the epoch. */
@@ -83,7 +83,7 @@
     return timer;
   }
 
-  /** Runs all timers that are due by `endAt`, with the work that follows from them. */
+  /** Runs all timers that are due by `endAt`, and the work that follows from them. */
   async runUntil(endAt: number): Promise<void> {
     await drainEventLoop();
     for (let next = this.heap[0]; next && next.dueAt <= endAt; next = this.heap[0]) {
@@ -96,7 +96,10 @@
     this.currentTime = endAt;
   }
 
-  /** Replaces the time functions and the random numbers of the process. Returns a function that restores them. */
+  /**
+   * Replaces the time functions and the random numbers of the process. Returns a
+   * function that restores them.
+   */
   install(): () => void {
     const { setTimeout, clearTimeout, setInterval, clearInterval } = globalThis;
     const original = { now: Date.now, random: Math.random };
@@ -119,8 +122,8 @@
   }
 
   /**
-   * Depends on the seed, the host, the time and the number of earlier draws at
-   * that time, so draws at other times have no effect.
+   * Returns a number in [0, 1) that depends on the seed, the host, the time and
+   * the number of earlier draws at that time. Draws at other times have no effect.
    */
   private random(): number {
     this.drawIndex = this.lastDrawAt === this.currentTime ? this.drawIndex + 1 : 0;
@@ -168,7 +171,7 @@
   }
 }
 
-/** Lets all pending promises and immediates run. */
+/** Runs all ready promise callbacks and immediates. */
 async function drainEventLoop(): Promise<void> {
   for (let i = 0; i < EVENT_LOOP_TURNS; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/trace/trace.ts
+++ b/test/support/trace/trace.ts
@@ -6,7 +6,7 @@
   text: string;
 }
 
-/** Length of a digest. The test stores only the first hexadecimal digits of the hash. */
+/** Length of a digest. The rest of the hash is dropped. */
 const DIGEST_HEX_DIGITS = 16;
 
 /**
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -14,7 +14,7 @@
 
 const CONTROLLERS = [0, 1, 2];
 const CONTROLLER_ZONES = ['a', 'b', 'a'];
-/** Port for users and agents. */
+/** Port on which controllers serve users and agents. */
 const USER_PORT = 8000;
 const USER_TIMEOUT_MS = 3000;
 
@@ -33,7 +33,7 @@
   ],
   workers: { report_s: 3, lease_s: 20, cancel_s: 50 },
   cloud: { rps: 3, list_lag_s: 5 },
-  // So large that the memory use of the real process has no effect.
+  // The memory limit is so high that the memory use of the real process has no effect.
   quota: { cpu: 0.1, memory_mb: 1_000_000, max_sockets: 500 },
   skew_ms: 5,
 };
@@ -125,7 +125,7 @@
   duplicateHeartbeatRate = 0;
   /** Reports whether the task fails on the machine. */
   taskFails: (task: string, machine: string) => boolean = () => false;
-  /** Each reports whether it separates two hosts. */
+  /** Current partitions. Each function reports whether the partition separates two hosts. */
   private readonly partitions = new Set<(from: string, to: string) => boolean>();
   /** Running controllers by index. */
   private readonly controllers = new Map<number, ControllerProcess>();
@@ -151,7 +151,7 @@
     );
   }
 
-  /** Runs the history with simulated time and network, and stops all controllers and machines at its end. */
+  /** Runs the history on simulated time and network, then stops all controllers and machines. */
   async simulate(history: () => Promise<void>): Promise<void> {
     const restorers = [this.time.install(), this.net.install()];
     try {
@@ -205,14 +205,14 @@
     this.time.scheduleOn(controller.host, 0, () => controller.stop.abort());
   }
 
-  /** Index of the controller that holds the leader key in the state service; 0 when the key is absent. */
+  /** Index of the controller that holds the leader key in the state service; 0 without a key. */
   get leaderIndex(): number {
     const record = this.state.rows.get('leader')?.value as { node?: string } | undefined;
     return record?.node ? Number(record.node.slice(2)) : 0;
   }
 
-  /** Lets the state service show faults to one controller for `ms`. */
-  injectStateFaults(i: number, ms: number, faults: Partial<StateFaults>): void {
+  /** Makes the state service fail for one controller. */
+  injectStateFaults(i: number, durationMs: number, faults: Partial<StateFaults>): void {
     const name = `c-${i}`;
     this.state.faults.set(name, {
       errorStatus: null,
@@ -220,33 +220,36 @@
       delayedTransactionRate: 0,
       ...faults,
     });
-    this.time.schedule(ms, () => this.state.faults.delete(name));
+    this.time.schedule(durationMs, () => this.state.faults.delete(name));
   }
 
-  /** Holds back all messages between two groups of hosts for `ms`. */
+  /** Holds back all messages between two groups of hosts until the partition heals. */
   partition(
-    ms: number,
-    isFirst: (host: string) => boolean,
-    isSecond: (host: string) => boolean,
+    durationMs: number,
+    isInFirst: (host: string) => boolean,
+    isInSecond: (host: string) => boolean,
   ): void {
-    const separates = (from: string, to: string) => isFirst(from) && isSecond(to);
+    const separates = (from: string, to: string) => isInFirst(from) && isInSecond(to);
     this.partitions.add(separates);
-    this.time.schedule(ms, () => {
+    this.time.schedule(durationMs, () => {
       this.partitions.delete(separates);
       this.net.heal();
     });
   }
 
-  /** Returns the zone of a controller or machine; null for services and users, which have none. */
+  /**
+   * Returns the zone of a controller or machine; null for services and users,
+   * which every zone reaches.
+   */
   zoneOf(host: string): string | null {
     if (host.startsWith('c-')) return CONTROLLER_ZONES[Number(hostName(host).slice(2))] ?? null;
-    return this.machines.get(host)?.listed.hall ?? null;
+    return this.machines.get(host)?.cloudMachine.hall ?? null;
   }
 
   // Machines
 
-  private addMachine(listed: CloudMachine): void {
-    this.machines.set(listed.id, new SimulatedMachine(this, listed));
+  private addMachine(cloudMachine: CloudMachine): void {
+    this.machines.set(cloudMachine.id, new SimulatedMachine(this, cloudMachine));
   }
 
   private removeMachine(id: string, terminated: boolean): void {
@@ -262,7 +265,7 @@
   preempt(machine: SimulatedMachine, noticeS: number): void {
     this.counts.add('preemption notices');
     machine.notifyPreemption(noticeS);
-    this.time.schedule(noticeS * 1000, () => this.cloud.remove(machine.listed.id));
+    this.time.schedule(noticeS * 1000, () => this.cloud.remove(machine.cloudMachine.id));
   }
 
   /** Sends a delayed copy of some heartbeats to a random controller. */
@@ -355,7 +358,7 @@
   }
 }
 
-/** Returns the condition of a machine at its termination, as the counters name it. */
+/** Returns the condition of a machine at its termination, in the words of the counters. */
 function conditionOf(machine: SimulatedMachine | undefined): string {
   if (!machine) return 'never booted';
   if (machine.hung) return 'hung';
