--- a/test/support/trace/histories.ts
+++ b/test/support/trace/histories.ts
@@ -138,7 +138,7 @@
 
 /**
  * Scripts by kind of history. Users send a request every second, more often than
- * a machine sends a heartbeat. Only the faults of the script occur.
+ * an idle machine sends heartbeats. Only the faults of the script occur.
  */
 const SCRIPTS: Record<string, HistoryScript> = {
   // Preemptions of spot machines, with limited capacity in the cloud.
