--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one controller share. */
+/** The context that the components of one controller share. */
 import type { Logger } from 'pino';
 import type { KeyValueStore } from '../clients/key-value-store.js';
 import type { Platform } from '../config/settings.js';
@@ -8,23 +8,23 @@
 import type { TeamQuota } from '../model/resources.js';
 import type { Clock } from '../runtime/clock.js';
 
-/** Settings, clients and tools that every routine of one controller uses. */
+/** Settings, clients and other dependencies that the components of one controller use. */
 export interface ControllerContext {
-  /** This node's name in the settings. */
+  /** Name of this node in the settings. */
   node: string;
-  /** Differs with each start of the process, so that no successor takes its keys for its own. */
+  /** Unique to each start of the process, so that a restarted process does not claim its predecessor's keys. */
   incarnation: string;
-  /** The platform's settings as they were handed over. */
+  /** The platform's settings file, as parsed. */
   platform: Platform;
-  /** Every timer, derived from the settings. */
+  /** Timers and time-outs, derived from the settings. */
   timing: Timing;
-  /** What the state service takes. */
+  /** Limits of the state service on values and changes. */
   limits: StateLimits;
-  /** By team. */
+  /** Quotas by team name. */
   quotas: Map<string, TeamQuota>;
   state: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** Machine types as last read; null until they are known. Replaced, never changed in place. */
+  /** Machine types as last read; null until the first successful read. The array is replaced, never modified. */
   machineTypes: MachineType[] | null;
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller process: its listening socket and its long-lived routines. */
+/** Runs one controller process: its listening socket and its long-lived routines. */
 import type { CloudClient } from '../clients/cloud-client.js';
 import type { StateClient } from '../clients/state-client.js';
 import { parseAddress } from '../config/settings.js';
@@ -10,10 +10,10 @@
 import type { MemoryGuard } from './memory-guard.js';
 import type { RequestRouter } from './request-router.js';
 
-/** Sockets kept free for the state service, the cloud, peers and agents' addresses, as a share of the limit. */
+/** Share of the socket limit that is reserved for connections to the state service, the cloud, peers and agents. */
 const RESERVED_SOCKET_SHARE = 0.2;
 
-/** What a controller is made of; `createController` puts it together. */
+/** Components of a controller, created by `createController`. */
 export interface ControllerParts {
   ctx: ControllerContext;
   state: StateClient;
@@ -24,15 +24,15 @@
   router: RequestRouter;
 }
 
-/** One controller. It serves requests and takes part in elections, leading or not. */
+/** One controller. It serves requests and takes part in elections, whether or not it leads. */
 export class Controller {
   constructor(private readonly parts: ControllerParts) {}
 
   /**
    * Listens and runs all routines until the signal is aborted, then closes the
-   * connections of the clients.
+   * connections to the state service and the cloud.
    *
-   * @throws when the address can't be listened on.
+   * @throws when listening on the address fails.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, state, cloud, election, peers, memory } = this.parts;
@@ -59,7 +59,7 @@
       maxConnections: Math.floor(platform.settings.quota.max_sockets * (1 - RESERVED_SOCKET_SHARE)),
       requestMs: timing.userTimeoutMs * 2,
       idleMs: timing.agentLeaseMs * 3,
-      // Agents and users that are still there send something more often than this.
+      // Active agents and users send requests more often than this.
       spareMs: timing.unreachableAfterMs * 0.5,
       onError: (err) => log.error({ err }, 'request failed'),
     };
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -1,15 +1,18 @@
-/** Whether this controller can serve users, by what reaches it of the state service and its peers. */
+/** Health of this controller: whether it reaches the state service and its peers. */
 import type { StateClient } from '../clients/state-client.js';
 import type { ControllerContext } from './context.js';
 import type { PeerStatuses } from './membership/peer-statuses.js';
 
-/** The state service has failed for longer than a single slow answer would explain, in its time-outs. */
-const FAILING_TIMEOUTS = 0.5;
+/**
+ * How long the state service must have served no request to count as failing,
+ * in state service time-outs. A single slow response takes less.
+ */
+const FAILING_AFTER_TIMEOUTS = 0.5;
 
-/** It has failed for so long that waiting for it is of no use. */
-const SILENT_TIMEOUTS = 1;
+/** Time, in state service time-outs, after which waiting for the state service is of no use. */
+const UNRESPONSIVE_AFTER_TIMEOUTS = 1;
 
-/** Derived from what others record: it holds no state of its own. */
+/** Derives the health of this controller from what other components record. Stateless. */
 export class ControllerHealth {
   constructor(
     private readonly ctx: Pick<ControllerContext, 'clock' | 'timing' | 'machineTypes'>,
@@ -17,39 +20,43 @@
     private readonly peers: Pick<PeerStatuses, 'isIsolated'>,
   ) {}
 
-  /** The state service has refused or not answered this controller for a while. Peers may fare better. */
+  /** Reports whether the state service has not served this controller for a while. It may still serve peers. */
   isStateServiceFailing(): boolean {
-    return this.lasts(this.state.failingSince, FAILING_TIMEOUTS);
+    return this.hasLasted(this.state.failingSince, FAILING_AFTER_TIMEOUTS);
   }
 
   /**
-   * The state service does not even refuse requests: trying it would keep a
-   * user waiting for nothing. When nothing has been tried for a time-out this
-   * is false once, so that a request finds out whether the outage is over.
+   * Reports whether the state service does not respond at all, not even with a
+   * refusal, so that a request to it would only make a user wait. Returns false
+   * when no request was sent within the last time-out, so that the next request
+   * finds out whether the outage has ended.
    */
   isStateServiceSilent(): boolean {
     const { clock, timing } = this.ctx;
     const triedRecently = clock.now() - this.state.lastAttemptAt < timing.stateTimeoutMs;
-    return triedRecently && this.lasts(this.state.unansweredSince, SILENT_TIMEOUTS);
+    return triedRecently && this.hasLasted(this.state.unansweredSince, UNRESPONSIVE_AFTER_TIMEOUTS);
   }
 
   /**
-   * Neither the state service nor any peer reaches this controller: users are
-   * better off with another one. In an outage of the state service that all
-   * share it stays healthy, as one that had to prove its health again would be
-   * back later than the state service.
+   * Reports whether this controller reaches neither the state service nor any
+   * peer, so that users are better served by another controller. In an outage of
+   * the state service that affects all controllers they stay healthy: controllers
+   * that had to pass health checks again would return later than the state service.
    */
   isIsolated(): boolean {
-    return this.lasts(this.state.failingSince, SILENT_TIMEOUTS) && this.peers.isIsolated();
+    return (
+      this.hasLasted(this.state.failingSince, UNRESPONSIVE_AFTER_TIMEOUTS) &&
+      this.peers.isIsolated()
+    );
   }
 
-  /** What a health check reports. */
+  /** Result of the health check. */
   get isHealthy(): boolean {
     return this.ctx.machineTypes !== null && !this.isIsolated();
   }
 
-  /** Whether something has lasted for this many time-outs of the state service. */
-  private lasts(since: number | null, timeouts: number): boolean {
+  /** Reports whether a condition has lasted for more than this many time-outs of the state service. */
+  private hasLasted(since: number | null, timeouts: number): boolean {
     const { clock, timing } = this.ctx;
     return since !== null && clock.now() - since > timing.stateTimeoutMs * timeouts;
   }
--- a/src/controller/local-leader.ts
+++ b/src/controller/local-leader.ts
@@ -1,4 +1,4 @@
-/** The leader that this process runs while it holds a term. */
+/** The leader that this process runs while it holds a leader term. */
 import { AgentClient } from '../clients/agent-client.js';
 import type { CloudClient } from '../clients/cloud-client.js';
 import type { SchedulerPolicy } from '../model/policy.js';
@@ -9,9 +9,9 @@
 import { totalCommandSockets } from './leader/scheduler-configuration.js';
 
 /**
- * Runs a `Leader` for each term that is won, and lets the other parts of the
- * controller reach the one that runs now. Invariant: `current` is null unless
- * its routines run.
+ * Runs a `Leader` for each term that this controller wins, and gives the other
+ * components access to it. Invariant: `current` is null unless the leader's
+ * routines run.
  */
 export class LocalLeader {
   current: Leader | null = null;
@@ -41,13 +41,13 @@
     }
   }
 
-  /** Counts of a live job's tasks, for display only; null unless this controller leads and knows the job. */
+  /** Returns the task counts of a live job, for display only; null unless this controller leads and knows the job. */
   taskCountsOf(jobId: string): TaskCounts | null {
     const job = this.current?.cluster.jobs.get(jobId);
     return job ? { done: job.doneCount, running: job.activeAttempts.size } : null;
   }
 
-  /** If this controller leads: nothing of the job starts from now on. */
+  /** Passes a durable cancellation to the leader, if this controller leads, so that no more tasks of the job start. */
   announceCancellation(jobId: string, revision: number): void {
     this.current?.announceCancellation(jobId, revision);
   }
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -1,4 +1,4 @@
-/** The machine types that the cloud offers: read at start, and kept for controllers that start while it is unreachable. */
+/** Reads the cloud's machine types, and stores them for controllers that start while the cloud is unreachable. */
 import type { CloudClient } from '../clients/cloud-client.js';
 import type { MachineType } from '../model/machine.js';
 import {
@@ -13,10 +13,13 @@
 
 const MACHINE_TYPES_KEY = 'types';
 
-/** The pause between attempts to read the types, in renewal intervals. */
+/** Pause between attempts to read the machine types, in renewal intervals. */
 const READ_RETRY_INTERVALS = 0.5;
 
-/** Reads the types until they are known: without them a controller is not healthy and accepts no jobs. */
+/**
+ * Reads the machine types, retrying until it succeeds or the signal is aborted.
+ * Without them a controller is not healthy and accepts no jobs.
+ */
 export async function loadMachineTypes(
   ctx: ControllerContext,
   cloud: Pick<CloudClient, 'types'>,
@@ -27,7 +30,7 @@
       ctx.machineTypes = await readMachineTypes(ctx, cloud, signal);
     } catch (err) {
       if (signal.aborted) return;
-      ctx.log.debug({ err }, 'machine types not read');
+      ctx.log.debug({ err }, 'machine type read failed; retrying after a pause');
     }
     if (!ctx.machineTypes)
       await sleepUntilAborted(ctx.clock, ctx.timing.renewMs * READ_RETRY_INTERVALS, signal);
@@ -35,10 +38,10 @@
 }
 
 /**
- * Machine types from the state service or, where it has none or fails, from
- * the cloud.
+ * Returns the machine types from the state service or, if it has none or the
+ * read fails, from the cloud.
  *
- * @throws when the cloud does not answer either, or the signal is aborted.
+ * @throws when the cloud fails too, or when the signal is aborted.
  */
 export async function readMachineTypes(
   ctx: ControllerContext,
@@ -50,18 +53,19 @@
     const types = entry && decodeMachineTypes(entry.value);
     if (types && types.length > 0) return types;
   } catch (error) {
-    // A controller that starts in an outage of the state service must be healthy by the time that it is over.
+    // A controller that starts in an outage of the state service must be healthy before the outage ends, so it
+    // falls back to the cloud.
     if (signal.aborted) throw error;
   }
   return cloud.types(signal);
 }
 
 /**
- * Makes the types known to this controller, and stores them for controllers
- * that start while the cloud is unreachable. They are written only when
- * anything but a price has changed: prices move too often to be worth a write.
+ * Updates this controller's machine types, and stores them for controllers that
+ * start while the cloud is unreachable. They are stored only when something
+ * other than a price has changed: prices change too often to justify a write.
  *
- * @throws when the state service does not answer; the types are not taken then.
+ * @throws when the state service fails; this controller's types are then unchanged.
  */
 export async function storeMachineTypes(
   ctx: ControllerContext,
@@ -72,12 +76,12 @@
   const entry = await ctx.state.get(MACHINE_TYPES_KEY, RequestPriority.progress, signal);
   const stored = entry && storedMachineTypes(entry.value);
   const value = encodeMachineTypes(types);
-  // Too many for a value: controllers that start have only the cloud to ask.
+  // The list exceeds the size of a value, so starting controllers can read it from the cloud only.
   if (Buffer.byteLength(JSON.stringify(value)) > ctx.limits.valueBytes) {
     ctx.machineTypes = types;
     return;
   }
-  if (withoutPrices(stored) !== withoutPrices(value))
+  if (serializeWithoutPrices(stored) !== serializeWithoutPrices(value))
     await ctx.state.transact(
       [{ key: MACHINE_TYPES_KEY, version: entry?.version ?? 0 }],
       [{ op: 'put', key: MACHINE_TYPES_KEY, value }],
@@ -87,7 +91,7 @@
   ctx.machineTypes = types;
 }
 
-/** A text that two lists share if they differ in prices at most. */
-function withoutPrices(types: StoredMachineType[] | null): string | undefined {
+/** Returns a text that is equal for lists that differ only in prices; undefined for null. */
+function serializeWithoutPrices(types: StoredMachineType[] | null): string | undefined {
   return JSON.stringify(types?.map(({ price: _price, spotPrice: _spotPrice, ...rest }) => rest));
 }
--- a/src/controller/membership/peer-errors.ts
+++ b/src/controller/membership/peer-errors.ts
@@ -1,18 +1,18 @@
-/** Errors of requests between controllers, beyond those of the connection itself. */
+/** Errors of requests between controllers, except those of the connection. */
 
-/** A peer sent what this version does not understand. */
+/** A peer sent a request or response that this version does not understand. */
 export class PeerProtocolError extends Error {}
 
-/** A node did not answer through the mailbox a moment ago, and is not tried again yet. */
+/** A recent mailbox request to the node failed, and no further one is sent before the back-off ends. */
 export class MailboxBackoffError extends Error {
   constructor(readonly node: string) {
-    super(`mailbox of ${node} is backed off`);
+    super(`mailbox requests to ${node} are suspended after a failure`);
   }
 }
 
-/** A heartbeat is larger than the state service lets a mailbox message be. */
+/** A heartbeat exceeds the size that fits a mailbox message. */
 export class MailboxMessageTooLargeError extends Error {
   constructor(readonly bytes: number) {
-    super(`${bytes} bytes are too large for the mailbox`);
+    super(`heartbeat of ${bytes} bytes exceeds the size of a mailbox message`);
   }
 }
--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -1,4 +1,4 @@
-/** What a controller does for its peers: the handlers of their requests. */
+/** Handlers of requests and statuses that peers send. */
 import type { Reply } from '../../http/reply.js';
 import type { PeerStatus } from '../../records/peer-frames.js';
 import {
@@ -11,26 +11,26 @@
 import { mapIfObject } from '../../records/stored-form.js';
 import { PeerProtocolError } from './peer-errors.js';
 
-/** Names of operations as they are sent; the payload of each is in records/peer-requests. */
+/** Names of operations on the wire. Their payloads are defined in records/peer-requests. */
 export const PEER_OPERATIONS = {
   serveUser: 'user',
   handleHeartbeat: 'report',
   announceCancellation: 'cancelled',
 } as const;
 
-/** What the rest of the controller does when a peer asks for it. */
+/** Callbacks through which peers reach the rest of the controller. */
 export interface PeerHandlers {
-  /** This controller's status, sent to every peer each renewal interval. */
+  /** Returns this controller's status, which is sent to every peer each renewal interval. */
   currentStatus(): PeerStatus;
-  /** A peer knows of this term: an older term of this controller has ended. */
+  /** Processes a leader term that a peer reports. An older term that this controller holds has ended. */
   observeTerm(term: number): void;
-  /** Serves a user's request that a peer can't serve. It must not be forwarded once more. */
+  /** Serves a user's request that a peer could not serve and has forwarded. Must not forward it again. */
   serveUser(method: string, target: string, body: Buffer): Promise<Reply>;
-  /** Handles an agent's heartbeat, as the agent sent it, that a peer forwards to the leader. */
+  /** Handles an agent's heartbeat that a peer has forwarded to the leader. `body` is as the agent sent it. */
   handleHeartbeat(body: Buffer): Promise<Reply>;
   /**
-   * A peer is about to confirm this job's cancellation, which is durable as of
-   * this revision, to its user: nothing of the job may start from now on.
+   * Processes a cancellation that is durable as of `revision` and that a peer is
+   * about to confirm to the user. No task of the job may start from then on.
    */
   announceCancellation(jobId: string, revision: number): void;
 }
@@ -38,8 +38,8 @@
 /**
  * Serves one request of a peer and returns the payload of the response.
  *
- * @throws PeerProtocolError for an operation that this version does not know;
- * whatever the handler throws.
+ * @throws PeerProtocolError for an operation that this version does not know,
+ * and whatever the handler throws.
  */
 export async function servePeerRequest(
   handlers: PeerHandlers,
@@ -64,6 +64,6 @@
       return encodeForwardedReply(await handlers.serveUser(method, target, Buffer.from(body)));
     }
     default:
-      throw new PeerProtocolError(`unknown operation ${operation}`);
+      throw new PeerProtocolError(`unknown peer operation ${operation}`);
   }
 }
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,4 +1,4 @@
-/** What passes between controllers: statuses all the time, and requests that a partition makes necessary. */
+/** Communication between controllers: periodic statuses, forwarded requests and cancellation announcements. */
 import { parseAddress } from '../../config/settings.js';
 import type { Reply } from '../../http/reply.js';
 import { PeerNetwork } from '../../peer/peer-network.js';
@@ -22,27 +22,35 @@
 import { PEER_OPERATIONS, type PeerHandlers, servePeerRequest } from './peer-handlers.js';
 import { PeerStatuses } from './peer-statuses.js';
 
-/** The share of a value that a heartbeat or its response may take in a mailbox; the frame and its quotes need the rest. */
+/**
+ * Share of a state service value that a heartbeat or its response may take in a
+ * mailbox message. The rest is for the other fields and for escaped quotes.
+ */
 const MAILBOX_VALUE_SHARE = 0.7;
 
-/** How long a node that did not answer through the mailbox is not tried again, in leader leases. */
+/** How long no mailbox request is sent to a node after one has failed, in leader leases. */
 const MAILBOX_BACKOFF_LEASES = 0.5;
 
-/** Time-outs, in time-outs of the state service: a peer asks it on the user's behalf. */
+/**
+ * Time-out of a forwarded user request, in state service time-outs. It is longer
+ * than one because the peer calls the state service to serve the request.
+ */
 const FORWARD_TIMEOUTS = 1.5;
+
+/** Time-out of a cancellation announcement, in state service time-outs. It is short because the user waits for it. */
 const ANNOUNCE_TIMEOUTS = 0.25;
 
-/** The pause between attempts to connect to a peer, in renewal intervals. */
+/** Pause between attempts to connect to a peer, in renewal intervals. */
 const RECONNECT_INTERVALS = 0.5;
 
-/** The parts that requests and statuses pass through. */
+/** Components that requests and statuses pass through. */
 interface PeerChannels {
   network: PeerNetwork;
   mailbox: Mailbox;
   statuses: PeerStatuses;
 }
 
-/** Creates the connections to the peers in the settings. Nothing is opened before `run`. */
+/** Creates the `Peers` of the controllers in the settings. No connection is opened before `run` is called. */
 export function createPeers(ctx: ControllerContext, handlers: PeerHandlers): Peers {
   const { platform, timing, clock, log, limits } = ctx;
   const network = new PeerNetwork({
@@ -58,7 +66,7 @@
     onError: (err) => log.debug({ err }, 'peer connection or request failed'),
   });
   const statuses = new PeerStatuses(ctx, (node) => network.isConnected(node));
-  // A response leaves out commands that don't fit a value: to the agent they are lost like those of a late response.
+  // Commands that do not fit a value are left out of the response. To the agent they are lost, as in a late response.
   const mailbox = new Mailbox(ctx, async (text) => {
     const reply = await handlers.handleHeartbeat(Buffer.from(text));
     const body = truncateCommands(reply.body, limits.valueBytes * MAILBOX_VALUE_SHARE);
@@ -68,12 +76,12 @@
   return peers;
 }
 
-/** The other controllers, as seen from this one: `statuses` is what it knows of them, the methods are what it asks them. */
+/** The other controllers: `statuses` holds the statuses they sent, and the methods send them requests. */
 export class Peers {
   readonly statuses: PeerStatuses;
   private readonly network: PeerNetwork;
   private readonly mailbox: Mailbox;
-  /** Until when the mailbox is not tried again, by node. */
+  /** By node: time until which no mailbox request is sent to it, in milliseconds on the monotonic clock. */
   private readonly mailboxBackoffUntil = new Map<string, number>();
 
   constructor(
@@ -105,7 +113,7 @@
     return this.statuses.lastLedAt(node, term);
   }
 
-  /** Takes a peer's status; what is not well-formed is ignored. Its term counts however late it arrives. */
+  /** Processes a peer's status; ignores a malformed one. The term of a delayed status still counts. */
   receiveStatus(status: PeerStatus): void {
     if (typeof status?.node !== 'string' || typeof status.term !== 'number') return;
     if (typeof status.sentAt !== 'number') return;
@@ -114,45 +122,47 @@
   }
 
   /**
-   * Has a peer serve a user's request.
+   * Forwards a user's request to a peer and returns the peer's reply.
    *
-   * @throws PeerUnavailableError without a response in time; PeerProtocolError when it is no reply.
+   * @throws PeerUnavailableError when no response arrives in time; PeerProtocolError when the response is malformed.
    */
   async forwardRequest(node: string, method: string, target: string, body: Buffer): Promise<Reply> {
     const payload = encodeForwardedRequest({ method, target, body });
     const timeoutMs = this.ctx.timing.stateTimeoutMs * FORWARD_TIMEOUTS;
-    return replyOf(await this.network.request(node, PEER_OPERATIONS.serveUser, payload, timeoutMs));
+    return decodeReply(
+      await this.network.request(node, PEER_OPERATIONS.serveUser, payload, timeoutMs),
+    );
   }
 
   /**
-   * Has the leader handle an agent's heartbeat.
+   * Forwards an agent's heartbeat to the leader and returns the leader's reply.
    *
-   * @throws PeerUnavailableError without a response in time; PeerProtocolError when it is no reply.
+   * @throws PeerUnavailableError when no response arrives in time; PeerProtocolError when the response is malformed.
    */
   async forwardHeartbeat(node: string, body: Buffer): Promise<Reply> {
     const timeoutMs = this.ctx.timing.stateTimeoutMs;
-    return replyOf(
+    return decodeReply(
       await this.network.request(node, PEER_OPERATIONS.handleHeartbeat, body, timeoutMs),
     );
   }
 
   /**
-   * The same through the state service, for a leader that is unreachable from
-   * here. A node that does not answer has most likely ended, and is not tried
-   * again for a while.
+   * Forwards an agent's heartbeat through the state service, to a leader that
+   * this node cannot reach. A node that does not respond has most likely
+   * terminated, so no further request is sent to it during a back-off.
    *
-   * @throws MailboxBackoffError within that while; MailboxMessageTooLargeError;
-   * PeerProtocolError; what the mailbox throws without a response in time.
+   * @throws MailboxBackoffError during the back-off; MailboxMessageTooLargeError;
+   * PeerProtocolError when the response is malformed; the mailbox's error when no
+   * response arrives in time.
    */
   async forwardThroughMailbox(node: string, machine: string, body: Buffer): Promise<Reply> {
     const { clock, limits, timing } = this.ctx;
     if (clock.now() < (this.mailboxBackoffUntil.get(node) ?? 0))
       throw new MailboxBackoffError(node);
-    // The frame of a request and the quotes in its text take some of the value too.
     if (body.length > limits.valueBytes * MAILBOX_VALUE_SHARE)
       throw new MailboxMessageTooLargeError(body.length);
     try {
-      return replyOf(
+      return decodeReply(
         await this.mailbox.request(node, machine, body.toString(), timing.stateTimeoutMs),
       );
     } catch (error) {
@@ -163,12 +173,13 @@
   }
 
   /**
-   * Announces a durable cancellation to every reachable peer, so that the
-   * leader, whichever of them it is, starts nothing of the job once the user
-   * has the confirmation. A peer that does not answer at once delays nobody:
-   * its own knowledge of cancellations becomes too old, and what it may do
-   * then is bounded (docs/design.md, "One bound for cancellations"). Never
-   * rejects.
+   * Announces a durable cancellation to every reachable peer, one of which may
+   * be the leader, so that no task of the job starts after the user has the
+   * confirmation. Never rejects.
+   *
+   * Waiting for an unresponsive peer ends after a short time-out. That is safe
+   * because the peer's knowledge of cancellations expires, and what it may do
+   * then is bounded (docs/design.md, "One bound for cancellations").
    */
   async announceCancellation(job: string, revision: number): Promise<void> {
     const { platform, timing } = this.ctx;
@@ -190,8 +201,9 @@
   }
 }
 
-function replyOf(payload: unknown): Reply {
+function decodeReply(payload: unknown): Reply {
   const reply: Reply = mapIfObject(payload, decodeForwardedReply);
-  if (typeof reply?.status !== 'number') throw new PeerProtocolError('response is no reply');
+  if (typeof reply?.status !== 'number')
+    throw new PeerProtocolError('peer response has no numeric status');
   return reply;
 }
--- a/src/controller/memory-guard.ts
+++ b/src/controller/memory-guard.ts
@@ -1,21 +1,21 @@
-/** Refuses new jobs while memory is low. */
+/** Detects when memory is low, so that new jobs are refused. */
 import { getHeapStatistics } from 'node:v8';
 import { sleepUntilAborted } from '../runtime/clock.js';
 import type { ControllerContext } from './context.js';
 
-/** The share of memory in use (0 to 1), of the platform's limit or the engine's, whichever is nearer. */
+/** Returns the share of memory in use, 0 to 1, of the platform's limit or the heap limit, whichever is higher. */
 export type MemoryMeter = () => number;
 
-/** From this share on no new jobs are accepted. */
-const SHORT_FROM = 0.9;
-/** Below this share they are accepted again. */
-const ENOUGH_BELOW = 0.8;
-/** Checks in a row that have to show it: what the next garbage collection frees counts as used. */
-const SHORT_CHECKS = 2;
+/** Memory is low from this share on, and new jobs are refused. */
+const LOW_MEMORY_SHARE = 0.9;
+/** New jobs are accepted again below this share. */
+const RECOVERED_SHARE = 0.8;
+/** Consecutive checks that must find memory low: memory that the next garbage collection frees counts as used. */
+const LOW_MEMORY_CHECKS = 2;
 const MIB = 1024 * 1024;
 
-/** Measures this process against its memory limit, in MiB, and the engine's limit on the heap. */
-export function processMemory(limitMb: number): MemoryMeter {
+/** Creates a meter of this process's memory against its limit, in MiB, and against the heap limit of the engine. */
+export function createProcessMemoryMeter(limitMb: number): MemoryMeter {
   return () => {
     const heap = getHeapStatistics();
     const resident = process.memoryUsage.rss() / (limitMb * MIB);
@@ -24,23 +24,23 @@
 }
 
 /**
- * Checks the memory in use every heartbeat interval. A deployment whose
- * setting is too small for its fleet or backlog accepts no new jobs while
- * memory is low, instead of being killed by the platform with everything that
- * it does.
+ * Checks the memory in use every heartbeat interval, so that new jobs are
+ * refused while memory is low. Otherwise the platform would kill a controller
+ * whose memory setting is too small for its fleet or backlog, along with all
+ * its other work.
  */
 export class MemoryGuard {
-  /** Memory is low: new jobs are refused for now. */
+  /** Whether memory is low, so that new jobs are refused. */
   isLow = false;
-  private logged = false;
-  private shortChecks = 0;
+  private hasLogged = false;
+  private consecutiveHighChecks = 0;
 
   constructor(
     private readonly ctx: Pick<ControllerContext, 'clock' | 'timing' | 'log'>,
-    private readonly usedShare: MemoryMeter,
+    private readonly measureUsedShare: MemoryMeter,
   ) {}
 
-  /** Checks until the signal is aborted. */
+  /** Checks memory periodically until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
     while (!signal.aborted) {
@@ -50,12 +50,12 @@
   }
 
   private check(): void {
-    const share = this.usedShare();
-    const isOver = share >= (this.isLow ? ENOUGH_BELOW : SHORT_FROM);
-    this.shortChecks = isOver ? this.shortChecks + 1 : 0;
-    this.isLow = this.isLow ? isOver : this.shortChecks >= SHORT_CHECKS;
-    if (!this.isLow || this.logged) return;
-    this.logged = true;
+    const share = this.measureUsedShare();
+    const isHigh = share >= (this.isLow ? RECOVERED_SHARE : LOW_MEMORY_SHARE);
+    this.consecutiveHighChecks = isHigh ? this.consecutiveHighChecks + 1 : 0;
+    this.isLow = this.isLow ? isHigh : this.consecutiveHighChecks >= LOW_MEMORY_CHECKS;
+    if (!this.isLow || this.hasLogged) return;
+    this.hasLogged = true;
     this.ctx.log.error(
       { usedShare: Math.round(share * 100) / 100 },
       'memory low: quota.memory_mb or the heap limit is too small for this fleet; no new jobs are accepted meanwhile',
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -1,4 +1,4 @@
-/** Routes the HTTP requests of agents, users and health checks, and forwards users' requests to a peer. */
+/** Routes the HTTP requests of agents, users and health checks, and forwards users' requests to a peer if necessary. */
 import type { Message } from '../http/message.js';
 import type { Reply } from '../http/reply.js';
 import { CANCEL_PATH, PATHS } from '../protocol/paths.js';
@@ -10,7 +10,7 @@
 import type { PeerStatuses } from './membership/peer-statuses.js';
 import type { Peers } from './membership/peers.js';
 
-/** The parts of a controller that requests are routed to. */
+/** Components that requests are routed to. */
 export interface RequestRouterParts {
   jobApi: Pick<JobApi, 'submit' | 'query' | 'cancel'>;
   heartbeats: Pick<HeartbeatHandler, 'handle'>;
@@ -18,40 +18,47 @@
   peers: Pick<Peers, 'forwardRequest'> & { statuses: Pick<PeerStatuses, 'servedPeer'> };
 }
 
-/** Finds the handler of each request. Holds no state of its own. */
+/** Dispatches each request to its handler. Stateless. */
 export class RequestRouter {
   constructor(
     private readonly ctx: Pick<ControllerContext, 'log' | 'machineTypes'>,
     private readonly parts: RequestRouterParts,
   ) {}
 
-  /** Serves a request from outside: an agent's heartbeat, a health check or a user's. */
+  /** Serves an HTTP request: an agent's heartbeat, a health check or a user's request. */
   async route(request: Message): Promise<Reply> {
     const target = request.target.split('?', 1)[0] as string;
     if (target === PATHS.heartbeat)
-      return only('POST', request.method, () => this.parts.heartbeats.handle(request.body));
-    if (target === PATHS.health) return only('GET', request.method, () => this.healthReply());
+      return requireMethod('POST', request.method, () =>
+        this.parts.heartbeats.handle(request.body),
+      );
+    if (target === PATHS.health)
+      return requireMethod('GET', request.method, () => this.healthReply());
     return this.serveUserOrForward(request.method, target, request.body);
   }
 
-  /** Serves a user's request here, whoever it came from: requests of peers are not forwarded again. */
+  /**
+   * Serves a user's request on this node and never forwards it. Requests that a
+   * peer has forwarded are served this way, so none is forwarded twice.
+   */
   async serveUser(method: string, target: string, body: Buffer): Promise<Reply> {
     const { jobApi } = this.parts;
-    if (target === PATHS.jobs) return only('POST', method, () => jobApi.submit(body));
+    if (target === PATHS.jobs) return requireMethod('POST', method, () => jobApi.submit(body));
     if (target.startsWith(`${PATHS.jobs}/`)) {
       const path = target.slice(PATHS.jobs.length + 1).split('/');
       const id = path[0] as string;
-      if (path.length === 1) return only('GET', method, () => jobApi.query(id));
+      if (path.length === 1) return requireMethod('GET', method, () => jobApi.query(id));
       if (path.length === 2 && path[1] === CANCEL_PATH)
-        return only('POST', method, () => jobApi.cancel(id));
+        return requireMethod('POST', method, () => jobApi.cancel(id));
     }
     return { status: 404, body: { error: 'no such path' } };
   }
 
   /**
-   * Serves a user here or, while the state service fails this node alone,
-   * through a peer. When it does not answer at all and no peer can help, the
-   * user gets the refusal at once instead of waiting for a time-out.
+   * Serves a user's request on this node or, while the state service fails for
+   * this node but not for a peer, through that peer. When the state service does
+   * not respond at all and no peer can serve the request, the user gets a refusal
+   * at once instead of waiting for a time-out.
    */
   private async serveUserOrForward(method: string, target: string, body: Buffer): Promise<Reply> {
     const { health } = this.parts;
@@ -65,7 +72,10 @@
     return (await this.forwardToPeer(method, target, body)) ?? reply;
   }
 
-  /** The reply of a peer that the state service serves; null when there is none, or it has no better one. */
+  /**
+   * Forwards the request to a peer that the state service serves. Returns null
+   * if there is no such peer, the request fails or the reply is 503.
+   */
   private async forwardToPeer(method: string, target: string, body: Buffer): Promise<Reply | null> {
     const { peers } = this.parts;
     const peer = peers.statuses.servedPeer();
@@ -74,7 +84,10 @@
       const reply = await peers.forwardRequest(peer, method, target, body);
       return reply.status === 503 ? null : reply;
     } catch (err) {
-      this.ctx.log.debug({ peer, err }, 'request not forwarded');
+      this.ctx.log.debug(
+        { peer, err },
+        'forwarding the request to the peer failed; replying from this node',
+      );
       return null;
     }
   }
@@ -88,8 +101,8 @@
   }
 }
 
-/** Calls the handler if the request has the path's only method; 405 otherwise. */
-function only(
+/** Calls the handler if the request has the allowed method; replies 405 otherwise. */
+function requireMethod(
   allowed: string,
   method: string,
   handler: () => Reply | Promise<Reply>,
--- a/src/controller/wiring.ts
+++ b/src/controller/wiring.ts
@@ -1,4 +1,4 @@
-/** Composition root: the only place where the parts of a controller are created and connected. */
+/** Composition root: the only place that creates and connects the components of a controller. */
 import type { Logger } from 'pino';
 import { AgentClient } from '../clients/agent-client.js';
 import { CloudClient } from '../clients/cloud-client.js';
@@ -19,37 +19,43 @@
 import { schedulerPolicy } from './leader/scheduler-configuration.js';
 import { LocalLeader } from './local-leader.js';
 import { createPeers, type Peers } from './membership/peers.js';
-import { MemoryGuard, processMemory } from './memory-guard.js';
+import { createProcessMemoryMeter, MemoryGuard } from './memory-guard.js';
 import { RequestRouter } from './request-router.js';
 
-/** The share of the state service's request rate that the controllers use together. */
+/** Share of the state service's limit on requests per second that all controllers use together. */
 const STATE_REQUESTS_SHARE = 0.9;
 
-/** The share of the state service's changes a second that one controller may use: mostly the leader writes. */
+/**
+ * Share of the state service's limit on changes per second that each controller
+ * may use. It is not divided among them because mostly the leader writes.
+ */
 const STATE_CHANGES_SHARE = 0.6;
 
-/** The share of the cloud's request rate that one controller may use: only the leader calls it regularly. */
+/**
+ * Share of the cloud's request rate that each controller may use. It is not
+ * divided among them because only the leader calls the cloud regularly.
+ */
 const CLOUD_REQUESTS_SHARE = 0.8;
 
-/** Live jobs whose task counts a status carries at most. */
-const COUNTS_PER_STATUS = 256;
+/** Maximum number of live jobs whose task counts a status carries. */
+const MAX_JOB_COUNTS_PER_STATUS = 256;
 
-/** The share of a command's time-out within which an agent has to show its state to a follower. */
+/** Time-out of a follower's request for an agent's heartbeat, as a share of the time-out of a command. */
 const FETCH_HEARTBEAT_SHARE = 0.4;
 
-/** What a controller is created from. */
+/** Settings and dependencies of a new controller. */
 export interface ControllerOptions {
-  /** The platform's settings. */
+  /** The platform's settings file, as parsed. */
   platform: Platform;
-  /** The operators' properties. */
+  /** Scheduling policy from the operators' properties file. */
   policy: Policy;
   clock: Clock;
   log: Logger;
-  /** Differs with each start of the process, so that no successor takes its keys for its own. */
+  /** See {@link ControllerContext.incarnation}. */
   incarnation: string;
 }
 
-/** Creates a controller. Nothing is opened or sent before it is run. */
+/** Creates a controller. It opens no connection before `run` is called. */
 export function createController(options: ControllerOptions): Controller {
   const { platform, policy, clock, log, incarnation } = options;
   const state = createStateClient(platform, clock);
@@ -66,7 +72,7 @@
     log,
     machineTypes: null,
   };
-  const memory = new MemoryGuard(ctx, processMemory(platform.settings.quota.memory_mb));
+  const memory = new MemoryGuard(ctx, createProcessMemoryMeter(platform.settings.quota.memory_mb));
   const leader = new LocalLeader(ctx, cloud, schedulerPolicy(policy));
   const election = new LeaderElection(ctx, (term) => leader.run(term));
   const peers: Peers = createPeers(ctx, {
@@ -107,7 +113,7 @@
   const limits = stateLimitsOf(platform);
   return new StateClient({
     address: parseAddress(platform.external.state),
-    // The controllers share the limit; the leader's own work is small beside users' requests.
+    // All controllers get an equal part: the leader's own requests are few compared with users' requests.
     requestsPerS: (state.rps * STATE_REQUESTS_SHARE) / Math.max(1, size),
     changesPerS: limits.changesPerS * STATE_CHANGES_SHARE,
     loweredChangesPerS: limits.loweredChangesPerS * STATE_CHANGES_SHARE,
@@ -125,7 +131,7 @@
   });
 }
 
-/** The parts that a controller's own status is read from. */
+/** Components that the status of this controller is read from. */
 interface StatusSources {
   state: StateClient;
   memory: MemoryGuard;
@@ -133,7 +139,7 @@
   election: LeaderElection;
 }
 
-/** What this controller sends to its peers about itself. */
+/** Returns the status that this controller sends to its peers. */
 function currentStatus(ctx: ControllerContext, sources: StatusSources): PeerStatus {
   const { state, memory, leader, election } = sources;
   return {
@@ -144,6 +150,6 @@
     leading: leader.current !== null,
     stateOk: state.failingSince === null,
     memoryShort: memory.isLow,
-    counts: leader.current?.taskCounts(COUNTS_PER_STATUS) ?? [],
+    counts: leader.current?.taskCounts(MAX_JOB_COUNTS_PER_STATUS) ?? [],
   };
 }
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -12,7 +12,7 @@
 import { createContext } from './support/context.js';
 import { FakeStateService, FakeStore } from './support/state.js';
 
-const HANDLERS: PeerHandlers = {
+const UNUSED_HANDLERS: PeerHandlers = {
   currentStatus: () => assert.fail('not asked'),
   observeTerm: () => {},
   serveUser: () => Promise.reject(new Error('not asked')),
@@ -20,15 +20,15 @@
   announceCancellation: () => {},
 };
 
-function world() {
+function setUp() {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const ctx = createContext('n-0', new FakeStateService(store), clock);
-  return { clock, ctx, store, peers: createPeers(ctx, HANDLERS) };
+  return { clock, ctx, store, peers: createPeers(ctx, UNUSED_HANDLERS) };
 }
 
 test('a leader that does not answer in the mailbox is not tried again for a while', async () => {
-  const { clock, ctx, store, peers } = world();
+  const { clock, ctx, store, peers } = setUp();
   const forward = () => peers.forwardThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
   const first = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
   await clock.advance(ctx.timing.stateTimeoutMs);
@@ -49,7 +49,7 @@
 });
 
 test('a heartbeat that no value holds is refused before anything is written, and backs nothing off', async () => {
-  const { ctx, store, peers } = world();
+  const { ctx, store, peers } = setUp();
   const { revision } = store;
   const large = Buffer.alloc(ctx.limits.valueBytes);
   for (let i = 0; i < 2; i++)
@@ -61,7 +61,7 @@
 });
 
 test('a request to a peer that is not connected fails at once', async () => {
-  const { peers } = world();
+  const { peers } = setUp();
   await assert.rejects(
     peers.forwardRequest('n-1', 'GET', '/v1/jobs/req-000001', Buffer.alloc(0)),
     PeerUnavailableError,
@@ -69,5 +69,5 @@
 });
 
 test('an operation of a later version is refused', async () => {
-  await assert.rejects(servePeerRequest(HANDLERS, 'later', null), PeerProtocolError);
+  await assert.rejects(servePeerRequest(UNUSED_HANDLERS, 'later', null), PeerProtocolError);
 });
--- a/test/request-router.test.ts
+++ b/test/request-router.test.ts
@@ -13,9 +13,9 @@
 /** A router whose parts record what they are asked for and answer as the test says. */
 function createRouter() {
   const calls: string[] = [];
-  const answers = {
-    own: SERVED,
-    peer: FORWARDED as Reply | Error,
+  const behavior = {
+    ownReply: SERVED,
+    peerReply: FORWARDED as Reply | Error,
     servedPeer: 'n-1' as string | null,
     isFailing: false,
     isSilent: false,
@@ -23,7 +23,7 @@
   };
   const serve = (name: string) => async () => {
     calls.push(name);
-    return answers.own;
+    return behavior.ownReply;
   };
   const ctx = { log: pino({ level: 'silent' }), machineTypes: [MACHINE_TYPE] as unknown[] | null };
   const router = new RequestRouter(ctx as never, {
@@ -34,24 +34,24 @@
     },
     heartbeats: { handle: serve('heartbeat') },
     health: {
-      isStateServiceFailing: () => answers.isFailing,
-      isStateServiceSilent: () => answers.isSilent,
+      isStateServiceFailing: () => behavior.isFailing,
+      isStateServiceSilent: () => behavior.isSilent,
       get isHealthy() {
-        return answers.isHealthy;
+        return behavior.isHealthy;
       },
     },
     peers: {
-      statuses: { servedPeer: () => answers.servedPeer },
+      statuses: { servedPeer: () => behavior.servedPeer },
       forwardRequest: async (node, method, target) => {
         calls.push(`forward ${node} ${method} ${target}`);
-        if (answers.peer instanceof Error) throw answers.peer;
-        return answers.peer;
+        if (behavior.peerReply instanceof Error) throw behavior.peerReply;
+        return behavior.peerReply;
       },
     },
   });
   const request = (method: string, target: string) =>
     router.route({ method, target, body: Buffer.alloc(0) } as Message);
-  return { answers, calls, ctx, request, router };
+  return { answers: behavior, calls, ctx, request, router };
 }
 
 test('each path has one method and one handler', async () => {
@@ -86,10 +86,10 @@
 
 test('without a better reply of a peer the own one stands, and at once when the state service is silent', async () => {
   const { answers, calls, request } = createRouter();
-  answers.own = UNAVAILABLE;
+  answers.ownReply = UNAVAILABLE;
   assert.deepEqual(await request('POST', '/v1/jobs'), FORWARDED);
   for (const peer of [UNAVAILABLE, new Error('timed out')]) {
-    answers.peer = peer;
+    answers.peerReply = peer;
     assert.deepEqual(await request('POST', '/v1/jobs'), UNAVAILABLE);
   }
   answers.isFailing = true;
@@ -104,7 +104,7 @@
 test('a request that a peer forwarded is never forwarded again', async () => {
   const { answers, calls, router } = createRouter();
   answers.isFailing = true;
-  answers.own = UNAVAILABLE;
+  answers.ownReply = UNAVAILABLE;
   assert.deepEqual(await router.serveUser('POST', '/v1/jobs', Buffer.alloc(0)), UNAVAILABLE);
   assert.deepEqual(calls, ['submit']);
 });
--- a/test/request-sharing.test.ts
+++ b/test/request-sharing.test.ts
@@ -15,11 +15,11 @@
   while (budget.take(1, RequestPriority.submissions, 0) === 0);
   assert.equal(budget.take(1, RequestPriority.leadership, 0), 0);
 
-  const held: (() => void)[] = [];
+  const pendingReplies: (() => void)[] = [];
   const handler: Handler = (request) =>
     request.method === 'POST'
       ? { status: 200, body: {} }
-      : new Promise((resolve) => held.push(() => resolve({ status: 404, body: {} })));
+      : new Promise((resolve) => pendingReplies.push(() => resolve({ status: 404, body: {} })));
   await serving(handler, async (port) => {
     const state = new StateClient({
       address: { host: '127.0.0.1', port },
@@ -30,24 +30,26 @@
       clock: new FakeClock(),
     });
     // More than the connections for users.
-    const asked = Array.from({ length: 5 }, () => state.get('live/x', RequestPriority.submissions));
+    const requests = Array.from({ length: 5 }, () =>
+      state.get('live/x', RequestPriority.submissions),
+    );
     assert.equal(await state.touch(7), true);
-    const drain = async () => {
-      while (held.length > 0) held.pop()?.();
+    const replyToAll = async () => {
+      while (pendingReplies.length > 0) pendingReplies.pop()?.();
       await new Promise(setImmediate);
     };
     let done = false;
-    const all = Promise.all(asked).then(() => {
+    const settled = Promise.all(requests).then(() => {
       done = true;
     });
-    while (!done) await drain();
-    await all;
+    while (!done) await replyToAll();
+    await settled;
     state.close();
   });
 });
 
 test('commands keep to their sockets: the one at rest goes, and none is cut off', async () => {
-  const answer = {
+  const body = {
     cart: 'n-1',
     endpoint: 'x:1',
     rig: 'm',
@@ -59,13 +61,13 @@
     hands: [],
   };
   let release: (() => void) | null = null;
-  const slow: Handler = () =>
+  const delayed: Handler = () =>
     new Promise((resolve) => {
-      release = () => resolve({ status: 200, body: answer });
+      release = () => resolve({ status: 200, body: body });
     });
-  await serving(slow, (a) =>
+  await serving(delayed, (a) =>
     serving(
-      () => ({ status: 200, body: answer }),
+      () => ({ status: 200, body: body }),
       async (b) => {
         const agents = new AgentClient(60_000, 1);
         const send = (port: number) =>
--- a/test/support/context.ts
+++ b/test/support/context.ts
@@ -29,7 +29,7 @@
   node: string,
   state: FakeStateService,
   clock: FakeClock,
-  next: NextLimits | null = null,
+  nextLimits: NextLimits | null = null,
 ): ControllerContext {
   const platform = parsePlatform(
     JSON.stringify({
@@ -39,7 +39,7 @@
       peer_listen: '127.0.0.1:1',
       peers: [],
       external: { cloud: '127.0.0.1:1', state: '127.0.0.1:1' },
-      settings: { ...SETTINGS, state: { ...SETTINGS.state, next } },
+      settings: { ...SETTINGS, state: { ...SETTINGS.state, next: nextLimits } },
     }),
     'test',
   );
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -12,7 +12,7 @@
 import type { World } from './world.js';
 
 /** Limits that the state service has from some moment on. */
-export const NEXT: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 20 };
+export const NEXT_LIMITS: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 20 };
 
 /** One controller with its real duties; its sockets are played. */
 export class ScriptedController {
@@ -26,26 +26,29 @@
   cutFromPeers = false;
   cutFromWorkers = false;
   dead = false;
-  private readonly stop = new AbortController();
+  private readonly shutdown = new AbortController();
 
   constructor(
     readonly world: World,
     readonly name: string,
-    life: number,
+    incarnationNumber: number,
   ) {
     const { clock, store } = world;
     this.state = new FakeStateService(store);
     this.state.holdsBack = () => world.random() < world.lateShare;
-    const next = world.upgraded.has(name) ? NEXT : null;
-    this.ctx = { ...createContext(name, this.state, clock, next), incarnation: `${name}-${life}` };
+    const next = world.upgraded.has(name) ? NEXT_LIMITS : null;
+    this.ctx = {
+      ...createContext(name, this.state, clock, next),
+      incarnation: `${name}-${incarnationNumber}`,
+    };
     this.ctx.log = pino({ level: 'silent' });
     this.leadership = new LeaderElection(this.ctx, async (term) => {
       const leader = new Leader({
         ctx: this.ctx,
-        cloud: world.cloud(this),
+        cloud: world.cloudClient(this),
         term,
         policy: schedulerPolicy(DEFAULT_POLICY),
-        agents: world.commands(this),
+        agents: world.agentClient(this),
       });
       this.leader = leader;
       world.terms.push(this);
@@ -60,18 +63,18 @@
       cancellations: {
         announceCancellation: async (id, revision) => {
           this.leader?.announceCancellation(id, revision);
-          for (const peer of this.peersHeard()) peer.leader?.announceCancellation(id, revision);
+          for (const peer of this.reachablePeers()) peer.leader?.announceCancellation(id, revision);
         },
       },
     });
-    const peer = (node: string) => this.peersHeard().find((c) => c.name === node);
+    const peer = (node: string) => this.reachablePeers().find((c) => c.name === node);
     this.reports = new HeartbeatHandler({
       ctx: this.ctx,
       election: this.leadership,
       leader: () => this.leader,
       peers: {
         isReachable: (node) => peer(node) !== undefined,
-        lastLedAt: (node) => world.heardLeading(this, node),
+        lastLedAt: (node) => world.lastLedAt(this, node),
         forwardHeartbeat: async (node, body) => {
           const other = peer(node);
           if (!other) throw new Error('not heard');
@@ -80,15 +83,15 @@
         forwardThroughMailbox: () => Promise.reject(new Error('no mail')),
       },
       fetchHeartbeat: async (address) => {
-        const m = world.byAddress(address);
+        const m = world.findMachine(address);
         if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('not asked');
         return m.worker.heartbeat();
       },
     });
-    void this.leadership.run(this.stop.signal);
+    void this.leadership.run(this.shutdown.signal);
   }
 
-  private peersHeard(): ScriptedController[] {
+  private reachablePeers(): ScriptedController[] {
     if (this.cutFromPeers) return [];
     return this.world.controllers.filter((c) => c !== this && !c.dead && !c.cutFromPeers);
   }
@@ -97,6 +100,6 @@
   crash(): void {
     this.dead = true;
     this.state.fault = 'dead';
-    this.stop.abort();
+    this.shutdown.abort();
   }
 }
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -6,9 +6,9 @@
 import { fromWire, onWire, type WireOrder } from './wire.js';
 import type { World } from './world.js';
 
-const FENCES = fencingToken(1, 0);
+const FENCES_PER_TERM = fencingToken(1, 0);
 /** A worker gives a report up after this long (protocol). */
-const REPORT_TIMEOUT_MS = 4000;
+const HEARTBEAT_TIMEOUT_MS = 4000;
 /** Steps of a worker's own time. */
 export const TICK_MS = 500;
 
@@ -20,12 +20,12 @@
   mute = false;
   gone = false;
   /** The lease runs from here. */
-  private leaseFrom: number;
-  private at: number;
-  private reported = '';
-  private readonly ends = new Map<string, number>();
+  private leaseRenewedAt: number;
+  private controllerIndex: number;
+  private lastReportedState = '';
+  private readonly taskEndsAt = new Map<string, number>();
   /** Direct commands that came while it hung. */
-  private held: (() => void)[] = [];
+  private deferredCommands: (() => void)[] = [];
 
   constructor(
     readonly world: World,
@@ -33,8 +33,8 @@
     zone: string,
   ) {
     this.worker = new ScriptedAgent(id, zone);
-    this.leaseFrom = world.clock.now();
-    this.at = world.pick(3);
+    this.leaseRenewedAt = world.clock.now();
+    this.controllerIndex = world.pick(3);
     void this.run();
   }
 
@@ -43,119 +43,123 @@
   }
 
   /** The worker's own clock: its lease and its tasks' ends, to the moment. */
-  sync(): void {
+  advanceToNow(): void {
     const now = this.world.clock.now();
-    if (now - this.leaseFrom > this.world.leaseMs) {
+    if (now - this.leaseRenewedAt > this.world.agentLeaseMs) {
       this.worker.lapse();
-      this.leaseFrom = now;
-      this.ends.clear();
+      this.leaseRenewedAt = now;
+      this.taskEndsAt.clear();
     }
     if (this.hangs) return;
-    for (const [key, end] of this.ends) {
+    for (const [key, end] of this.taskEndsAt) {
       const t = this.worker.tasks.get(key);
-      if (!t || t.state === 'exited') this.ends.delete(key);
+      if (!t || t.state === 'exited') this.taskEndsAt.delete(key);
       else if (end <= now) {
         this.worker.exit(key, 'done');
-        this.ends.delete(key);
-        this.world.ended(t.jobId, t.index);
+        this.taskEndsAt.delete(key);
+        this.world.recordTaskCompletion(t.jobId, t.index);
       }
     }
   }
 
   execute(token: number, commands: TaskCommand[]): boolean {
-    this.sync();
+    this.advanceToNow();
     const before = new Set(this.worker.tasks.keys());
-    const took = this.worker.execute(Math.floor(token / FENCES), commands, token % FENCES);
+    const accepted = this.worker.execute(
+      Math.floor(token / FENCES_PER_TERM),
+      commands,
+      token % FENCES_PER_TERM,
+    );
     for (const [key, t] of this.worker.tasks)
       if (!before.has(key) && t.state === 'running') {
-        if (this.world.completed.has(`${t.jobId}/${t.index}`)) this.worker.exit(key, 'done');
+        if (this.world.completedTasks.has(`${t.jobId}/${t.index}`)) this.worker.exit(key, 'done');
         else {
-          this.world.starts(t.jobId);
-          this.ends.set(key, this.world.clock.now() + this.world.runMs());
+          this.world.recordStart(t.jobId);
+          this.taskEndsAt.set(key, this.world.clock.now() + this.world.taskDurationMs());
         }
       }
-    return took;
+    return accepted;
   }
 
   /** A direct command. */
-  command(token: number, session: number, commands: TaskCommand[]) {
-    const took = session === this.worker.agentEpoch && this.execute(token, commands);
-    return { executed: took, heartbeat: this.worker.heartbeat() };
+  command(token: number, agentEpoch: number, commands: TaskCommand[]) {
+    const accepted = agentEpoch === this.worker.agentEpoch && this.execute(token, commands);
+    return { executed: accepted, heartbeat: this.worker.heartbeat() };
   }
 
-  hold(work: () => void): void {
-    this.held.push(work);
+  deferCommand(execute: () => void): void {
+    this.deferredCommands.push(execute);
   }
 
   resume(): void {
     this.hangs = false;
-    this.sync();
-    for (const work of this.held.splice(0)) work();
+    this.advanceToNow();
+    for (const work of this.deferredCommands.splice(0)) work();
   }
 
   private async run(): Promise<void> {
     const { clock } = this.world;
-    const every = this.world.reportMs;
-    let due = clock.now() + this.world.random() * every;
+    const intervalMs = this.world.heartbeatMs;
+    let dueAt = clock.now() + this.world.random() * intervalMs;
     while (!this.gone) {
       await clock.sleep(TICK_MS);
       if (this.gone) return;
-      this.sync();
+      this.advanceToNow();
       if (this.hangs) continue;
       const { worker } = this;
       const now = `${worker.agentEpoch} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
-      if (clock.now() < due && now === this.reported) continue;
-      this.reported = now;
-      due = clock.now() + every * (0.75 + this.world.random() * 0.5);
-      await this.report();
+      if (clock.now() < dueAt && now === this.lastReportedState) continue;
+      this.lastReportedState = now;
+      dueAt = clock.now() + intervalMs * (0.75 + this.world.random() * 0.5);
+      await this.sendHeartbeat();
     }
   }
 
   /** Goes to another controller that the reply names, if it does. */
-  private follow(reply: Reply | null): boolean {
+  private followRedirect(reply: Reply | null): boolean {
     const steward = (reply?.body as { steward?: string } | undefined)?.steward;
-    const named = this.world.controllers.findIndex((c) => c.name === steward);
-    if (reply?.status !== 421 || named < 0 || named === this.at) return false;
-    this.at = named;
+    const index = this.world.controllers.findIndex((c) => c.name === steward);
+    if (reply?.status !== 421 || index < 0 || index === this.controllerIndex) return false;
+    this.controllerIndex = index;
     return true;
   }
 
   /** A copy of the report arrives at any controller, long after it. */
-  private sendCopyLater(body: Buffer): void {
+  private sendDelayedDuplicate(body: Buffer): void {
     this.world.later(2000 + this.world.random() * 30_000, () => {
-      const to = this.world.controllers[this.world.pick(3)] as ScriptedController;
-      if (!to.dead) void to.reports.handle(body);
+      const recipient = this.world.controllers[this.world.pick(3)] as ScriptedController;
+      if (!recipient.dead) void recipient.reports.handle(body);
     });
   }
 
-  private async report(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { clock, controllers } = this.world;
     const sentAt = clock.now();
-    const node = controllers[this.at] as ScriptedController;
-    const { agentEpoch: session } = this.worker;
+    const controller = controllers[this.controllerIndex] as ScriptedController;
+    const { agentEpoch: epochAtSend } = this.worker;
     const body = onWire(this.worker.heartbeat());
     let reply: Reply | null = null;
-    if (!this.mute && !node.dead && !node.cutFromWorkers) {
-      if (this.world.random() < this.world.copyShare) this.sendCopyLater(body);
-      const answer = node.reports.handle(body).catch(() => null);
-      const late = clock.sleep(REPORT_TIMEOUT_MS).then(() => null);
-      reply = await Promise.race([answer, late]);
+    if (!this.mute && !controller.dead && !controller.cutFromWorkers) {
+      if (this.world.random() < this.world.copyShare) this.sendDelayedDuplicate(body);
+      const answer = controller.reports.handle(body).catch(() => null);
+      const timeout = clock.sleep(HEARTBEAT_TIMEOUT_MS).then(() => null);
+      reply = await Promise.race([answer, timeout]);
       if (this.deaf) reply = null;
     }
     if (this.gone || this.hangs) return;
-    this.sync();
+    this.advanceToNow();
     if (reply?.status === 200) {
       const answer = reply.body as { baton: number; orders: WireOrder[] };
-      if (session !== this.worker.agentEpoch) return;
+      if (epochAtSend !== this.worker.agentEpoch) return;
       if (answer.baton < fencingToken(this.worker.term, this.worker.fence)) return;
       this.execute(answer.baton, answer.orders.map(fromWire));
-      this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+      this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
       return;
     }
-    if (!this.follow(reply)) {
+    if (!this.followRedirect(reply)) {
       await clock.sleep(1000);
-      this.at = (this.at + 1) % controllers.length;
+      this.controllerIndex = (this.controllerIndex + 1) % controllers.length;
     }
-    this.reported = '';
+    this.lastReportedState = '';
   }
 }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -29,11 +29,11 @@
 
 const KIB = 1024;
 /** The limits of the test settings, which the version before sized its values by, and lower ones. */
-const NEXT = { value_kb: 2, txn_ops: 4, write_rps: 30 };
-const EARLIER_CHUNK = 32_768;
+const NEXT_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 30 };
+const PREVIOUS_TASKS_PER_CHUNK = 32_768;
 
 /** Written by the version before: a live job, and the bits of its finished tasks. */
-const LIVE_JOB = {
+const STORED_LIVE_JOB = {
   spec: {
     id: 'req-000412',
     jobClass: 'work',
@@ -57,8 +57,8 @@
   },
   at: 1_800_000_000_000,
 };
-const DONE = [0, 1, 9, 8191, 8192, 20_000, 32_767, 32_768, 39_999];
-const EARLIER_BITS = [
+const COMPLETED_TASKS = [0, 1, 9, 8191, 8192, 20_000, 32_767, 32_768, 39_999];
+const STORED_BITMAPS = [
   {
     key: 'bits/req-000412/0000',
     length: 4096,
@@ -81,50 +81,50 @@
   },
 ] as const;
 
-function earlierBytes(stored: (typeof EARLIER_BITS)[number]): Uint8Array {
+function bitmapBytes(stored: (typeof STORED_BITMAPS)[number]): Uint8Array {
   const bytes = new Uint8Array(stored.length);
-  for (const [at, byte] of stored.bytes) bytes[at] = byte;
+  for (const [offset, byte] of stored.bytes) bytes[offset] = byte;
   return bytes;
 }
 
 /** How the version before reads and writes bitmaps: number times chunk, whatever follows the number. */
-class EarlierBitmaps {
-  readonly done = new Set<number>();
+class PreviousVersionBitmaps {
+  readonly completed = new Set<number>();
 
   read(key: string, bytes: Uint8Array): void {
     const [, , number = ''] = key.split('/');
-    const first = Number(number) * EARLIER_CHUNK;
+    const first = Number(number) * PREVIOUS_TASKS_PER_CHUNK;
     for (let i = 0; i < bytes.length * 8; i++)
-      if (((bytes[i >> 3] as number) >> (i & 7)) & 1) this.done.add(first + i);
+      if (((bytes[i >> 3] as number) >> (i & 7)) & 1) this.completed.add(first + i);
   }
 
   chunk(number: number, tasks: number): Uint8Array {
-    const first = number * EARLIER_CHUNK;
-    const bytes = new Uint8Array(Math.ceil(Math.min(EARLIER_CHUNK, tasks - first) / 8));
-    for (const i of this.done)
-      if (Math.floor(i / EARLIER_CHUNK) === number)
+    const first = number * PREVIOUS_TASKS_PER_CHUNK;
+    const bytes = new Uint8Array(Math.ceil(Math.min(PREVIOUS_TASKS_PER_CHUNK, tasks - first) / 8));
+    for (const i of this.completed)
+      if (Math.floor(i / PREVIOUS_TASKS_PER_CHUNK) === number)
         bytes[(i - first) >> 3] = (bytes[(i - first) >> 3] as number) | (1 << (i & 7));
     return bytes;
   }
 }
 
-function load(job: Job, layout: BitmapLayout, key: string, bytes: Uint8Array): void {
+function loadBitmap(job: Job, layout: BitmapLayout, key: string, bytes: Uint8Array): void {
   const parsed = layout.parse(key);
   assert.ok(parsed, key);
   job.loadBits(parsed.firstTask, bytes);
 }
 
 test('bitmaps of the version before are read, and go on in values that fit the lower limit', () => {
-  const layout = BitmapLayout.forValues(8 * KIB, NEXT.value_kb * KIB);
-  const spec = decodeJobSpec(LIVE_JOB.spec);
+  const layout = BitmapLayout.forValues(8 * KIB, NEXT_LIMITS.value_kb * KIB);
+  const spec = decodeJobSpec(STORED_LIVE_JOB.spec);
   assert.ok(spec);
-  const job = new Job(spec, 77, LIVE_JOB.at, true);
-  for (const stored of EARLIER_BITS) load(job, layout, stored.key, earlierBytes(stored));
+  const job = new Job(spec, 77, STORED_LIVE_JOB.at, true);
+  for (const stored of STORED_BITMAPS) loadBitmap(job, layout, stored.key, bitmapBytes(stored));
   assert.deepEqual(
-    [...Array(LIVE_JOB.spec.tasks).keys()].filter((i) => job.isDone(i)),
-    DONE,
+    [...Array(STORED_LIVE_JOB.spec.tasks).keys()].filter((i) => job.isDone(i)),
+    COMPLETED_TASKS,
   );
-  assert.ok(EARLIER_BITS.every((stored) => layout.parse(stored.key)?.chunk === null));
+  assert.ok(STORED_BITMAPS.every((stored) => layout.parse(stored.key)?.chunk === null));
   const last = layout.chunkOf(39_999);
   assert.equal(layout.key('req-000412', 0), 'bits/req-000412/0000/0');
   assert.equal(layout.key('req-000412', last), 'bits/req-000412/0001/32768');
@@ -134,26 +134,26 @@
     chunk: 1,
   });
   const value = Buffer.from(job.chunkBits(0, layout.tasksPerChunk)).toString('base64');
-  assert.ok(JSON.stringify(value).length <= NEXT.value_kb * KIB);
+  assert.ok(JSON.stringify(value).length <= NEXT_LIMITS.value_kb * KIB);
 });
 
 /** A leader of the version before reads all bitmaps, and writes those of what finishes under it. */
-function leadEarlier(
+function leadAsPreviousVersion(
   store: Map<string, Uint8Array>,
   done: ReadonlySet<number>,
   finished: readonly number[],
   tasks: number,
 ): void {
-  const earlier = new EarlierBitmaps();
-  for (const [key, bytes] of store) earlier.read(key, bytes);
-  assert.deepEqual(earlier.done, done);
-  for (const i of finished) earlier.done.add(i);
-  for (const n of new Set(finished.map((i) => Math.floor(i / EARLIER_CHUNK))))
-    store.set(`bits/req-1/${String(n).padStart(4, '0')}`, earlier.chunk(n, tasks));
+  const bitmaps = new PreviousVersionBitmaps();
+  for (const [key, bytes] of store) bitmaps.read(key, bytes);
+  assert.deepEqual(bitmaps.completed, done);
+  for (const i of finished) bitmaps.completed.add(i);
+  for (const chunk of new Set(finished.map((i) => Math.floor(i / PREVIOUS_TASKS_PER_CHUNK))))
+    store.set(`bits/req-1/${String(chunk).padStart(4, '0')}`, bitmaps.chunk(chunk, tasks));
 }
 
 /** A leader of this version does the same, in values of at most so many bytes. */
-function leadNow(
+function leadAsCurrentVersion(
   store: Map<string, Uint8Array>,
   done: ReadonlySet<number>,
   finished: readonly number[],
@@ -162,7 +162,7 @@
   valueBytes: number,
 ): void {
   const job = new Job(jobSpec({ id: 'req-1', tasks }), 1, 0, true);
-  for (const [key, bytes] of store) load(job, layout, key, bytes);
+  for (const [key, bytes] of store) loadBitmap(job, layout, key, bytes);
   assert.equal(job.doneCount, done.size);
   for (const i of finished) job.markDone(i);
   for (const chunk of new Set(finished.map((i) => layout.chunkOf(i)))) {
@@ -174,28 +174,28 @@
 
 test('no bit is lost while versions lead in turn, whatever each of them has touched', () => {
   const tasks = 100_000;
-  for (const lowest of [0.7, 2, 3, 8]) {
-    const layout = BitmapLayout.forValues(8 * KIB, lowest * KIB);
+  for (const valueKib of [0.7, 2, 3, 8]) {
+    const layout = BitmapLayout.forValues(8 * KIB, valueKib * KIB);
     const store = new Map<string, Uint8Array>();
     const done = new Set<number>();
     for (let turn = 0; turn < 24; turn++) {
       const finished = Array.from({ length: 20 }, (_, i) => (turn * 7919 + i * 104_729) % tasks);
-      if (turn % 3 === 1) leadEarlier(store, done, finished, tasks);
-      else leadNow(store, done, finished, tasks, layout, lowest * KIB);
+      if (turn % 3 === 1) leadAsPreviousVersion(store, done, finished, tasks);
+      else leadAsCurrentVersion(store, done, finished, tasks, layout, valueKib * KIB);
       for (const i of finished) done.add(i);
     }
   }
 });
 
-function entry(n: number): RosterEntry {
-  const name = `n-${String(n).padStart(6, '0')}`;
-  return { id: name, type: 'm16', zone: 'a', spot: true, address: `10.1.0.${n}:9000` };
+function rosterEntry(number: number): RosterEntry {
+  const name = `n-${String(number).padStart(6, '0')}`;
+  return { id: name, type: 'm16', zone: 'a', spot: true, address: `10.1.0.${number}:9000` };
 }
 
 test('a roster page from under the old limit is written anew only in parts that fit', () => {
-  const pageBytes = NEXT.value_kb * KIB * 0.9;
+  const pageBytes = NEXT_LIMITS.value_kb * KIB * 0.9;
   const roster = new Roster(4, pageBytes);
-  const all = Array.from({ length: 32 }, (_, i) => entry(i + 1));
+  const all = Array.from({ length: 32 }, (_, i) => rosterEntry(i + 1));
   roster.restore('3-1', 10, all);
   roster.removeMachine('n-000002');
   const stored = new Map<string, RosterEntry[]>([['3-1', all]]);
@@ -206,7 +206,7 @@
   )
     for (const pageWrite of writes) {
       assert.ok(
-        JSON.stringify({ machines: pageWrite.entries }).length <= NEXT.value_kb * KIB,
+        JSON.stringify({ machines: pageWrite.entries }).length <= NEXT_LIMITS.value_kb * KIB,
         pageWrite.key,
       );
       stored.set(pageWrite.key, pageWrite.entries);
@@ -222,7 +222,7 @@
 
 test('a page that could not be moved is left as it is, and no machine is taken off it', () => {
   const roster = new Roster(4, 400);
-  roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(entry));
+  roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(rosterEntry));
   roster.removeMachine('n-000001');
   const moves = roster.rewriteStalePages(9);
   assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.key !== '3-1'));
@@ -232,7 +232,7 @@
 });
 
 test('peers of both versions read each other, and tokens stay what they were', () => {
-  const sent =
+  const statusFrame =
     '00000070b90002646b696e646673746174757366737461747573b90007646e6f646563632d316b696e6361726e6174696f6e636162636673656e744174fb427a3185c5000000647465726d03676c656164696e67f56773746174654f6bf566636f756e747381836a7265712d3030303431320904';
   const status = {
     kind: 'status',
@@ -246,33 +246,33 @@
       counts: [['req-000412', 9, 4]],
     },
   };
-  assert.deepEqual(new FrameReader().push(Buffer.from(sent, 'hex')), [status]);
-  assert.equal(packFrame(status).toString('hex'), sent);
-  const ask =
+  assert.deepEqual(new FrameReader().push(Buffer.from(statusFrame, 'hex')), [status]);
+  assert.equal(packFrame(status).toString('hex'), statusFrame);
+  const requestFrame =
     '00000041b90004646b696e646361736b616e07626f706963616e63656c6c6564677061796c6f6164b90002636a6f626a7265712d303030343132687265766973696f6e185a';
-  const question = {
+  const request = {
     kind: 'ask',
     n: 7,
     op: 'cancelled',
     payload: { job: 'req-000412', revision: 90 },
   };
-  assert.equal(packFrame(question).toString('hex'), ask);
+  assert.equal(packFrame(request).toString('hex'), requestFrame);
   assert.equal(fencingToken(3, 5), 3_145_733);
 });
 
 test('what work is expected is kept in pages that fit; the first is the one that both versions read', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
-  store.limits = { valueBytes: NEXT.value_kb * KIB, changes: NEXT.txn_ops };
-  const ctx = createContext('n-0', new FakeStateService(store), clock, NEXT);
+  store.limits = { valueBytes: NEXT_LIMITS.value_kb * KIB, changes: NEXT_LIMITS.txn_ops };
+  const ctx = createContext('n-0', new FakeStateService(store), clock, NEXT_LIMITS);
   const stop = new AbortController();
   const term = { number: 1, version: 0, signal: stop.signal } as never;
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
-  const loads = new DemandStore(ctx, term, scaleOut);
+  const demandStore = new DemandStore(ctx, term, scaleOut);
   for (let i = 1; i <= 12; i++)
-    loads.recordArrival(jobSpec({ jobClass: `class-${i}`, tasks: i }), i);
-  void loads.run(stop.signal).catch(() => {});
+    demandStore.recordArrival(jobSpec({ jobClass: `class-${i}`, tasks: i }), i);
+  void demandStore.run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
@@ -280,18 +280,21 @@
   const first = store.entries.get('loads')?.value as { loads: unknown[]; upTo: number };
   assert.equal(first.upTo, 12);
   const next = new ScaleOutPlanner(cluster);
-  const again = new DemandStore(
+  const nextDemandStore = new DemandStore(
     ctx,
     { number: 2, signal: new AbortController().signal } as never,
     next,
   );
-  await again.read();
+  await nextDemandStore.read();
   // Four pages take them all but for the smallest.
-  const kept = next.snapshot().map((forecast) => forecast.spec.jobClass);
-  assert.ok(kept.length > first.loads.length && kept.length >= 10, `${kept.length}`);
+  const restoredClasses = next.snapshot().map((forecast) => forecast.spec.jobClass);
+  assert.ok(
+    restoredClasses.length > first.loads.length && restoredClasses.length >= 10,
+    `${restoredClasses.length}`,
+  );
   // A job that is counted in it is not counted again.
-  again.recordArrival(jobSpec({ jobClass: 'class-12' }), 12);
-  assert.equal(next.snapshot().length, kept.length);
+  nextDemandStore.recordArrival(jobSpec({ jobClass: 'class-12' }), 12);
+  assert.equal(next.snapshot().length, restoredClasses.length);
   // As the version before writes it.
   store.entries.set('loads', {
     key: 'loads',
@@ -299,7 +302,7 @@
     value: {
       loads: [
         {
-          spec: LIVE_JOB.spec,
+          spec: STORED_LIVE_JOB.spec,
           mean: 8240,
           variance: 329600000,
           shape: { cpus: 2, gpus: 0, memoryGb: 4 },
@@ -311,7 +314,7 @@
       upTo: 77,
     },
   });
-  await again.read();
+  await nextDemandStore.read();
   assert.deepEqual(
     next.snapshot().map((forecast) => forecast.mean),
     [8240],
@@ -322,32 +325,32 @@
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const state = new FakeStateService(store);
-  const ctx = createContext('n-0', state, clock, NEXT);
+  const ctx = createContext('n-0', state, clock, NEXT_LIMITS);
   const stop = new AbortController();
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   for (const n of [1, 2]) {
     const id = `req-00000${n}`;
     store.transact([], [{ op: 'put', key: `live/${id}`, value: {} }]);
     cluster.addJob(jobSpec({ id, tasks: 1 }), store.revision, 0, false);
   }
   runPlacementRound(cluster, 9, 0);
-  sendHeartbeat(cluster, w, 10);
-  for (const key of [...w.tasks.keys()]) w.exit(key, 'done');
-  sendHeartbeat(cluster, w, 20);
-  let refused = 0;
+  sendHeartbeat(cluster, agent, 10);
+  for (const key of [...agent.tasks.keys()]) agent.exit(key, 'done');
+  sendHeartbeat(cluster, agent, 20);
+  let rejections = 0;
   const { transact } = state;
   state.transact = (conditions, changes) => {
     if (!changes.some((x) => x.key === 'over/req-000001'))
       return transact.call(state, conditions, changes);
-    refused++;
+    rejections++;
     return Promise.reject(new RequestRejectedError('400 too large'));
   };
   const term = { number: 1, version: 0, signal: stop.signal, resign: () => {} } as never;
   void new ProgressWriter(ctx, term, cluster).run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.progressWriteMs * 1.5);
   assert.ok(store.entries.has('over/req-000002'));
-  assert.equal(refused, 2);
+  assert.equal(rejections, 2);
   stop.abort();
   assert.equal(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }).length, 1);
 });
@@ -383,19 +386,19 @@
   const put = (priority: 0 | 1) =>
     state.transact([], [{ op: 'put', key: 'a', value: 1 }], priority);
   /** How many of twenty changes pass within a fifth of a second. */
-  const passing = async () => {
+  const countPassedChanges = async () => {
     let passed = 0;
-    const asked: Promise<void>[] = [];
+    const requests: Promise<void>[] = [];
     const count = () => {
       passed++;
     };
     for (let n = 0; n < 20; n++) {
-      asked.push(put(1).then(count, (error) => assert.ok(error instanceof RequestRefusedError)));
+      requests.push(put(1).then(count, (error) => assert.ok(error instanceof RequestRefusedError)));
       await clock.advance(10);
     }
     // Those that were put off for a moment.
     await clock.advance(100);
-    await Promise.all(asked);
+    await Promise.all(requests);
     return passed;
   };
   try {
@@ -403,7 +406,7 @@
     await assert.rejects(put(1), RequestRefusedError);
     status = 200;
     await clock.advance(1000);
-    const n = await passing();
+    const n = await countPassedChanges();
     assert.ok(n > 0 && n <= 12, `${n} in a fifth of a second`);
     assert.equal((await put(0)).ok, true);
   } finally {
@@ -418,10 +421,13 @@
     hand: `req-1/${i}`,
     try: 1,
   }));
-  const fit = truncateCommands({ baton: 7, orders }, 1000) as { baton: number; orders: unknown[] };
-  assert.ok(JSON.stringify(fit).length <= 1000);
-  assert.deepEqual(fit.orders, orders.slice(0, fit.orders.length));
-  assert.ok(fit.orders.length > 10);
+  const truncated = truncateCommands({ baton: 7, orders }, 1000) as {
+    baton: number;
+    orders: unknown[];
+  };
+  assert.ok(JSON.stringify(truncated).length <= 1000);
+  assert.deepEqual(truncated.orders, orders.slice(0, truncated.orders.length));
+  assert.ok(truncated.orders.length > 10);
   assert.deepEqual(truncateCommands({ error: 'x' }, 1), { error: 'x' });
 });
 
@@ -439,5 +445,5 @@
     changesPerS: 50,
     loweredChangesPerS: 50,
   });
-  assert.equal(BitmapLayout.forValues(8192, 8192).tasksPerChunk, EARLIER_CHUNK);
+  assert.equal(BitmapLayout.forValues(8192, 8192).tasksPerChunk, PREVIOUS_TASKS_PER_CHUNK);
 });
