--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -4,12 +4,12 @@
 import type { PeerStatuses } from './membership/peer-statuses.js';
 
 /**
- * How long the state service must have served no request to count as failing,
- * in state service time-outs. A single slow response takes less.
+ * How long requests must have failed for the state service to count as failing,
+ * in state service time-outs. A single slow response takes less time.
  */
 const FAILING_AFTER_TIMEOUTS = 0.5;
 
-/** Time, in state service time-outs, after which waiting for the state service is of no use. */
+/** How long requests must have failed before waiting for a response is useless, in state service time-outs. */
 const UNRESPONSIVE_AFTER_TIMEOUTS = 1;
 
 /** Derives the health of this controller from what other components record. Stateless. */
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -26,7 +26,7 @@
     private readonly isConnected: (node: string) => boolean,
   ) {}
 
-  /** Records a well-formed status, unless the peer sent a newer one that has been recorded. */
+  /** Records a well-formed status, unless a newer one of the same peer has been recorded. */
   record(status: PeerStatus): void {
     // A status that a network partition delayed describes the time when it was sent, and may arrive after a newer one.
     const { clock } = this.ctx;
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -66,7 +66,7 @@
     onError: (err) => log.debug({ err }, 'peer connection or request failed'),
   });
   const statuses = new PeerStatuses(ctx, (node) => network.isConnected(node));
-  // Commands that do not fit a value are left out of the response. To the agent they are lost, as in a late response.
+  // Commands that do not fit a value are left out. For the agent this is the same as losing them in a late response.
   const mailbox = new Mailbox(ctx, async (text) => {
     const reply = await handlers.handleHeartbeat(Buffer.from(text));
     const body = truncateCommands(reply.body, limits.valueBytes * MAILBOX_VALUE_SHARE);
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -13,10 +13,10 @@
 import { FakeStateService, FakeStore } from './support/state.js';
 
 const UNUSED_HANDLERS: PeerHandlers = {
-  currentStatus: () => assert.fail('not asked'),
+  currentStatus: () => assert.fail('unexpected call'),
   observeTerm: () => {},
-  serveUser: () => Promise.reject(new Error('not asked')),
-  handleHeartbeat: () => Promise.reject(new Error('not asked')),
+  serveUser: () => Promise.reject(new Error('unexpected call')),
+  handleHeartbeat: () => Promise.reject(new Error('unexpected call')),
   announceCancellation: () => {},
 };
 
@@ -27,7 +27,7 @@
   return { clock, ctx, store, peers: createPeers(ctx, UNUSED_HANDLERS) };
 }
 
-test('a leader that does not answer in the mailbox is not tried again for a while', async () => {
+test('after a mailbox request times out, requests to the same node are refused during a back-off', async () => {
   const { clock, ctx, store, peers } = setUp();
   const forward = () => peers.forwardThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
   const first = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
@@ -35,7 +35,7 @@
   await first;
   const { revision } = store;
   await assert.rejects(forward(), MailboxBackoffError);
-  // Another node's mailbox is tried all the same, and this one's after the back-off.
+  // Requests to another node are still sent, and those to this node again after the back-off.
   const other = assert.rejects(
     peers.forwardThroughMailbox('n-2', 'm-1', Buffer.from('{}')),
     (error) => !(error instanceof MailboxBackoffError),
@@ -48,7 +48,7 @@
   await again;
 });
 
-test('a heartbeat that no value holds is refused before anything is written, and backs nothing off', async () => {
+test('a heartbeat too large for a mailbox message is refused without a write and without a back-off', async () => {
   const { ctx, store, peers } = setUp();
   const { revision } = store;
   const large = Buffer.alloc(ctx.limits.valueBytes);
@@ -68,6 +68,6 @@
   );
 });
 
-test('an operation of a later version is refused', async () => {
+test('a peer request with an unknown operation is refused', async () => {
   await assert.rejects(servePeerRequest(UNUSED_HANDLERS, 'later', null), PeerProtocolError);
 });
--- a/test/request-router.test.ts
+++ b/test/request-router.test.ts
@@ -10,7 +10,7 @@
 const UNAVAILABLE: Reply = { status: 503, body: { error: 'try again' }, retryAfterS: 1 };
 const FORWARDED: Reply = { status: 201, body: { by: 'the peer' } };
 
-/** A router whose parts record what they are asked for and answer as the test says. */
+/** Creates a router whose components record their calls and reply as `behavior` says. */
 function createRouter() {
   const calls: string[] = [];
   const behavior = {
@@ -51,7 +51,7 @@
   });
   const request = (method: string, target: string) =>
     router.route({ method, target, body: Buffer.alloc(0) } as Message);
-  return { answers: behavior, calls, ctx, request, router };
+  return { behavior, calls, ctx, request, router };
 }
 
 test('each path has one method and one handler', async () => {
@@ -77,24 +77,24 @@
   assert.equal(calls.length, 4);
 });
 
-test('a user is served through a peer while the state service fails this node alone', async () => {
-  const { answers, calls, request } = createRouter();
-  answers.isFailing = true;
+test('a user request is served by a peer while the state service fails only for this node', async () => {
+  const { behavior, calls, request } = createRouter();
+  behavior.isFailing = true;
   assert.deepEqual(await request('GET', '/v1/jobs/req-000001'), FORWARDED);
   assert.deepEqual(calls, ['forward n-1 GET /v1/jobs/req-000001']);
 });
 
-test('without a better reply of a peer the own one stands, and at once when the state service is silent', async () => {
-  const { answers, calls, request } = createRouter();
-  answers.ownReply = UNAVAILABLE;
+test('a 503 reply stands without a better one from a peer, and is immediate if the state service is unresponsive', async () => {
+  const { behavior, calls, request } = createRouter();
+  behavior.ownReply = UNAVAILABLE;
   assert.deepEqual(await request('POST', '/v1/jobs'), FORWARDED);
   for (const peer of [UNAVAILABLE, new Error('timed out')]) {
-    answers.peerReply = peer;
+    behavior.peerReply = peer;
     assert.deepEqual(await request('POST', '/v1/jobs'), UNAVAILABLE);
   }
-  answers.isFailing = true;
-  answers.isSilent = true;
-  answers.servedPeer = null;
+  behavior.isFailing = true;
+  behavior.isSilent = true;
+  behavior.servedPeer = null;
   calls.length = 0;
   const reply = await request('POST', '/v1/jobs');
   assert.deepEqual([reply.status, reply.retryAfterS], [503, 1]);
@@ -102,9 +102,9 @@
 });
 
 test('a request that a peer forwarded is never forwarded again', async () => {
-  const { answers, calls, router } = createRouter();
-  answers.isFailing = true;
-  answers.ownReply = UNAVAILABLE;
+  const { behavior, calls, router } = createRouter();
+  behavior.isFailing = true;
+  behavior.ownReply = UNAVAILABLE;
   assert.deepEqual(await router.serveUser('POST', '/v1/jobs', Buffer.alloc(0)), UNAVAILABLE);
   assert.deepEqual(calls, ['submit']);
 });
--- a/test/request-sharing.test.ts
+++ b/test/request-sharing.test.ts
@@ -8,7 +8,7 @@
 import { FakeClock } from './support/clock.js';
 import { serving } from './support/http.js';
 
-test('users who ask without end keep neither budget nor connections from what leads, nor ends from being written', async () => {
+test('a flood of user requests leaves budget and connections for leadership, and budget for completions', async () => {
   const budget = new RequestBudget(10, 10, 0);
   while (budget.take(1, RequestPriority.queries, 0) === 0);
   assert.equal(budget.take(1, RequestPriority.completions, 0), 0);
@@ -29,7 +29,7 @@
       timeoutMs: 60_000,
       clock: new FakeClock(),
     });
-    // More than the connections for users.
+    // More requests than there are connections for users.
     const requests = Array.from({ length: 5 }, () =>
       state.get('live/x', RequestPriority.submissions),
     );
@@ -48,7 +48,7 @@
   });
 });
 
-test('commands keep to their sockets: the one at rest goes, and none is cut off', async () => {
+test('at the socket limit an idle agent connection is closed for another agent, a busy one is not', async () => {
   const body = {
     cart: 'n-1',
     endpoint: 'x:1',
@@ -63,11 +63,11 @@
   let release: (() => void) | null = null;
   const delayed: Handler = () =>
     new Promise((resolve) => {
-      release = () => resolve({ status: 200, body: body });
+      release = () => resolve({ status: 200, body });
     });
   await serving(delayed, (a) =>
     serving(
-      () => ({ status: 200, body: body }),
+      () => ({ status: 200, body }),
       async (b) => {
         const agents = new AgentClient(60_000, 1);
         const send = (port: number) =>
--- a/test/support/context.ts
+++ b/test/support/context.ts
@@ -18,7 +18,7 @@
   skew_ms: 5,
 };
 
-/** Limits of the state service that may come into force: bytes and changes as the settings name them. */
+/** Announced limits of the state service, with the field names of `state.next` in the settings. */
 export interface NextLimits {
   value_kb: number;
   txn_ops: number;
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -11,10 +11,10 @@
 import { FakeStateService } from './state.js';
 import type { World } from './world.js';
 
-/** Limits that the state service has from some moment on. */
+/** Limits of the state service after `World.lowerLimits`. */
 export const NEXT_LIMITS: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 20 };
 
-/** One controller with its real duties; its sockets are played. */
+/** A controller with its real routines. Its connections are simulated. */
 export class ScriptedController {
   readonly state: FakeStateService;
   readonly ctx: ControllerContext;
@@ -22,9 +22,11 @@
   readonly reports: HeartbeatHandler;
   readonly users: JobApi;
   leader: Leader | null = null;
-  /** Reaches no other controller, and no worker reaches or hears it. */
+  /** No messages pass between this controller and the others. */
   cutFromPeers = false;
+  /** No messages pass between this controller and the agents. */
   cutFromWorkers = false;
+  /** The process has crashed. */
   dead = false;
   private readonly shutdown = new AbortController();
 
@@ -76,15 +78,15 @@
         isReachable: (node) => peer(node) !== undefined,
         lastLedAt: (node) => world.lastLedAt(this, node),
         forwardHeartbeat: async (node, body) => {
-          const other = peer(node);
-          if (!other) throw new Error('not heard');
-          return other.reports.handle(body);
+          const recipient = peer(node);
+          if (!recipient) throw new Error('peer is not reachable');
+          return recipient.reports.handle(body);
         },
-        forwardThroughMailbox: () => Promise.reject(new Error('no mail')),
+        forwardThroughMailbox: () => Promise.reject(new Error('the mailbox is not simulated')),
       },
       fetchHeartbeat: async (address) => {
         const m = world.findMachine(address);
-        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('not asked');
+        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('timed out');
         return m.worker.heartbeat();
       },
     });
@@ -96,7 +98,7 @@
     return this.world.controllers.filter((c) => c !== this && !c.dead && !c.cutFromPeers);
   }
 
-  /** Ends like a killed process: nothing more leaves it. */
+  /** Ends the controller like a killed process: it sends nothing more. */
   crash(): void {
     this.dead = true;
     this.state.fault = 'dead';
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -6,25 +6,31 @@
 import { fromWire, onWire, type WireOrder } from './wire.js';
 import type { World } from './world.js';
 
+/** Distance between the fencing tokens of two consecutive terms. */
 const FENCES_PER_TERM = fencingToken(1, 0);
-/** A worker gives a report up after this long (protocol). */
+/** Time-out of a heartbeat, as the agent protocol defines it. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
-/** Steps of a worker's own time. */
+/** Interval in which an agent checks its lease, its tasks and whether a heartbeat is due. */
 export const TICK_MS = 500;
 
-/** A machine with its worker, as the protocol describes it. */
+/** A machine with an agent that behaves as the agent protocol defines. */
 export class ScriptedMachine {
   readonly worker: ScriptedAgent;
+  /** The agent is suspended: it executes and sends nothing, and commands are held until it resumes. */
   hangs = false;
+  /** Commands and replies do not reach the agent. */
   deaf = false;
+  /** Heartbeats of the agent do not reach any controller. */
   mute = false;
+  /** The machine has been terminated. */
   gone = false;
-  /** The lease runs from here. */
+  /** Start of the agent's current lease. */
   private leaseRenewedAt: number;
   private controllerIndex: number;
   private lastReportedState = '';
+  /** By task attempt: when it completes. */
   private readonly taskEndsAt = new Map<string, number>();
-  /** Direct commands that came while it hung. */
+  /** Commands that arrived while the agent was suspended. */
   private deferredCommands: (() => void)[] = [];
 
   constructor(
@@ -42,7 +48,7 @@
     return `10.0.0.1:${9000 + Number(this.worker.id.slice(2))}`;
   }
 
-  /** The worker's own clock: its lease and its tasks' ends, to the moment. */
+  /** Expires the agent's lease and completes its tasks according to the current time. */
   advanceToNow(): void {
     const now = this.world.clock.now();
     if (now - this.leaseRenewedAt > this.world.agentLeaseMs) {
@@ -81,7 +87,7 @@
     return accepted;
   }
 
-  /** A direct command. */
+  /** Executes commands that a controller sent directly, and returns the agent's response. */
   command(token: number, agentEpoch: number, commands: TaskCommand[]) {
     const accepted = agentEpoch === this.worker.agentEpoch && this.execute(token, commands);
     return { executed: accepted, heartbeat: this.worker.heartbeat() };
@@ -94,7 +100,7 @@
   resume(): void {
     this.hangs = false;
     this.advanceToNow();
-    for (const work of this.deferredCommands.splice(0)) work();
+    for (const execute of this.deferredCommands.splice(0)) execute();
   }
 
   private async run(): Promise<void> {
@@ -107,15 +113,15 @@
       this.advanceToNow();
       if (this.hangs) continue;
       const { worker } = this;
-      const now = `${worker.agentEpoch} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
-      if (clock.now() < dueAt && now === this.lastReportedState) continue;
-      this.lastReportedState = now;
+      const currentState = `${worker.agentEpoch} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
+      if (clock.now() < dueAt && currentState === this.lastReportedState) continue;
+      this.lastReportedState = currentState;
       dueAt = clock.now() + intervalMs * (0.75 + this.world.random() * 0.5);
       await this.sendHeartbeat();
     }
   }
 
-  /** Goes to another controller that the reply names, if it does. */
+  /** Switches to the controller that a redirect names; returns whether it did. */
   private followRedirect(reply: Reply | null): boolean {
     const steward = (reply?.body as { steward?: string } | undefined)?.steward;
     const index = this.world.controllers.findIndex((c) => c.name === steward);
@@ -124,7 +130,7 @@
     return true;
   }
 
-  /** A copy of the report arrives at any controller, long after it. */
+  /** Delivers a copy of the heartbeat to a random controller, 2 to 32 seconds later. */
   private sendDelayedDuplicate(body: Buffer): void {
     this.world.later(2000 + this.world.random() * 30_000, () => {
       const recipient = this.world.controllers[this.world.pick(3)] as ScriptedController;
@@ -141,9 +147,9 @@
     let reply: Reply | null = null;
     if (!this.mute && !controller.dead && !controller.cutFromWorkers) {
       if (this.world.random() < this.world.copyShare) this.sendDelayedDuplicate(body);
-      const answer = controller.reports.handle(body).catch(() => null);
+      const response = controller.reports.handle(body).catch(() => null);
       const timeout = clock.sleep(HEARTBEAT_TIMEOUT_MS).then(() => null);
-      reply = await Promise.race([answer, timeout]);
+      reply = await Promise.race([response, timeout]);
       if (this.deaf) reply = null;
     }
     if (this.gone || this.hangs) return;
--- a/test/support/submission.ts
+++ b/test/support/submission.ts
@@ -1,4 +1,4 @@
-/** A submission in the wire's words, without its id. */
+/** Body of a valid submission, without its id. */
 export const SUBMISSION = {
   bracket: 'work',
   crew: 'ops',
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -8,40 +8,45 @@
 import { ScriptedMachine, TICK_MS } from './scripted-machine.js';
 import { FakeStore } from './state.js';
 
+/** State of a job as last reported to its user. */
 interface Told {
   standing: 'live' | 'done' | 'cancelled';
+  /** When this state was first reported, in milliseconds of the fake clock. */
   at: number;
 }
 
 /**
- * The whole protocol in one process and in fake time: controllers with their
- * real duties over a state service, workers, a cloud without capacity, and
- * users. `check` holds the rules after every step.
+ * Simulates the whole system in one process with a fake clock: controllers with
+ * their real routines, a state service, agents, a cloud without capacity, and
+ * users. `checkInvariants` checks the safety rules after every step.
  */
 export class World {
   readonly clock = new FakeClock(4);
   readonly store = new FakeStore(this.clock);
   readonly controllers: ScriptedController[] = [];
   machines: ScriptedMachine[] = [];
-  /** Who has won a term, in order. */
+  /** The winner of each term, in order. */
   readonly terms: ScriptedController[] = [];
-  /** What users were told last. */
+  /** By job id: the state that was last reported to its user. */
   readonly told = new Map<string, Told>();
   readonly submittedIds = new Set<string>();
+  /** Completed tasks as `<job>/<index>`. */
   readonly completedTasks = new Set<string>();
-  /** Controllers that know of the limits to come; the others write as the version before did. */
+  /** Names of the controllers that know the announced limits; the others write as the previous version does. */
   readonly upgraded = new Set(['c-0', 'c-1', 'c-2']);
-  /** What jobs need, also those whose submission had no answer. */
+  /** By job id: its dependencies. Includes jobs whose submission got no reply. */
   readonly needs = new Map<string, string[]>();
-  /** Jobs whose users have asked to cancel them, answered or not. */
+  /** Jobs for which a cancellation was requested, whether or not it got a reply. */
   readonly calledOff = new Set<string>();
-  /** Starts of jobs before all that they need was done. */
+  /** Task starts of jobs with a dependency that was not durably done. */
   readonly startsBeforeDependencies: string[] = [];
-  /** Starts of jobs whose cancellation had been confirmed. */
+  /** Number of task starts after the cancellation of the job was confirmed. */
   lateStarts = 0;
+  /** Number of task starts. */
   started = 0;
-  /** Of transactions, and of reports. */
+  /** Share of transactions that get no reply and are applied later, 0 to 1. */
   lateShare = 0;
+  /** Share of heartbeats of which a delayed duplicate arrives, 0 to 1. */
   copyShare = 0;
   readonly heartbeatMs = 3000;
   readonly agentLeaseMs = 20_000;
@@ -50,6 +55,7 @@
   private jobCount = 0;
   private processCount = 0;
   private replacementCount = 0;
+  /** By observer, leader and term: when the observer last received a status of that leader. */
   private readonly leaderStatusAt = new Map<string, number>();
 
   constructor(
@@ -62,24 +68,26 @@
       this.machines.push(new ScriptedMachine(this, `n-${i}`, i % 2 === 0 ? 'a' : 'b'));
   }
 
-  pick(n: number): number {
-    return Math.floor(this.random() * n);
+  /** Returns a random integer from 0 to `count` - 1. */
+  pick(count: number): number {
+    return Math.floor(this.random() * count);
   }
 
   private startController(i: number): ScriptedController {
     return new ScriptedController(this, `c-${i}`, ++this.processCount);
   }
 
+  /** The controller that leads with restored state and proven leadership; undefined if there is none. */
   get leading(): ScriptedController | undefined {
     return this.controllers.find((c) => c.leader?.ready && c.leadership.current?.isProven());
   }
 
-  /** A controller that is not the leader. */
+  /** A running controller that does not lead. */
   get other(): ScriptedController {
     return this.controllers.find((c) => !c.dead && !c.leader) as ScriptedController;
   }
 
-  /** Another process in its place, unless there is one already. */
+  /** Replaces the controller by a new process, unless it has been replaced already. */
   restart(c: ScriptedController): void {
     const i = this.controllers.indexOf(c);
     if (i < 0) return;
@@ -87,14 +95,15 @@
     this.controllers[i] = this.startController(i);
   }
 
-  later(ms: number, work: () => void): void {
-    void this.clock.sleep(ms).then(work);
+  later(delayMs: number, action: () => void): void {
+    void this.clock.sleep(delayMs).then(action);
   }
 
   findMachine(address: string): ScriptedMachine | undefined {
     return this.machines.find((m) => m.address === address);
   }
 
+  /** Returns when the observer last received a status that the node leads in its observed term; null if it did not. */
   lastLedAt(observer: ScriptedController, node: string): number | null {
     return (
       this.leaderStatusAt.get(`${observer.name} ${node} ${observer.leadership.observedTerm}`) ??
@@ -133,19 +142,19 @@
       },
       terminate: async (ids: string[], _signal: AbortSignal, isStillValid: () => boolean) => {
         assertNotCrashed();
-        if (!isStillValid()) throw new NotAttemptedError('no longer fit');
+        if (!isStillValid()) throw new NotAttemptedError('conditions no longer hold');
         for (const id of ids) this.replaceMachine(id);
       },
     };
   }
 
-  /** The machine goes, and another comes in its place. */
+  /** Terminates the machine and adds another one in its zone. */
   private replaceMachine(id: string): void {
     const m = this.machines.find((x) => x.worker.id === id);
     if (!m) return;
     m.gone = true;
     this.machines = this.machines.filter((x) => x !== m);
-    // Names are never used again.
+    // Machine ids are never reused.
     this.machines.push(
       new ScriptedMachine(this, `n-${100 + ++this.replacementCount}`, m.worker.zone),
     );
@@ -162,7 +171,7 @@
         isStillValid: () => boolean,
       ) => {
         await this.clock.sleep(2);
-        if (!isStillValid()) throw new NotAttemptedError('no longer fit');
+        if (!isStillValid()) throw new NotAttemptedError('conditions no longer hold');
         const m = this.findMachine(address);
         if (!m || caller.dead || caller.cutFromWorkers || m.deaf)
           throw new NoResponseError('timed out');
@@ -177,7 +186,7 @@
     };
   }
 
-  // What the tasks do
+  // Tasks
 
   recordStart(job: string): void {
     this.started++;
@@ -191,7 +200,7 @@
     return end?.state === 'done';
   }
 
-  /** From now on the state service takes no more than the upgraded controllers count on. */
+  /** Makes the state service enforce the announced limits, which only upgraded controllers observe. */
   lowerLimits(): void {
     this.store.limits = { valueBytes: NEXT_LIMITS.value_kb * 1024, changes: NEXT_LIMITS.txn_ops };
   }
@@ -233,7 +242,7 @@
     return id;
   }
 
-  /** True once the user has an answer that counts. */
+  /** Requests a cancellation; returns true if it was confirmed or the job had ended. */
   async cancel(
     id: string,
     controller: ScriptedController | undefined = this.randomController(),
@@ -247,50 +256,59 @@
 
   async poll(id: string): Promise<void> {
     const reply = await this.randomController()?.users.query(id);
-    if (reply?.status === 404) assert.ok(!this.told.has(id), `${id} was accepted and is forgotten`);
+    if (reply?.status === 404)
+      assert.ok(!this.told.has(id), `accepted job ${id} is reported as unknown`);
     if (reply?.status === 200) this.recordReply(id, (reply.body as { standing: string }).standing);
   }
 
-  /** Any that is there. */
+  /** Returns a random running controller; undefined if none runs. */
   private randomController(): ScriptedController | undefined {
     const alive = this.controllers.filter((c) => !c.dead);
     return alive[this.pick(alive.length)];
   }
 
+  /** Checks a state that was reported to a user against the safety rules, and records it. */
   private recordReply(id: string, wireState: string): void {
-    assert.ok(this.submittedIds.has(id), `${id} is invented`);
+    assert.ok(this.submittedIds.has(id), `${id} was never submitted`);
     const previous = this.told.get(id);
     const state = wireState === 'done' || wireState === 'cancelled' ? wireState : 'live';
     if (previous && previous.standing !== 'live')
-      assert.equal(state, previous.standing, `${id} went back`);
+      assert.equal(state, previous.standing, `${id} is reported in another state after its end`);
     if (state === 'done')
       for (let i = 0; i < this.tasksPerJob; i++)
-        assert.ok(this.completedTasks.has(`${id}/${i}`), `${id} is not done`);
+        assert.ok(
+          this.completedTasks.has(`${id}/${i}`),
+          `${id} is reported as done before all its tasks completed`,
+        );
     if (state === 'cancelled')
       assert.ok(
         [id, ...this.dependencyClosure(id)].some((x) => this.calledOff.has(x)),
-        `${id} by nobody`,
+        `${id} is cancelled without a request`,
       );
     if (state === 'live') this.checkNoDependencyCancelled(id);
     if (previous?.standing !== state) this.told.set(id, { standing: state, at: this.clock.now() });
   }
 
-  /** All that the job needs, directly or through others. */
+  /** Returns the direct and indirect dependencies of the job. */
   private dependencyClosure(id: string): Set<string> {
     const all = new Set(this.needs.get(id) ?? []);
     for (const x of all) for (const y of this.needs.get(x) ?? []) all.add(y);
     return all;
   }
 
+  /** Checks that no dependency of a live job was cancelled longer ago than the cancellation limit. */
   private checkNoDependencyCancelled(id: string): void {
     for (const x of this.dependencyClosure(id)) {
       const dependency = this.told.get(x);
       const elapsedMs = dependency?.standing === 'cancelled' ? this.clock.now() - dependency.at : 0;
-      assert.ok(elapsedMs <= this.cancelLimitMs, `${id} is called live, and ${x} is cancelled`);
+      assert.ok(
+        elapsedMs <= this.cancelLimitMs,
+        `${id} is reported as live too long after ${x} was cancelled`,
+      );
     }
   }
 
-  // Time and rules
+  // Time and invariants
 
   async run(seconds: number): Promise<void> {
     const end = this.clock.now() + seconds * 1000;
@@ -300,7 +318,7 @@
     }
   }
 
-  /** The controllers that this leader reaches hear it. */
+  /** Records that the controllers which the leader reaches receive its status. */
   private recordLeaderStatus(leader: ScriptedController, now: number): void {
     const { number: term } = leader.leadership.current ?? {};
     for (const other of this.controllers)
@@ -320,12 +338,16 @@
         const elapsedMs = job?.standing === 'cancelled' ? now - job.at : 0;
         assert.ok(
           elapsedMs <= this.cancelLimitMs,
-          `${task} on ${m.worker.id} is cancelled and still runs`,
+          `${task} on ${m.worker.id} runs too long after its cancellation`,
         );
       }
     }
     assert.equal(new Set(running).size, running.length, 'a task runs on two machines');
-    assert.deepEqual(this.startsBeforeDependencies, [], 'a task starts too early');
-    assert.deepEqual(this.store.oversize, [], 'a write is larger than the limits');
+    assert.deepEqual(
+      this.startsBeforeDependencies,
+      [],
+      'a task started before its dependencies were done',
+    );
+    assert.deepEqual(this.store.oversize, [], 'a write exceeds the limits');
   }
 }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -28,11 +28,11 @@
 import { FakeStateService, FakeStore } from './support/state.js';
 
 const KIB = 1024;
-/** The limits of the test settings, which the version before sized its values by, and lower ones. */
+/** Announced limits. They are lower than those of the test settings, by which the previous version sized its values. */
 const NEXT_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 30 };
 const PREVIOUS_TASKS_PER_CHUNK = 32_768;
 
-/** Written by the version before: a live job, and the bits of its finished tasks. */
+/** Records that the previous version wrote: a live job and the bitmaps of its completed tasks. */
 const STORED_LIVE_JOB = {
   spec: {
     id: 'req-000412',
@@ -87,7 +87,10 @@
   return bytes;
 }
 
-/** How the version before reads and writes bitmaps: number times chunk, whatever follows the number. */
+/**
+ * Reads and writes bitmaps like the previous version: the first task of a bitmap
+ * is the number in its key times the chunk size, whatever follows the number.
+ */
 class PreviousVersionBitmaps {
   readonly completed = new Set<number>();
 
@@ -114,7 +117,7 @@
   job.loadBits(parsed.firstTask, bytes);
 }
 
-test('bitmaps of the version before are read, and go on in values that fit the lower limit', () => {
+test('bitmaps of the previous version are read, and new ones fit the lower value limit', () => {
   const layout = BitmapLayout.forValues(8 * KIB, NEXT_LIMITS.value_kb * KIB);
   const spec = decodeJobSpec(STORED_LIVE_JOB.spec);
   assert.ok(spec);
@@ -137,7 +140,7 @@
   assert.ok(JSON.stringify(value).length <= NEXT_LIMITS.value_kb * KIB);
 });
 
-/** A leader of the version before reads all bitmaps, and writes those of what finishes under it. */
+/** A leader of the previous version reads all bitmaps, then writes those of the tasks that complete in its term. */
 function leadAsPreviousVersion(
   store: Map<string, Uint8Array>,
   done: ReadonlySet<number>,
@@ -152,7 +155,7 @@
     store.set(`bits/req-1/${String(chunk).padStart(4, '0')}`, bitmaps.chunk(chunk, tasks));
 }
 
-/** A leader of this version does the same, in values of at most so many bytes. */
+/** A leader of this version does the same, in values of at most `valueBytes`. */
 function leadAsCurrentVersion(
   store: Map<string, Uint8Array>,
   done: ReadonlySet<number>,
@@ -172,7 +175,7 @@
   }
 }
 
-test('no bit is lost while versions lead in turn, whatever each of them has touched', () => {
+test('no completed task is lost while leaders of both versions alternate', () => {
   const tasks = 100_000;
   for (const valueKib of [0.7, 2, 3, 8]) {
     const layout = BitmapLayout.forValues(8 * KIB, valueKib * KIB);
@@ -192,7 +195,7 @@
   return { id: name, type: 'm16', zone: 'a', spot: true, address: `10.1.0.${number}:9000` };
 }
 
-test('a roster page from under the old limit is written anew only in parts that fit', () => {
+test('a roster page that exceeds the new limit is rewritten as pages that fit', () => {
   const pageBytes = NEXT_LIMITS.value_kb * KIB * 0.9;
   const roster = new Roster(4, pageBytes);
   const all = Array.from({ length: 32 }, (_, i) => rosterEntry(i + 1));
@@ -211,7 +214,7 @@
       );
       stored.set(pageWrite.key, pageWrite.entries);
       pageWrite.applied(revision++);
-      // At no moment is a machine that may have tasks missing.
+      // A machine that may run tasks is never missing from the roster.
       const names = new Set([...stored.values()].flat().map((entry) => entry.id));
       for (const entry of all)
         if (entry.id !== 'n-000002') assert.ok(names.has(entry.id), entry.id);
@@ -220,18 +223,18 @@
   assert.ok([...stored.values()].flat().every((entry) => entry.id !== 'n-000002'));
 });
 
-test('a page that could not be moved is left as it is, and no machine is taken off it', () => {
+test('a roster page is not rewritten while the outcome of moving its machines is unknown', () => {
   const roster = new Roster(4, 400);
   roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(rosterEntry));
   roster.removeMachine('n-000001');
   const moves = roster.rewriteStalePages(9);
   assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.key !== '3-1'));
-  // No answer: what stands there is not known, so both pages keep them.
+  // The writes get no response, so it is unknown whether they were applied and both pages keep the machines.
   for (const pageWrite of moves) pageWrite.outcomeUnknown();
   for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.key, '3-1');
 });
 
-test('peers of both versions read each other, and tokens stay what they were', () => {
+test('peer frames and fencing tokens have the same encoding as in the previous version', () => {
   const statusFrame =
     '00000070b90002646b696e646673746174757366737461747573b90007646e6f646563632d316b696e6361726e6174696f6e636162636673656e744174fb427a3185c5000000647465726d03676c656164696e67f56773746174654f6bf566636f756e747381836a7265712d3030303431320904';
   const status = {
@@ -260,7 +263,7 @@
   assert.equal(fencingToken(3, 5), 3_145_733);
 });
 
-test('what work is expected is kept in pages that fit; the first is the one that both versions read', async () => {
+test('the demand forecast is stored in pages that fit, the first of which both versions read', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   store.limits = { valueBytes: NEXT_LIMITS.value_kb * KIB, changes: NEXT_LIMITS.txn_ops };
@@ -279,23 +282,23 @@
   assert.deepEqual(store.oversize, []);
   const first = store.entries.get('loads')?.value as { loads: unknown[]; upTo: number };
   assert.equal(first.upTo, 12);
-  const next = new ScaleOutPlanner(cluster);
+  const nextScaleOut = new ScaleOutPlanner(cluster);
   const nextDemandStore = new DemandStore(
     ctx,
     { number: 2, signal: new AbortController().signal } as never,
-    next,
+    nextScaleOut,
   );
   await nextDemandStore.read();
-  // Four pages take them all but for the smallest.
-  const restoredClasses = next.snapshot().map((forecast) => forecast.spec.jobClass);
+  // Four pages hold all forecasts except the smallest ones.
+  const restoredClasses = nextScaleOut.snapshot().map((forecast) => forecast.spec.jobClass);
   assert.ok(
     restoredClasses.length > first.loads.length && restoredClasses.length >= 10,
     `${restoredClasses.length}`,
   );
-  // A job that is counted in it is not counted again.
+  // A job that the stored forecast includes is not counted again.
   nextDemandStore.recordArrival(jobSpec({ jobClass: 'class-12' }), 12);
-  assert.equal(next.snapshot().length, restoredClasses.length);
-  // As the version before writes it.
+  assert.equal(nextScaleOut.snapshot().length, restoredClasses.length);
+  // The record as the previous version writes it.
   store.entries.set('loads', {
     key: 'loads',
     version: 3,
@@ -316,12 +319,12 @@
   });
   await nextDemandStore.read();
   assert.deepEqual(
-    next.snapshot().map((forecast) => forecast.mean),
+    nextScaleOut.snapshot().map((forecast) => forecast.mean),
     [8240],
   );
 });
 
-test('a write that is refused for its size is not repeated, and holds up no other', async () => {
+test('a write rejected for its size is not repeated and does not block other writes', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const state = new FakeStateService(store);
@@ -350,13 +353,14 @@
   void new ProgressWriter(ctx, term, cluster).run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.progressWriteMs * 1.5);
   assert.ok(store.entries.has('over/req-000002'));
+  // Once in a transaction with the other write, and once alone.
   assert.equal(rejections, 2);
   stop.abort();
   assert.equal(pendingWrites(cluster, { progressChanges: 9, wallNow: 0 }).length, 1);
 });
 
-test('a 429 to a change lowers the rate of changes at once, and what leads still goes first', async (t) => {
-  // The sockets are real, and a busy machine may take longer than any time-out: those of requests never come.
+test('a 429 response to a change lowers the change rate at once, and leadership changes still pass', async (t) => {
+  // The sockets are real, and a busy machine may exceed any time-out, so request time-outs are disabled.
   t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
   let status = 200;
@@ -385,7 +389,7 @@
   });
   const put = (priority: 0 | 1) =>
     state.transact([], [{ op: 'put', key: 'a', value: 1 }], priority);
-  /** How many of twenty changes pass within a fifth of a second. */
+  /** Sends twenty changes within 200 ms and returns how many succeed. */
   const countPassedChanges = async () => {
     let passed = 0;
     const requests: Promise<void>[] = [];
@@ -396,7 +400,7 @@
       requests.push(put(1).then(count, (error) => assert.ok(error instanceof RequestRefusedError)));
       await clock.advance(10);
     }
-    // Those that were put off for a moment.
+    // Changes that were delayed for the budget complete now.
     await clock.advance(100);
     await Promise.all(requests);
     return passed;
@@ -406,8 +410,8 @@
     await assert.rejects(put(1), RequestRefusedError);
     status = 200;
     await clock.advance(1000);
-    const n = await countPassedChanges();
-    assert.ok(n > 0 && n <= 12, `${n} in a fifth of a second`);
+    const passed = await countPassedChanges();
+    assert.ok(passed > 0 && passed <= 12, `${passed} changes passed in 200 ms`);
     assert.equal((await put(0)).ok, true);
   } finally {
     state.close();
@@ -415,7 +419,7 @@
   }
 });
 
-test('orders that a mail has no room for are left out from the end', () => {
+test('commands that do not fit a mailbox message are dropped from the end', () => {
   const orders = Array.from({ length: 100 }, (_, i) => ({
     verb: 'forget',
     hand: `req-1/${i}`,
@@ -431,7 +435,7 @@
   assert.deepEqual(truncateCommands({ error: 'x' }, 1), { error: 'x' });
 });
 
-test('without limits to come nothing changes but the names of bitmaps', () => {
+test('without announced limits the current limits apply and bitmaps keep their chunk size', () => {
   const ctx = createContext(
     'n-0',
     new FakeStateService(new FakeStore(new FakeClock())),
