--- a/test/request-router.test.ts
+++ b/test/request-router.test.ts
@@ -10,12 +10,12 @@
 const UNAVAILABLE: Reply = { status: 503, body: { error: 'try again' }, retryAfterS: 1 };
 const FORWARDED: Reply = { status: 201, body: { by: 'the peer' } };
 
-/** A router whose parts record what they are asked for and answer as the test says. */
+/** Creates a router whose components record their calls and reply as `behavior` says. */
 function createRouter() {
   const calls: string[] = [];
-  const answers = {
-    own: SERVED,
-    peer: FORWARDED as Reply | Error,
+  const behavior = {
+    ownReply: SERVED,
+    peerReply: FORWARDED as Reply | Error,
     servedPeer: 'n-1' as string | null,
     isFailing: false,
     isSilent: false,
@@ -23,7 +23,7 @@
   };
   const serve = (name: string) => async () => {
     calls.push(name);
-    return answers.own;
+    return behavior.ownReply;
   };
   const ctx = { log: pino({ level: 'silent' }), machineTypes: [MACHINE_TYPE] as unknown[] | null };
   const router = new RequestRouter(ctx as never, {
@@ -34,24 +34,24 @@
     },
     heartbeats: { handle: serve('heartbeat') },
     health: {
-      isStateServiceFailing: () => answers.isFailing,
-      isStateServiceSilent: () => answers.isSilent,
+      isStateServiceFailing: () => behavior.isFailing,
+      isStateServiceSilent: () => behavior.isSilent,
       get isHealthy() {
-        return answers.isHealthy;
+        return behavior.isHealthy;
       },
     },
     peers: {
-      statuses: { servedPeer: () => answers.servedPeer },
+      statuses: { servedPeer: () => behavior.servedPeer },
       forwardRequest: async (node, method, target) => {
         calls.push(`forward ${node} ${method} ${target}`);
-        if (answers.peer instanceof Error) throw answers.peer;
-        return answers.peer;
+        if (behavior.peerReply instanceof Error) throw behavior.peerReply;
+        return behavior.peerReply;
       },
     },
   });
   const request = (method: string, target: string) =>
     router.route({ method, target, body: Buffer.alloc(0) } as Message);
-  return { answers, calls, ctx, request, router };
+  return { behavior, calls, ctx, request, router };
 }
 
 test('each path has one method and one handler', async () => {
@@ -77,24 +77,24 @@
   assert.equal(calls.length, 4);
 });
 
-test('a user is served through a peer while the state service fails this node alone', async () => {
-  const { answers, calls, request } = createRouter();
-  answers.isFailing = true;
+test('a user request is served by a peer while the state service fails only for this node', async () => {
+  const { behavior, calls, request } = createRouter();
+  behavior.isFailing = true;
   assert.deepEqual(await request('GET', '/v1/jobs/req-000001'), FORWARDED);
   assert.deepEqual(calls, ['forward n-1 GET /v1/jobs/req-000001']);
 });
 
-test('without a better reply of a peer the own one stands, and at once when the state service is silent', async () => {
-  const { answers, calls, request } = createRouter();
-  answers.own = UNAVAILABLE;
+test('a 503 reply stands without a better one from a peer, and is immediate if the state service is unresponsive', async () => {
+  const { behavior, calls, request } = createRouter();
+  behavior.ownReply = UNAVAILABLE;
   assert.deepEqual(await request('POST', '/v1/jobs'), FORWARDED);
   for (const peer of [UNAVAILABLE, new Error('timed out')]) {
-    answers.peer = peer;
+    behavior.peerReply = peer;
     assert.deepEqual(await request('POST', '/v1/jobs'), UNAVAILABLE);
   }
-  answers.isFailing = true;
-  answers.isSilent = true;
-  answers.servedPeer = null;
+  behavior.isFailing = true;
+  behavior.isSilent = true;
+  behavior.servedPeer = null;
   calls.length = 0;
   const reply = await request('POST', '/v1/jobs');
   assert.deepEqual([reply.status, reply.retryAfterS], [503, 1]);
@@ -102,9 +102,9 @@
 });
 
 test('a request that a peer forwarded is never forwarded again', async () => {
-  const { answers, calls, router } = createRouter();
-  answers.isFailing = true;
-  answers.own = UNAVAILABLE;
+  const { behavior, calls, router } = createRouter();
+  behavior.isFailing = true;
+  behavior.ownReply = UNAVAILABLE;
   assert.deepEqual(await router.serveUser('POST', '/v1/jobs', Buffer.alloc(0)), UNAVAILABLE);
   assert.deepEqual(calls, ['submit']);
 });
--- a/test/request-sharing.test.ts
+++ b/test/request-sharing.test.ts
@@ -8,18 +8,18 @@
 import { FakeClock } from './support/clock.js';
 import { serving } from './support/http.js';
 
-test('users who ask without end keep neither budget nor connections from what leads, nor ends from being written', async () => {
+test('a flood of user requests leaves budget and connections for leadership, and budget for completions', async () => {
   const budget = new RequestBudget(10, 10, 0);
   while (budget.take(1, RequestPriority.queries, 0) === 0);
   assert.equal(budget.take(1, RequestPriority.completions, 0), 0);
   while (budget.take(1, RequestPriority.submissions, 0) === 0);
   assert.equal(budget.take(1, RequestPriority.leadership, 0), 0);
 
-  const held: (() => void)[] = [];
+  const pendingReplies: (() => void)[] = [];
   const handler: Handler = (request) =>
     request.method === 'POST'
       ? { status: 200, body: {} }
-      : new Promise((resolve) => held.push(() => resolve({ status: 404, body: {} })));
+      : new Promise((resolve) => pendingReplies.push(() => resolve({ status: 404, body: {} })));
   await serving(handler, async (port) => {
     const state = new StateClient({
       address: { host: '127.0.0.1', port },
@@ -29,25 +29,27 @@
       timeoutMs: 60_000,
       clock: new FakeClock(),
     });
-    // More than the connections for users.
-    const asked = Array.from({ length: 5 }, () => state.get('live/x', RequestPriority.submissions));
+    // More requests than there are connections for users.
+    const requests = Array.from({ length: 5 }, () =>
+      state.get('live/x', RequestPriority.submissions),
+    );
     assert.equal(await state.touch(7), true);
-    const drain = async () => {
-      while (held.length > 0) held.pop()?.();
+    const replyToAll = async () => {
+      while (pendingReplies.length > 0) pendingReplies.pop()?.();
       await new Promise(setImmediate);
     };
     let done = false;
-    const all = Promise.all(asked).then(() => {
+    const settled = Promise.all(requests).then(() => {
       done = true;
     });
-    while (!done) await drain();
-    await all;
+    while (!done) await replyToAll();
+    await settled;
     state.close();
   });
 });
 
-test('commands keep to their sockets: the one at rest goes, and none is cut off', async () => {
-  const answer = {
+test('at the socket limit an idle agent connection is closed for another agent, a busy one is not', async () => {
+  const body = {
     cart: 'n-1',
     endpoint: 'x:1',
     rig: 'm',
@@ -59,13 +61,13 @@
     hands: [],
   };
   let release: (() => void) | null = null;
-  const slow: Handler = () =>
+  const delayed: Handler = () =>
     new Promise((resolve) => {
-      release = () => resolve({ status: 200, body: answer });
+      release = () => resolve({ status: 200, body });
     });
-  await serving(slow, (a) =>
+  await serving(delayed, (a) =>
     serving(
-      () => ({ status: 200, body: answer }),
+      () => ({ status: 200, body }),
       async (b) => {
         const agents = new AgentClient(60_000, 1);
         const send = (port: number) =>
--- a/test/support/context.ts
+++ b/test/support/context.ts
@@ -18,7 +18,7 @@
   skew_ms: 5,
 };
 
-/** Limits of the state service that may come into force: bytes and changes as the settings name them. */
+/** Announced limits of the state service, with the field names of `state.next` in the settings. */
 export interface NextLimits {
   value_kb: number;
   txn_ops: number;
@@ -29,7 +29,7 @@
   node: string,
   state: FakeStateService,
   clock: FakeClock,
-  next: NextLimits | null = null,
+  nextLimits: NextLimits | null = null,
 ): ControllerContext {
   const platform = parsePlatform(
     JSON.stringify({
@@ -39,7 +39,7 @@
       peer_listen: '127.0.0.1:1',
       peers: [],
       external: { cloud: '127.0.0.1:1', state: '127.0.0.1:1' },
-      settings: { ...SETTINGS, state: { ...SETTINGS.state, next } },
+      settings: { ...SETTINGS, state: { ...SETTINGS.state, next: nextLimits } },
     }),
     'test',
   );
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -11,10 +11,10 @@
 import { FakeStateService } from './state.js';
 import type { World } from './world.js';
 
-/** Limits that the state service has from some moment on. */
-export const NEXT: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 20 };
+/** Limits of the state service after `World.lowerLimits`. */
+export const NEXT_LIMITS: NextLimits = { value_kb: 2, txn_ops: 4, write_rps: 20 };
 
-/** One controller with its real duties; its sockets are played. */
+/** A controller with its real routines. Its connections are simulated. */
 export class ScriptedController {
   readonly state: FakeStateService;
   readonly ctx: ControllerContext;
@@ -22,30 +22,35 @@
   readonly reports: HeartbeatHandler;
   readonly users: JobApi;
   leader: Leader | null = null;
-  /** Reaches no other controller, and no worker reaches or hears it. */
+  /** No messages pass between this controller and the others. */
   cutFromPeers = false;
+  /** No messages pass between this controller and the agents. */
   cutFromWorkers = false;
+  /** The process has crashed. */
   dead = false;
-  private readonly stop = new AbortController();
+  private readonly shutdown = new AbortController();
 
   constructor(
     readonly world: World,
     readonly name: string,
-    life: number,
+    incarnationNumber: number,
   ) {
     const { clock, store } = world;
     this.state = new FakeStateService(store);
     this.state.holdsBack = () => world.random() < world.lateShare;
-    const next = world.upgraded.has(name) ? NEXT : null;
-    this.ctx = { ...createContext(name, this.state, clock, next), incarnation: `${name}-${life}` };
+    const next = world.upgraded.has(name) ? NEXT_LIMITS : null;
+    this.ctx = {
+      ...createContext(name, this.state, clock, next),
+      incarnation: `${name}-${incarnationNumber}`,
+    };
     this.ctx.log = pino({ level: 'silent' });
     this.leadership = new LeaderElection(this.ctx, async (term) => {
       const leader = new Leader({
         ctx: this.ctx,
-        cloud: world.cloud(this),
+        cloud: world.cloudClient(this),
         term,
         policy: schedulerPolicy(DEFAULT_POLICY),
-        agents: world.commands(this),
+        agents: world.agentClient(this),
       });
       this.leader = leader;
       world.terms.push(this);
@@ -60,43 +65,43 @@
       cancellations: {
         announceCancellation: async (id, revision) => {
           this.leader?.announceCancellation(id, revision);
-          for (const peer of this.peersHeard()) peer.leader?.announceCancellation(id, revision);
+          for (const peer of this.reachablePeers()) peer.leader?.announceCancellation(id, revision);
         },
       },
     });
-    const peer = (node: string) => this.peersHeard().find((c) => c.name === node);
+    const peer = (node: string) => this.reachablePeers().find((c) => c.name === node);
     this.reports = new HeartbeatHandler({
       ctx: this.ctx,
       election: this.leadership,
       leader: () => this.leader,
       peers: {
         isReachable: (node) => peer(node) !== undefined,
-        lastLedAt: (node) => world.heardLeading(this, node),
+        lastLedAt: (node) => world.lastLedAt(this, node),
         forwardHeartbeat: async (node, body) => {
-          const other = peer(node);
-          if (!other) throw new Error('not heard');
-          return other.reports.handle(body);
+          const recipient = peer(node);
+          if (!recipient) throw new Error('peer is not reachable');
+          return recipient.reports.handle(body);
         },
-        forwardThroughMailbox: () => Promise.reject(new Error('no mail')),
+        forwardThroughMailbox: () => Promise.reject(new Error('the mailbox is not simulated')),
       },
       fetchHeartbeat: async (address) => {
-        const m = world.byAddress(address);
-        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('not asked');
+        const m = world.findMachine(address);
+        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('timed out');
         return m.worker.heartbeat();
       },
     });
-    void this.leadership.run(this.stop.signal);
+    void this.leadership.run(this.shutdown.signal);
   }
 
-  private peersHeard(): ScriptedController[] {
+  private reachablePeers(): ScriptedController[] {
     if (this.cutFromPeers) return [];
     return this.world.controllers.filter((c) => c !== this && !c.dead && !c.cutFromPeers);
   }
 
-  /** Ends like a killed process: nothing more leaves it. */
+  /** Ends the controller like a killed process: it sends nothing more. */
   crash(): void {
     this.dead = true;
     this.state.fault = 'dead';
-    this.stop.abort();
+    this.shutdown.abort();
   }
 }
