--- a/src/model/demand-forecast.ts
+++ b/src/model/demand-forecast.ts
@@ -1,26 +1,26 @@
-/** What work is expected to arrive. */
+/** Forecasts of the work that will arrive. */
 
 import type { JobSpec } from './job.js';
 import type { ResourceRequest } from './resources.js';
 
 /**
- * The demand that one kind of work is expected to make, from its arrivals,
- * smoothed over a few boot times. It is stored (demand-record), so that the
- * next leader provisions as many machines.
+ * The expected demand of one kind of work, estimated from its arrivals and smoothed over
+ * a few boot times. It is stored (demand-record), so that the next leader provisions the
+ * same number of machines.
  */
 export interface DemandForecast {
-  /** The last job of this kind. */
+  /** The job of this kind that arrived last. */
   spec: JobSpec;
-  /** Slots in use at a time on average: task-seconds that arrive each second. */
+  /** Mean number of concurrent tasks: the task-seconds of work that arrive each second. */
   mean: number;
-  /** The variance of that number, which is large, since arrays arrive whole. */
+  /** Variance of the number of concurrent tasks. It is large, since all tasks of an array arrive at once. */
   variance: number;
-  /** What a task of this kind takes on average. */
+  /** Mean resource request of a task. */
   meanRequest: ResourceRequest;
-  /** How long the tasks that run at a time use their slots on average, in seconds. */
+  /** Mean time for which a task occupies its slot, in seconds, weighted by concurrent tasks. */
   occupancyS: number;
-  /** Mean milliseconds between arrivals; null until there were two. */
+  /** Smoothed mean time between arrivals, in milliseconds. Null while no interval is known. */
   arrivalIntervalMs: number | null;
-  /** Milliseconds since the last arrival; not a time, since leaders' clocks differ. */
+  /** Milliseconds since the last arrival. A duration, not a time, since the clocks of leaders differ. */
   sinceLastArrivalMs: number;
 }
--- a/src/model/heartbeat.ts
+++ b/src/model/heartbeat.ts
@@ -1,38 +1,47 @@
-/** Heartbeats: what agents report of their machine and its tasks. */
+/** Heartbeats: the reports of agents on their machines and tasks. */
 
-/** State of a task on its machine. */
+/** State of a task attempt on its machine. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'exited';
 
-/** Why a task exited. */
+/** Why a task attempt exited. */
 export type ExitCause = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** One task in a heartbeat. */
+/** The status of one task attempt in a heartbeat. */
 export interface TaskStatus {
   jobId: string;
+  /** Index of the task in its job, from 0. */
   index: number;
+  /** Number of the attempt. */
   attempt: number;
   state: TaskState;
-  /** Null until it has exited. */
+  /** Null until the attempt has exited. */
   cause: ExitCause | null;
-  /** A checkpoint of it has been saved. */
+  /** Whether a checkpoint of the attempt has been saved. */
   saved: boolean;
 }
 
-/** A heartbeat: the machine, and the whole list of the task attempts that its agent knows. */
+/** A heartbeat: the machine and the complete list of task attempts that its agent knows. */
 export interface Heartbeat {
   machineId: string;
+  /** Address of the agent, as `host:port`. */
   address: string;
+  /** Name of the machine type. */
   type: string;
   zone: string;
+  /** Whether the machine is a spot machine. */
   spot: boolean;
-  /** Rises each time the agent's lease runs out or its machine restarts: no task of an earlier epoch runs. */
+  /**
+   * Number that rises each time the agent's lease expires or the machine restarts. Tasks
+   * of an earlier epoch no longer run.
+   */
   agentEpoch: number;
-  /** Rises with each heartbeat of an epoch. */
+  /** Number that rises with each heartbeat of an epoch. */
   sequence: number;
-  /** The highest fencing token that the agent has seen: a leader term and, within it, the machine's fence. */
+  /** The leader term of the highest fencing token that the agent has seen. */
   term: number;
+  /** The machine's fence in that token, from 0: how often the leader has fenced the machine. */
   fence: number;
-  /** Seconds until the cloud takes the spot machine back; null: no notice. */
+  /** Seconds until the cloud preempts the spot machine. Null without a preemption notice. */
   preemptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
--- a/src/model/job-feasibility.ts
+++ b/src/model/job-feasibility.ts
@@ -1,4 +1,4 @@
-/** Whether a job can run at all: on the machine types of the cloud and within its team's quota. */
+/** Checks whether a job can ever run on the cloud's machine types and within its team's quota. */
 import type { JobSpec } from './job.js';
 import type { MachineType } from './machine.js';
 import { EPSILON, type TeamQuota } from './resources.js';
@@ -6,7 +6,7 @@
 /** Why no task of a job can ever start. */
 export type UnrunnableReason = 'unknownTeam' | 'fitsNoMachineType' | 'exceedsTeamMaximum';
 
-/** Whether one task of the job can ever run on a machine of the type. */
+/** Reports whether an empty machine of the type can run one task of the job. */
 export function canRunOnType(job: JobSpec, type: MachineType): boolean {
   return (
     (job.machineTypes === null || job.machineTypes.includes(type.name)) &&
@@ -18,7 +18,10 @@
   );
 }
 
-/** Why the job can never run; null when it can. The first reason that applies, in the order of the union. */
+/**
+ * Returns why the job can never run, or null when it can. When several reasons apply,
+ * returns the first in the order of `UnrunnableReason`.
+ */
 export function unrunnableReason(
   job: JobSpec,
   teams: Map<string, TeamQuota>,
@@ -32,7 +35,7 @@
   return null;
 }
 
-/** One task alone takes more than the team's maximum; a maximum of 0 is none. */
+/** Reports whether one task alone exceeds the team's maximum. A maximum of 0 means no limit. */
 function exceedsMaximum(amount: number, maximum: number): boolean {
   return maximum > 0 && amount > maximum + EPSILON;
 }
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,62 +1,72 @@
-/** Jobs as users describe them: arrays of tasks of the same kind. */
+/** Jobs as users submit them: arrays of identical tasks. */
 
 /** Names of the priorities, the highest first. */
 export const PRIORITIES = ['critical', 'urgent', 'standard', 'low'] as const;
 
-/** Index into PRIORITIES: a smaller number is a higher priority. */
+/** Index into `PRIORITIES`. A smaller number is a higher priority. */
 export type JobPriority = number;
 
-/** What a user asks for, checked when it is submitted. It never changes once the job is accepted. */
+/**
+ * The specification of a job, validated at its submission. It never changes once the job
+ * is accepted. Amounts and durations may be fractional; each is from 0 to 1e9.
+ */
 export interface JobSpec {
   id: string;
-  /** The kind of work, by which service-level objectives and estimates are kept. */
+  /** Class of the job. Service-level objectives and estimates of durations are kept by class. */
   jobClass: string;
   team: string;
   priority: JobPriority;
-  /** Number of tasks in the array, at least 1; they have the indexes from 0 on. */
+  /** Number of tasks, from 1 to 100,000. Their indexes start at 0. */
   tasks: number;
-  /** What one task takes of a machine. */
+  /** CPU cores that one task takes. */
   cpus: number;
+  /** GPUs that one task takes. */
   gpus: number;
+  /** Memory that one task takes, in GB. */
   memoryGb: number;
+  /** Name of the image that the tasks run. */
   image: string;
+  /** Size of the image, in GB. */
   imageGb: number;
-  /** The machine types that its tasks may run on; null: all of them. */
+  /** Names of the machine types that the tasks may run on. Null when they may run on all. */
   machineTypes: string[] | null;
-  /** The zone that its tasks may run in; null: all of them. */
+  /** The zone that the tasks may run in. Null when they may run in all. */
   zone: string | null;
-  /** Zone affinity: all of its running tasks share one zone. */
+  /** Zone affinity: all running tasks are in one zone. */
   singleZone: boolean;
-  /** Zone anti-affinity: no zone holds more than half of its tasks. */
+  /** Zone anti-affinity: no zone runs more than half of the tasks, rounded up. */
   zoneAntiAffinity: boolean;
-  /** Its tasks may run on spot machines. */
+  /** Whether the tasks may run on spot machines. */
   allowsSpot: boolean;
-  /** The owner's estimate of a task's run, in seconds. */
+  /** The user's estimate of the duration of one task, in seconds. */
   estimatedDurationS: number;
-  /** A task saves a checkpoint this often, in seconds; 0: it saves none. */
+  /** Interval at which a task saves checkpoints, in seconds. 0 when it saves none. */
   checkpointIntervalS: number;
-  /** What saving a checkpoint takes, in seconds. */
+  /** Time that saving a checkpoint takes, in seconds. */
   checkpointCostS: number;
-  /** Seconds from the submission by which it should be done; null: no deadline. */
+  /** Seconds after the submission by which the job should be done. Null without a deadline. */
   deadlineS: number | null;
 }
 
-/** How a job ended, as its durable record says. */
+/** How a job ended, according to its durable record. */
 export interface JobEnd {
   state: 'done' | 'cancelled';
-  /** Time of day of the end, in milliseconds; null: its record has none, as for cancellations. */
+  /**
+   * Time of day of the end, in milliseconds since the epoch. Null when the record has
+   * none, as for cancelled jobs.
+   */
   at: number | null;
 }
 
-/** What a job depends on, as its record says. */
+/** The dependencies of a job, according to its record. */
 export interface DependencyList {
-  /** Ids of jobs that were not done when this one was accepted. */
+  /** Ids of dependencies that were not done when the job was accepted. */
   ids: readonly string[];
-  /** There are more ids, in records that have to be read first. */
+  /** Whether further ids are in records that have not been read yet. */
   unread: boolean;
-  /** Keys of the state service that are deleted when the job ends. */
+  /** Keys in the state service to delete when the job ends. */
   keys: readonly string[];
 }
 
-/** The dependencies of a job that has none. */
+/** The dependency list of a job without dependencies. */
 export const NO_DEPENDENCIES: DependencyList = { ids: [], unread: false, keys: [] };
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -1,66 +1,91 @@
-/** What the scheduler's decisions depend on, taken from the settings and the operators' properties. */
+/** Parameters of the scheduler's decisions, from the settings and the operators' properties. */
 
-/** Figures of the settings, in milliseconds. */
+/** Durations from the settings, in milliseconds. */
 export interface SchedulerTiming {
-  /** Interval of agents' heartbeats. */
+  /** Interval between an agent's heartbeats. */
   heartbeatMs: number;
-  /** An agent whose lease has not been renewed for this long ends its tasks. */
+  /** An agent ends its tasks when its lease has not been renewed for this long. */
   agentLeaseMs: number;
-  /** The cloud's list proves that a machine is terminated when it was requested this long after the machine was last known to exist. */
+  /**
+   * A machine that is missing from the cloud's list is proven to be terminated when the
+   * list was requested more than this long after the machine was last known to exist.
+   */
   listProofMs: number;
-  /** A machine without a heartbeat for this long counts as unreachable. */
+  /** A machine is considered unreachable when it has sent no heartbeat for longer than this. */
   unreachableAfterMs: number;
 }
 
-/** Weights of the parts of a placement's score. */
+/** Weights of the terms of a placement's score, each at least 0. */
 export interface ScoreWeights {
+  /** Weight of the share of a batch that the machine can run now. */
   throughput: number;
+  /** Weight of the machine's cost. */
   cost: number;
+  /** Weight of a cached image on the machine. */
   locality: number;
 }
 
-/** Operators' properties; docs/operations.md explains each key. */
+/**
+ * Operators' properties, each at least 0. docs/operations.md explains each key. A boot
+ * time is that of the machine type in question, or the longest of all types for demand
+ * forecasts and backlogs.
+ */
 export interface SchedulerPolicy {
-  /** `score.*` */
+  /** `score.*`: the weights of a placement's score. */
   weights: ScoreWeights;
-  /** `rent.wait-spread`: spare capacity for work with an objective on waiting, in standard deviations of its demand. */
+  /**
+   * `rent.wait-spread`: spare capacity for work with a start objective, in standard
+   * deviations of its demand.
+   */
   waitSafetyMargin: number;
-  /** `rent.spread`: the same for other work. */
+  /** `rent.spread`: spare capacity for all other work, in standard deviations of its demand. */
   safetyMargin: number;
-  /** `rent.smooth-boots`: memory of the demand forecast, in boot times. */
+  /** `rent.smooth-boots`: time over which the demand forecast is smoothed, in boot times. */
   smoothingBoots: number;
-  /** `rent.drain-boots`: a backlog should be worked off within this many boot times after the first. */
+  /** `rent.drain-boots`: boot times, after the first one, within which a backlog should be worked off. */
   backlogBoots: number;
-  /** `rent.idle-boots`: an unneeded machine is terminated after this many boot times without work. */
+  /** `rent.idle-boots`: boot times without work after which an unneeded machine is terminated. */
   idleBoots: number;
-  /** `rent.boot-patience`: a machine that is not up after this many boot times is terminated. */
+  /** `rent.boot-patience`: boot times after which a machine that is not up is terminated. */
   bootPatience: number;
-  /** `rent.backoff-boots`: first back-off after "no capacity", in boot times. */
+  /** `rent.backoff-boots`: first back-off after the cloud had no capacity, in boot times. */
   backoffBoots: number;
-  /** `sick.jobs`: a machine is quarantined when tasks of this many jobs fail on it in a row. */
+  /** `sick.jobs`: number of jobs whose tasks fail in a row on a machine before it is quarantined. */
   quarantineJobs: number;
-  /** `sick.failures`: the same for this many tasks of a job that succeeds elsewhere. */
+  /**
+   * `sick.failures`: number of task failures in a row on a machine before it is
+   * quarantined, if the job of the last one has succeeded elsewhere.
+   */
   quarantineFailures: number;
-  /** `job.faulty-machines`: a job that fails on this many machines and has succeeded nowhere backs off. */
+  /**
+   * `job.faulty-machines`: number of machines on which a job must fail, without a success
+   * anywhere, before it is backed off.
+   */
   failingJobMachines: number;
-  /** `round.machine-starts`: starts that a placement round may make at least. */
+  /**
+   * `round.machine-starts`: limit on the starts of a placement round. Under overload a
+   * round over all machines may exceed it.
+   */
   startsPerMachine: number;
 }
 
 /** Service-level objectives of a class of jobs. */
 export interface ClassObjectives {
-  /** Tasks should start within each of these, in seconds. */
+  /** Times within which tasks should start, in seconds. */
   startWithinS: number[];
-  /** Jobs should be done within each of these, in seconds. */
+  /** Times within which jobs should be done, in seconds. */
   finishWithinS: number[];
-  /** Jobs should be done within each of these multiples of their deadline. */
+  /** Multiples of their deadline within which jobs should be done. */
   deadlineMultiples: number[];
 }
 
-/** All service-level objectives of the settings. */
+/** All service-level objectives in the settings. */
 export interface ServiceObjectives {
-  /** By class; classes without objectives are absent. */
+  /** Objectives by job class. Classes without objectives are absent. */
   classes: Map<string, ClassObjectives>;
-  /** Work within its team's guaranteed quota should start within this, in seconds; null: no such objective. */
+  /**
+   * Time within which work in its team's guaranteed quota should start, in seconds. Null
+   * without such an objective.
+   */
   guaranteedStartS: number | null;
 }
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -1,28 +1,33 @@
-/** Amounts of resources, and teams' quotas. */
+/** Amounts of resources and quotas of teams. */
 
-/** Sums of decimal amounts are compared with this much slack. */
+/** Tolerance for comparing amounts, whose sums have rounding errors. */
 export const EPSILON = 1e-6;
 
-/** What tasks use of a team's quota or of machines. */
+/** Resources that tasks use, in total. */
 export interface ResourceUsage {
+  /** CPU cores, which may be fractional. */
   cpus: number;
   gpus: number;
 }
 
-/** What one task takes of a machine. */
+/** Resources that one task takes on a machine. */
 export interface ResourceRequest {
+  /** CPU cores, which may be fractional. */
   cpus: number;
   gpus: number;
+  /** Memory in GB. */
   memoryGb: number;
 }
 
-/** A team's quota: what it is guaranteed, and the maximum that it may use at a time. */
+/** A team's quota: the resources that it is guaranteed and the maximum that its running tasks may use. */
 export interface TeamQuota {
   name: string;
+  /** Guaranteed CPU cores. */
   guaranteedCpus: number;
+  /** Guaranteed GPUs. */
   guaranteedGpus: number;
-  /** 0: no maximum. */
+  /** Maximum of CPU cores. 0 means no maximum. */
   maxCpus: number;
-  /** 0: no maximum. */
+  /** Maximum of GPUs. 0 means no maximum. */
   maxGpus: number;
 }
--- a/src/model/task-command.ts
+++ b/src/model/task-command.ts
@@ -1,28 +1,30 @@
-/** Commands of the leader to an agent, each for one task attempt. */
+/** Commands from the leader to an agent, each for one task attempt. */
 
-/** An attempt of a task: attempts rise across leaders and are never used twice. */
+/** Identifies a task attempt. */
 interface AttemptReference {
   jobId: string;
+  /** Index of the task in its job, from 0. */
   index: number;
+  /** Number of the attempt. Numbers rise, also across leaders, and are never reused. */
   attempt: number;
 }
 
-/** Start the attempt. */
+/** Starts the attempt. */
 export interface StartCommand extends AttemptReference {
   op: 'start';
 }
 
-/** Stop the attempt. */
+/** Stops the attempt. */
 export interface StopCommand extends AttemptReference {
   op: 'stop';
-  /** Seconds that it is given to save a checkpoint; 0: it ends at once. */
+  /** Seconds that the task has to save a checkpoint. At 0 it ends immediately. */
   graceS: number;
 }
 
-/** Forget the exited attempt: what it reported is durable, or need not be. */
+/** Lets the agent forget the exited attempt, whose outcome is durable or need not be. */
 export interface ForgetCommand extends AttemptReference {
   op: 'forget';
 }
 
-/** A command to an agent, in the answer to its heartbeat or sent directly. */
+/** A command to an agent, sent in the response to a heartbeat or directly. */
 export type TaskCommand = StartCommand | StopCommand | ForgetCommand;
--- a/src/protocol/agent-protocol.ts
+++ b/src/protocol/agent-protocol.ts
@@ -1,25 +1,25 @@
 /**
- * Heartbeats of agents and commands to them, mapped to the model. The field
- * names on the wire appear here only.
+ * Mapping of agents' heartbeats and of commands to agents between the wire format and
+ * the model. Only this file contains the field names on the wire.
  */
 import type { ExitCause, Heartbeat, TaskState, TaskStatus } from '../model/heartbeat.js';
 import type { TaskCommand } from '../model/task-command.js';
 import {
-  amount,
-  count,
-  flag,
   isAbsent,
   isObject,
   type JsonObject,
   MalformedMessageError,
+  readAmount,
+  readBoolean,
+  readInteger,
+  readString,
   requireObject,
-  text,
 } from './json-fields.js';
 
-/** A fencing token is the leader term with, below it, how often that leader has fenced the machine. */
+/** Number of fence values in one leader term. A fencing token is `term * FENCES_PER_TERM + fence`. */
 const FENCES_PER_TERM = 2 ** 20;
 
-/** A job's id and the index of the task in it. */
+/** Matches the name of a task: the id of the job and the index of the task in it. */
 const TASK_NAME = /^(.+)\/(\d{1,6})$/;
 const MAX_TASK_NAME_LENGTH = 220;
 
@@ -39,45 +39,46 @@
 };
 
 /**
- * The number by which an agent orders leaders: a higher term always gives a
- * higher token, however often a machine has been fenced in the term.
+ * Returns the fencing token by which an agent orders leaders. `fence` counts how often
+ * the leader has fenced the machine. It is limited, so that a higher term always has a
+ * higher token.
  */
 export function fencingToken(term: number, fence: number): number {
   return term * FENCES_PER_TERM + Math.min(fence, FENCES_PER_TERM - 1);
 }
 
-/** Throws `MalformedMessageError`. */
+/** Parses a heartbeat. Throws `MalformedMessageError`. */
 export function parseHeartbeat(body: unknown): Heartbeat {
   const fields = requireObject(body);
   if (!Array.isArray(fields.hands)) throw new MalformedMessageError('hands must be a list');
-  const token = count(fields, 'baton');
+  const token = readInteger(fields, 'baton');
   return {
-    machineId: text(fields, 'cart'),
-    address: text(fields, 'endpoint'),
-    type: text(fields, 'rig'),
-    zone: text(fields, 'hall'),
-    spot: flag(fields, 'loaner'),
-    agentEpoch: count(fields, 'shift'),
-    sequence: count(fields, 'tally'),
+    machineId: readString(fields, 'cart'),
+    address: readString(fields, 'endpoint'),
+    type: readString(fields, 'rig'),
+    zone: readString(fields, 'hall'),
+    spot: readBoolean(fields, 'loaner'),
+    agentEpoch: readInteger(fields, 'shift'),
+    sequence: readInteger(fields, 'tally'),
     term: Math.floor(token / FENCES_PER_TERM),
     fence: token % FENCES_PER_TERM,
-    preemptionNoticeS: isAbsent(fields.recallS) ? null : amount(fields, 'recallS'),
+    preemptionNoticeS: isAbsent(fields.recallS) ? null : readAmount(fields, 'recallS'),
     tasks: fields.hands.map(parseTaskStatus),
   };
 }
 
 function parseTaskStatus(value: unknown): TaskStatus {
   const fields = requireObject(value, 'task is not an object');
-  const name = TASK_NAME.exec(text(fields, 'hand', MAX_TASK_NAME_LENGTH));
-  if (!name) throw new MalformedMessageError('task name');
+  const match = TASK_NAME.exec(readString(fields, 'hand', MAX_TASK_NAME_LENGTH));
+  if (!match) throw new MalformedMessageError('task name');
   const state = TASK_STATES[String(fields.standing)];
   if (!state) throw new MalformedMessageError('task state');
   return {
-    jobId: name[1] as string,
-    index: Number(name[2]),
-    attempt: count(fields, 'try'),
+    jobId: match[1] as string,
+    index: Number(match[2]),
+    attempt: readInteger(fields, 'try'),
     state,
-    // An unknown cause of an exit is treated as a failure: the task is retried.
+    // An exit with an unknown cause is treated as a failure, so that the task is retried.
     cause: state === 'exited' ? (EXIT_CAUSES[String(fields.cause)] ?? 'error') : null,
     saved: fields.kept === true,
   };
@@ -90,35 +91,35 @@
   return { verb: 'forget', ...base };
 }
 
-/** Answer to a heartbeat: it renews the agent's lease under the token and carries commands. */
+/** Returns the body of the response to a heartbeat. It renews the agent's lease under the token and contains commands. */
 export function heartbeatResponseBody(token: number, commands: TaskCommand[]): JsonObject {
   return { baton: token, orders: commands.map(encodeCommand) };
 }
 
 /**
- * An answer to a heartbeat without the last of its commands, as far as it
- * takes to fit `maxBytes`. What is no such answer is returned unchanged.
+ * Removes commands from the end of a response to a heartbeat until it fits into
+ * `maxBytes` bytes. A value that is not such a response is returned unchanged.
  */
-export function truncateCommands(answer: unknown, maxBytes: number): unknown {
-  if (!isObject(answer) || !Array.isArray(answer.orders)) return answer;
+export function truncateCommands(response: unknown, maxBytes: number): unknown {
+  if (!isObject(response) || !Array.isArray(response.orders)) return response;
   const orders: unknown[] = [];
-  let left = maxBytes - Buffer.byteLength(JSON.stringify({ ...answer, orders }));
-  for (const order of answer.orders) {
-    left -= Buffer.byteLength(JSON.stringify(order)) + 1;
-    if (left < 0) break;
+  let bytesLeft = maxBytes - Buffer.byteLength(JSON.stringify({ ...response, orders }));
+  for (const order of response.orders) {
+    bytesLeft -= Buffer.byteLength(JSON.stringify(order)) + 1;
+    if (bytesLeft < 0) break;
     orders.push(order);
   }
-  return { ...answer, orders };
+  return { ...response, orders };
 }
 
-/** Sends an agent to the leader's node; null: no leader is known here. */
+/** Returns the body that redirects an agent to the leader's node. `leader` is null when no leader is known. */
 export function redirectBody(leader: string | null): JsonObject {
   return leader === null ? {} : { steward: leader };
 }
 
 /**
- * Commands sent directly to an agent. It executes nothing when it has seen a
- * higher token or is in another agent epoch.
+ * Returns the body of a request that sends commands directly to an agent. The agent
+ * executes none of them when it has seen a higher token or is in another agent epoch.
  */
 export function commandsBody(
   token: number,
--- a/src/protocol/cloud-protocol.ts
+++ b/src/protocol/cloud-protocol.ts
@@ -1,66 +1,72 @@
 /**
- * Machine types, the machine list, provisioning and termination as the cloud
- * writes and reads them. The field names on the wire appear here only.
+ * Mapping of machine types, the machine list, provisioning and termination between the
+ * cloud's wire format and the model. Only this file contains the field names on the wire.
  */
 import type { ListedMachine, MachineType } from '../model/machine.js';
 import {
-  amount,
-  flag,
   isAbsent,
   type JsonObject,
-  list,
   MalformedMessageError,
+  readAmount,
+  readArray,
+  readBoolean,
+  readString,
   requireObject,
-  text,
 } from './json-fields.js';
 import { PATHS } from './paths.js';
 
 /** One page of the machine list. */
 export interface MachineListPage {
   machines: ListedMachine[];
-  /** Further pages follow, after the last machine of this one. */
+  /** Whether further pages follow, after the last machine of this one. */
   more: boolean;
 }
 
-/** Machines of one kind to be provisioned under a name that makes the request idempotent. */
+/** A request to provision machines of one pool. */
 export interface ProvisionRequest {
+  /** Name of the request. A request that is repeated under the same name provisions nothing more. */
   name: string;
+  /** Name of the machine type. */
   type: string;
   zone: string;
+  /** Whether to provision spot machines. */
   spot: boolean;
+  /** Number of machines to provision. */
   count: number;
 }
 
-/** Throws `MalformedMessageError`. */
+/** Parses the machine types on offer. Throws `MalformedMessageError`. */
 export function parseMachineTypes(body: unknown): MachineType[] {
-  return list(body, 'rigs').map(parseMachineType);
+  return readArray(body, 'rigs').map(parseMachineType);
 }
 
 function parseMachineType(value: unknown): MachineType {
   const fields = requireObject(value, 'machine type is not an object');
   return {
-    name: text(fields, 'sku'),
-    cpus: amount(fields, 'cores'),
-    gpus: isAbsent(fields.accelerators) ? 0 : amount(fields, 'accelerators'),
-    memoryGb: amount(fields, 'memoryGb'),
-    imageCacheGb: amount(fields, 'cacheGb'),
-    imagePullGbPerS: amount(fields, 'pullGbPerS', true),
-    price: amount(fields, 'rate'),
-    spotPrice: isAbsent(fields.spotPrice) ? amount(fields, 'rate') : amount(fields, 'spotPrice'),
-    bootS: amount(fields, 'readyS'),
-    zones: list(fields, 'halls').map(String),
+    name: readString(fields, 'sku'),
+    cpus: readAmount(fields, 'cores'),
+    gpus: isAbsent(fields.accelerators) ? 0 : readAmount(fields, 'accelerators'),
+    memoryGb: readAmount(fields, 'memoryGb'),
+    imageCacheGb: readAmount(fields, 'cacheGb'),
+    imagePullGbPerS: readAmount(fields, 'pullGbPerS', true),
+    price: readAmount(fields, 'rate'),
+    spotPrice: isAbsent(fields.spotPrice)
+      ? readAmount(fields, 'rate')
+      : readAmount(fields, 'spotPrice'),
+    bootS: readAmount(fields, 'readyS'),
+    zones: readArray(fields, 'halls').map(String),
   };
 }
 
-/** The target of one page: up to `limit` machines with ids after the given one. */
+/** Returns the target of one page: up to `limit` machines with ids after `after`, or the first ones if it is null. */
 export function machineListTarget(after: string | null, limit: number): string {
-  const from = after === null ? '' : `after=${encodeURIComponent(after)}&`;
-  return `${PATHS.machines}?${from}limit=${limit}`;
+  const afterParameter = after === null ? '' : `after=${encodeURIComponent(after)}&`;
+  return `${PATHS.machines}?${afterParameter}limit=${limit}`;
 }
 
-/** Throws `MalformedMessageError`. */
+/** Parses a page of the machine list. Throws `MalformedMessageError`. */
 export function parseMachineList(body: unknown): MachineListPage {
-  const machines = list(body, 'carts').map(parseListedMachine);
+  const machines = readArray(body, 'carts').map(parseListedMachine);
   return { machines, more: (body as JsonObject).hasNext === true };
 }
 
@@ -70,17 +76,17 @@
   if (state !== 'booting' && state !== 'running' && state !== 'failed')
     throw new MalformedMessageError('machine state');
   return {
-    id: text(fields, 'id'),
+    id: readString(fields, 'id'),
     address: typeof fields.endpoint === 'string' ? fields.endpoint : '',
-    type: text(fields, 'rig'),
-    zone: text(fields, 'hall'),
-    spot: flag(fields, 'loaner'),
+    type: readString(fields, 'rig'),
+    zone: readString(fields, 'hall'),
+    spot: readBoolean(fields, 'loaner'),
     state,
-    ageS: isAbsent(fields.ageS) ? 0 : amount(fields, 'ageS'),
+    ageS: isAbsent(fields.ageS) ? 0 : readAmount(fields, 'ageS'),
   };
 }
 
-/** Body of a provisioning request. */
+/** Returns the body of a provisioning request. */
 export function provisionBody(request: ProvisionRequest): JsonObject {
   return {
     hire: request.name,
@@ -91,12 +97,12 @@
   };
 }
 
-/** Ids of the machines that were provisioned. Throws `MalformedMessageError`. */
+/** Returns the ids of the provisioned machines and skips items that are not strings. Throws `MalformedMessageError`. */
 export function parseProvisioned(body: unknown): string[] {
-  return list(body, 'carts').filter((id): id is string => typeof id === 'string');
+  return readArray(body, 'carts').filter((id): id is string => typeof id === 'string');
 }
 
-/** Body of a termination request for the machines with these ids. */
+/** Returns the body of a termination request for the machines with these ids. */
 export function terminationBody(machines: string[]): JsonObject {
   return { carts: machines };
 }
--- a/src/protocol/job-protocol.ts
+++ b/src/protocol/job-protocol.ts
@@ -1,33 +1,33 @@
 /**
- * Job submission and status as users write and read them, mapped to the
- * model. The field names on the wire appear here only.
+ * Mapping of job submissions and job states between the users' wire format and the
+ * model. Only this file contains the field names on the wire.
  */
 import { type JobSpec, PRIORITIES } from '../model/job.js';
 import {
-  amount,
-  count,
-  flag,
   isAbsent,
   isObject,
   type JsonObject,
   MalformedMessageError,
+  readAmount,
+  readBoolean,
+  readInteger,
+  readString,
   requireObject,
-  text,
 } from './json-fields.js';
 
-/** The form of a job's id; nothing else may become part of a key. */
+/** The form of a job id. Ids become parts of keys in the state service, so no other form is accepted. */
 export const JOB_ID_PATTERN = /^req-[0-9]{1,60}$/;
 const MAX_TASKS = 100_000;
 const MAX_TYPE_NAME_LENGTH = 200;
 
-/** The id of a submission, before anything else of it is judged. Throws `MalformedMessageError`. */
+/** Returns the job id of a submission without checking its other fields. Throws `MalformedMessageError`. */
 export function parseJobId(body: unknown): string {
-  const id = text(requireObject(body), 'id');
+  const id = readString(requireObject(body), 'id');
   if (!JOB_ID_PATTERN.test(id)) throw new MalformedMessageError('id is not in the form req-000412');
   return id;
 }
 
-/** The job that a submission describes; unknown fields are ignored. Throws `MalformedMessageError`. */
+/** Parses a submission; unknown fields are ignored. Throws `MalformedMessageError`. */
 export function parseSubmission(body: unknown): JobSpec {
   const fields = requireObject(body);
   const id = parseJobId(fields);
@@ -36,35 +36,35 @@
   const machineTypes = parseMachineTypeNames(fields.rigs);
   return {
     id,
-    jobClass: text(fields, 'bracket'),
-    team: text(fields, 'crew'),
+    jobClass: readString(fields, 'bracket'),
+    team: readString(fields, 'crew'),
     priority,
-    tasks: count(fields, 'hands', 1, MAX_TASKS),
-    cpus: amount(fields, 'cores'),
-    gpus: amount(fields, 'accelerators'),
-    memoryGb: amount(fields, 'memoryGb'),
-    image: text(fields, 'deck'),
-    imageGb: amount(fields, 'pullGb'),
+    tasks: readInteger(fields, 'hands', 1, MAX_TASKS),
+    cpus: readAmount(fields, 'cores'),
+    gpus: readAmount(fields, 'accelerators'),
+    memoryGb: readAmount(fields, 'memoryGb'),
+    image: readString(fields, 'deck'),
+    imageGb: readAmount(fields, 'pullGb'),
     machineTypes,
-    zone: isAbsent(fields.hall) ? null : text(fields, 'hall'),
-    singleZone: flag(fields, 'oneZone'),
-    zoneAntiAffinity: flag(fields, 'scatter'),
-    allowsSpot: flag(fields, 'loaner'),
-    estimatedDurationS: amount(fields, 'expectedS'),
-    checkpointIntervalS: amount(fields, 'markEveryS'),
-    checkpointCostS: amount(fields, 'markCostS'),
-    deadlineS: isAbsent(fields.dueS) ? null : amount(fields, 'dueS'),
+    zone: isAbsent(fields.hall) ? null : readString(fields, 'hall'),
+    singleZone: readBoolean(fields, 'oneZone'),
+    zoneAntiAffinity: readBoolean(fields, 'scatter'),
+    allowsSpot: readBoolean(fields, 'loaner'),
+    estimatedDurationS: readAmount(fields, 'expectedS'),
+    checkpointIntervalS: readAmount(fields, 'markEveryS'),
+    checkpointCostS: readAmount(fields, 'markCostS'),
+    deadlineS: isAbsent(fields.dueS) ? null : readAmount(fields, 'dueS'),
   };
 }
 
-/** Index into `PRIORITIES`. */
+/** Returns the index of the priority in `PRIORITIES`. */
 function parsePriority(value: unknown): number {
   const priority = PRIORITIES.indexOf(value as (typeof PRIORITIES)[number]);
   if (priority < 0) throw new MalformedMessageError(`rank must be one of ${PRIORITIES.join(', ')}`);
   return priority;
 }
 
-/** Null: any machine type will do. */
+/** Returns null when the job accepts any machine type. */
 function parseMachineTypeNames(value: unknown): string[] | null {
   if (isAbsent(value)) return null;
   if (!Array.isArray(value) || !value.every(isMachineTypeName))
@@ -76,7 +76,7 @@
   return typeof value === 'string' && value.length <= MAX_TYPE_NAME_LENGTH;
 }
 
-/** Jobs that have to be done before this one starts, each once. Throws `MalformedMessageError`. */
+/** Returns the ids of the jobs that must be done before this one starts, without duplicates. Throws `MalformedMessageError`. */
 export function parseDependencies(body: unknown): string[] {
   if (!isObject(body) || isAbsent(body.awaits)) return [];
   const ids = body.awaits;
@@ -89,10 +89,10 @@
   return typeof value === 'string' && JOB_ID_PATTERN.test(value);
 }
 
-/** A job's state as users read it. */
+/** The state of a job in responses to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Answer to a query: the state with the counts of done and running tasks. */
+/** Returns the body of the response to a query: the state and the numbers of tasks that are done and running. */
 export function jobStatusBody(
   id: string,
   state: JobState,
@@ -102,7 +102,7 @@
   return { id, standing: state, done, running };
 }
 
-/** Answer to a submission or cancellation: the state alone. */
+/** Returns the body of the response to a submission or cancellation: the state only. */
 export function jobStateBody(id: string, state: JobState): JsonObject {
   return { id, standing: state };
 }
--- a/src/protocol/json-fields.ts
+++ b/src/protocol/json-fields.ts
@@ -1,37 +1,37 @@
 /**
- * Reading of single fields out of JSON that came from outside. Each reader
- * returns a value of the wanted type or throws `MalformedMessageError` with a
- * text that names the field in the sender's own words, since users read it.
+ * Readers for single fields of JSON from outside. Each returns a value of the required
+ * type or throws `MalformedMessageError`, with a message that contains the field's name
+ * on the wire, since users read it.
  */
 
-/** An object of JSON whose fields have not been checked yet. */
+/** A JSON object whose fields have not been checked. */
 export type JsonObject = Record<string, unknown>;
 
-/** A message from outside is not in the form that the protocol demands. */
+/** A message from outside violates the protocol. */
 export class MalformedMessageError extends Error {}
 
-/** Larger amounts than this are absurd for one task and would drown sums. */
+/** Larger amounts are implausible for one task, and smaller ones would be lost in sums with them. */
 const MAX_AMOUNT = 1e9;
-const MAX_TEXT_LENGTH = 200;
+const MAX_STRING_LENGTH = 200;
 
-/** Whether the value is a JSON object: neither null nor a list. */
+/** Reports whether the value is a JSON object, which excludes null and lists. */
 export function isObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Whether an optional field was left out; null counts as left out. */
+/** Reports whether an optional field is absent. Null counts as absent. */
 export function isAbsent(value: unknown): value is null | undefined {
   return value === null || value === undefined;
 }
 
-/** The value as an object; throws `MalformedMessageError` with the given text when it is none. */
-export function requireObject(value: unknown, complaint = 'not an object'): JsonObject {
-  if (!isObject(value)) throw new MalformedMessageError(complaint);
+/** Returns the value if it is an object; otherwise throws `MalformedMessageError` with this message. */
+export function requireObject(value: unknown, errorMessage = 'not an object'): JsonObject {
+  if (!isObject(value)) throw new MalformedMessageError(errorMessage);
   return value;
 }
 
-/** A finite number of 0 or more, or above 0, up to `MAX_AMOUNT`. */
-export function amount(fields: JsonObject, field: string, positive = false): number {
+/** Returns a finite number from 0 to `MAX_AMOUNT`. Rejects 0 if `positive` is true. */
+export function readAmount(fields: JsonObject, field: string, positive = false): number {
   const value = fields[field];
   if (typeof value !== 'number' || !Number.isFinite(value) || value < 0 || value > MAX_AMOUNT)
     throw new MalformedMessageError(`${field} must be a number of 0 or more`);
@@ -39,23 +39,27 @@
   return value;
 }
 
-/** A text that is neither empty nor longer than `maxLength` characters. */
-export function text(fields: JsonObject, field: string, maxLength = MAX_TEXT_LENGTH): string {
+/** Returns a string of 1 to `maxLength` characters. */
+export function readString(
+  fields: JsonObject,
+  field: string,
+  maxLength = MAX_STRING_LENGTH,
+): string {
   const value = fields[field];
   if (typeof value !== 'string' || value.length === 0 || value.length > maxLength)
     throw new MalformedMessageError(`${field} must be a text of 1 to ${maxLength} characters`);
   return value;
 }
 
-/** True or false; nothing else is converted to it. */
-export function flag(fields: JsonObject, field: string): boolean {
+/** Returns a boolean. Other types are not converted. */
+export function readBoolean(fields: JsonObject, field: string): boolean {
   const value = fields[field];
   if (typeof value !== 'boolean') throw new MalformedMessageError(`${field} must be true or false`);
   return value;
 }
 
-/** An integer from `min` to `max`. */
-export function count(
+/** Returns an integer from `min` to `max`. */
+export function readInteger(
   fields: JsonObject,
   field: string,
   min = 0,
@@ -67,8 +71,8 @@
   return value;
 }
 
-/** A list; its items have not been checked yet. */
-export function list(body: unknown, field: string): unknown[] {
+/** Returns a list whose items have not been checked. */
+export function readArray(body: unknown, field: string): unknown[] {
   const value = isObject(body) ? body[field] : undefined;
   if (!Array.isArray(value)) throw new MalformedMessageError(`${field} must be a list`);
   return value;
--- a/src/protocol/paths.ts
+++ b/src/protocol/paths.ts
@@ -1,17 +1,17 @@
 /**
- * Paths of the HTTP interfaces: those that are served here, and those of the
- * agents, the cloud and the state service that are called.
+ * Paths of the HTTP interfaces: those of the controller and those of the agents, the
+ * cloud and the state service.
  */
 
-/** The paths without ids, queries and suffixes. */
+/** Paths without ids, queries and suffixes. */
 export const PATHS = {
-  /** Served to users: submit, and below it query and cancel. */
+  /** Of the controller, for users: submission, and below it query and cancellation. */
   jobs: '/v1/jobs',
-  /** Served to the platform: health. */
+  /** Of the controller, for the platform: health. */
   health: '/healthz',
-  /** Served to agents: heartbeats. */
+  /** Of the controller, for agents: heartbeats. */
   heartbeat: '/agent/beat',
-  /** Of an agent: commands, and its present heartbeat. */
+  /** Of an agent: commands and its current heartbeat. */
   commands: '/do',
   currentHeartbeat: '/show',
   /** Of the cloud: machine types, machine list and provisioning, termination. */
@@ -25,5 +25,5 @@
   watch: '/follow',
 } as const;
 
-/** What follows a job's id in the path of its cancellation. */
+/** Part of the cancellation path after the job id. */
 export const CANCEL_PATH = 'withdraw';
--- a/src/records/bitmap-layout.ts
+++ b/src/records/bitmap-layout.ts
@@ -1,81 +1,98 @@
 /**
- * Which tasks each chunk of a job's bitmap of finished tasks stands for, and
- * under which key it is stored. The value of a chunk is in finished-tasks-record.
+ * The chunks of a job's bitmap of finished tasks: the tasks that each chunk covers
+ * and the key under which it is stored. finished-tasks-record encodes the values.
  */
 
 import { BITMAP_PREFIX } from './keys.js';
 
-/** Digits to which a chunk's number is padded in its key, as by the earlier version. */
-const NUMBER_WIDTH = 4;
+/** Digits to which a chunk's number is padded in its key. The earlier version pads to the same number. */
+const CHUNK_NUMBER_DIGITS = 4;
 
-/** What the key of a chunk says. */
+/** The parts of a chunk's key. */
 export interface ChunkKey {
   /** Id of the job. */
   job: string;
-  /** Index of the task that the first bit stands for. */
+  /** Index of the task that the chunk's first bit represents, from 0. */
   firstTask: number;
-  /** The chunk that is written under this key; null: it is of the earlier form and only read. */
+  /**
+   * Number of the chunk, from 0. Null when this layout never writes the key, which is
+   * then only read: the key has the earlier form or belongs to another chunk size.
+   */
   chunk: number | null;
 }
 
 /**
- * Where a job's finished tasks stand in the state service: a bit for each
- * task, in chunks under keys of their own.
+ * Maps the tasks of a job to the chunks of its bitmap, which has one bit for each
+ * task, and the chunks to keys in the state service.
  *
- * An earlier version sized its chunks by the limit on values and named them
- * `bits/<job>/<number>`, so that the first task followed from number and limit.
- * The limit may fall, and both versions may lead in turn. A chunk now names
- * its first task, `bits/<job>/<number>/<first task>`, and its number is what
- * the earlier version reads it by: that version ignores what follows the
- * number, and a fraction of one of its own chunks begins where it should.
- * Chunks of the earlier form are read and never written again.
+ * An earlier version derived the chunk size from the limit on values and named the
+ * keys `bits/<job>/<number>`, so that the first task of a chunk followed from its
+ * number and the limit. But the limit may be lowered, and during an upgrade both
+ * versions may lead in turn. A key therefore contains the first task of its chunk:
+ * `bits/<job>/<number>/<first task>`.
+ *
+ * The earlier version reads these keys as well. It ignores the part after the number
+ * and multiplies the number, which may be a fraction, by its own chunk size, which
+ * gives the first task. Keys of the earlier form are read but never written.
  */
 export class BitmapLayout {
   /**
-   * `earlierChunk` is the number of tasks in a chunk of the earlier form.
-   * `tasksPerChunk` is that number, halved as often as it takes: only then the
-   * first task of every chunk is an exact fraction for the earlier version.
+   * `legacyTasksPerChunk` is the number of tasks in a chunk of the earlier form.
+   * `tasksPerChunk` must be that number halved zero or more times: only then the
+   * number in each key is an exact fraction for the earlier version.
    */
   constructor(
-    private readonly earlierChunk: number,
+    private readonly legacyTasksPerChunk: number,
     readonly tasksPerChunk: number,
   ) {}
 
-  /** The layout for these limits on the bytes of a value: the present one and the lowest that may come. */
-  static forValues(presentBytes: number, lowestBytes: number): BitmapLayout {
-    const earlier = tasksIn(presentBytes);
-    const most = tasksIn(lowestBytes);
-    let tasks = earlier;
-    while (tasks > most && tasks % 2 === 0) tasks /= 2;
-    return new BitmapLayout(earlier, tasks);
+  /**
+   * Returns the layout for the present limit on a value and the lowest limit that may
+   * come into force, both in bytes.
+   */
+  static forValues(presentValueBytes: number, minValueBytes: number): BitmapLayout {
+    const legacyTasksPerChunk = tasksPerValue(presentValueBytes);
+    const maxTasks = tasksPerValue(minValueBytes);
+    let tasksPerChunk = legacyTasksPerChunk;
+    while (tasksPerChunk > maxTasks && tasksPerChunk % 2 === 0) tasksPerChunk /= 2;
+    return new BitmapLayout(legacyTasksPerChunk, tasksPerChunk);
   }
 
-  /** The key of a job's chunk. */
+  /** Returns the key of a job's chunk. */
   key(job: string, chunk: number): string {
-    const first = chunk * this.tasksPerChunk;
-    const number = String(first / this.earlierChunk).padStart(NUMBER_WIDTH, '0');
-    return `${BITMAP_PREFIX}${job}/${number}/${first}`;
+    const firstTask = chunk * this.tasksPerChunk;
+    const chunkNumber = String(firstTask / this.legacyTasksPerChunk).padStart(
+      CHUNK_NUMBER_DIGITS,
+      '0',
+    );
+    return `${BITMAP_PREFIX}${job}/${chunkNumber}/${firstTask}`;
   }
 
-  /** The chunk with the task's bit. */
+  /** Returns the number of the chunk that contains the task's bit. */
   chunkOf(task: number): number {
     return Math.floor(task / this.tasksPerChunk);
   }
 
-  /** What a key says; null: it is no key of a bitmap. */
+  /** Parses a key of either form. Returns null when it is not the key of a bitmap chunk. */
   parse(key: string): ChunkKey | null {
     if (!key.startsWith(BITMAP_PREFIX)) return null;
-    const [job, number, first] = key.slice(BITMAP_PREFIX.length).split('/');
-    if (!job || number === undefined) return null;
-    const firstTask = first === undefined ? Number(number) * this.earlierChunk : Number(first);
+    const [job, numberPart, firstTaskPart] = key.slice(BITMAP_PREFIX.length).split('/');
+    if (!job || numberPart === undefined) return null;
+    const firstTask =
+      firstTaskPart === undefined
+        ? Number(numberPart) * this.legacyTasksPerChunk
+        : Number(firstTaskPart);
     if (!Number.isSafeInteger(firstTask) || firstTask < 0) return null;
     const chunk = firstTask / this.tasksPerChunk;
-    const own = Number.isInteger(chunk) && this.key(job, chunk) === key;
-    return { job, firstTask, chunk: own ? chunk : null };
+    const isCurrentForm = Number.isInteger(chunk) && this.key(job, chunk) === key;
+    return { job, firstTask, chunk: isCurrentForm ? chunk : null };
   }
 }
 
-/** Tasks whose bits fit half a value: base64 adds a third, and the frame a little. */
-function tasksIn(valueBytes: number): number {
+/**
+ * Returns the number of tasks whose bits fill half of a value. The other half is room
+ * for base64, which makes the bitmap a third larger, and for the JSON quotes.
+ */
+function tasksPerValue(valueBytes: number): number {
   return Math.max(1, Math.floor(valueBytes * 0.5)) * 8;
 }
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -1,49 +1,56 @@
 /**
- * The demand forecasts.
+ * Demand forecasts, in pages.
  *
- * Keys: `loads` with the first page, `loads/<page>` with further ones, from 1 on.
- * Written: by the leader, again and again. Read: by the next leader, on failover.
- * Absent: both, before a leader has written them; `holdS` in forecasts and `more`
- * in the first page that an earlier version wrote.
- * Versions: earlier ones write and read the first page alone. Fields that this
- * version does not know are kept in what is written anew.
+ * Keys: `loads` holds the first page, `loads/<page>` the further pages, numbered from 1.
+ * Access: The leader writes them at regular intervals. The next leader reads them on
+ * failover.
+ * Absence: The keys are absent until a leader has written them. Earlier versions write
+ * neither `holdS` in a forecast nor `more` in the first page.
+ * Versions: Earlier versions read and write only the first page. Fields of a forecast
+ * that this version does not know are kept when the forecast is written again.
  */
 
 import type { DemandForecast } from '../model/demand-forecast.js';
 import { isObject } from '../protocol/json-fields.js';
 import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from './job-record.js';
-import { mapIfObject, mergeIntoStoredForm, rememberStoredForm } from './stored-form.js';
+import { mapIfObject, mergeIntoRetainedForm, retainStoredForm } from './stored-form.js';
 
-/** What one task takes on average. */
+/** The stored form of `DemandForecast.meanRequest`: mean resources of one task. */
 export interface StoredResourceRequest {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** The demand forecast of one kind of work; the fields are those of `DemandForecast`, in its order. */
+/** The stored form of `DemandForecast`, with the fields in the same order. */
 export interface StoredForecast {
-  /** The last job of this kind. */
+  /** The job of this kind that arrived last. */
   spec: StoredJobSpec;
   mean: number;
   variance: number;
+  /** Mean resource request of a task. */
   shape: StoredResourceRequest;
-  /** Earlier versions don't write it. */
+  /** `occupancyS`, in seconds. Absent when an earlier version wrote the forecast. */
   holdS?: number;
+  /** `arrivalIntervalMs`, in milliseconds. Null while no interval is known. */
   gapMs: number | null;
+  /** `sinceLastArrivalMs`, in milliseconds. */
   quietMs: number;
 }
 
-/** `loads`. Earlier versions write and read this page alone, without `more`. */
+/** The value of `loads`. */
 export interface StoredFirstPage {
   loads: StoredForecast[];
-  /** Version of the newest job that is counted in the forecasts: later ones are counted by the next leader. */
+  /**
+   * Version of the newest job that the forecasts count. The next leader adds the jobs
+   * that arrived after it.
+   */
   upTo: number;
-  /** Number of further pages. */
+  /** Number of further pages. Absent, which means 0, when an earlier version wrote the page. */
   more?: number;
 }
 
-/** `loads/<page>`, from 1 on. */
+/** The value of `loads/<page>`. */
 export interface StoredFurtherPage {
   loads: StoredForecast[];
 }
@@ -63,27 +70,27 @@
   'quietMs',
 ];
 
-function encodeResourceRequest(shape: DemandForecast['meanRequest']): StoredResourceRequest {
-  return mergeIntoStoredForm(shape, {
-    cpus: shape.cpus,
-    gpus: shape.gpus,
-    memoryGb: shape.memoryGb,
+function encodeResourceRequest(request: DemandForecast['meanRequest']): StoredResourceRequest {
+  return mergeIntoRetainedForm(request, {
+    cpus: request.cpus,
+    gpus: request.gpus,
+    memoryGb: request.memoryGb,
   });
 }
 
 function decodeResourceRequest(stored: StoredResourceRequest): DemandForecast['meanRequest'] {
-  const shape: DemandForecast['meanRequest'] = {
+  const request: DemandForecast['meanRequest'] = {
     cpus: stored.cpus,
     gpus: stored.gpus,
     memoryGb: stored.memoryGb,
   };
-  rememberStoredForm(shape, stored, RESOURCE_REQUEST_FIELDS);
-  return shape;
+  retainStoredForm(request, stored, RESOURCE_REQUEST_FIELDS);
+  return request;
 }
 
-/** The forecast as it is stored, with fields of other versions that it was read with. */
+/** Returns the stored form of a forecast, including the unknown fields that it was decoded with. */
 export function encodeForecast(forecast: DemandForecast): StoredForecast {
-  return mergeIntoStoredForm(forecast, {
+  return mergeIntoRetainedForm(forecast, {
     spec: mapIfObject(forecast.spec, encodeJobSpec),
     mean: forecast.mean,
     variance: forecast.variance,
@@ -94,7 +101,11 @@
   });
 }
 
-/** Null: it is no object. A forecast of an earlier version has no `holdS`: its reader has to set `occupancyS`. */
+/**
+ * Returns null when the value is not an object. A missing field is undefined in the
+ * forecast. That includes `occupancyS` of a forecast that an earlier version wrote: the
+ * caller has to set it.
+ */
 export function decodeForecast(value: unknown): DemandForecast | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredForecast;
@@ -107,38 +118,46 @@
     arrivalIntervalMs: stored.gapMs,
     sinceLastArrivalMs: stored.quietMs,
   };
-  rememberStoredForm(forecast, value, FORECAST_FIELDS);
+  retainStoredForm(forecast, value, FORECAST_FIELDS);
   return forecast;
 }
 
-/** `upTo`: version of the newest job that is counted; `more`: number of further pages. */
+/** Returns the stored form of the first page; see `StoredFirstPage` for the parameters. */
 export function encodeFirstPage(
-  loads: StoredForecast[],
-  upTo: number,
-  more: number,
+  forecasts: StoredForecast[],
+  countedVersion: number,
+  furtherPages: number,
 ): StoredFirstPage {
-  return { loads, upTo, more };
+  return { loads: forecasts, upTo: countedVersion, more: furtherPages };
 }
 
-/** A page after the first. */
-export function encodeFurtherPage(loads: StoredForecast[]): StoredFurtherPage {
-  return { loads };
+/** Returns the stored form of a page after the first. */
+export function encodeFurtherPage(forecasts: StoredForecast[]): StoredFurtherPage {
+  return { loads: forecasts };
 }
 
-/** The forecasts of a page, the first or a further one; null: it is no page. */
+/**
+ * Returns the forecasts of any page. Returns null when the value is not an object with
+ * a list `loads`. An item of the list that is not an object is returned unchanged.
+ */
 export function decodeForecasts(value: unknown): DemandForecast[] | null {
   if (!isObject(value) || !Array.isArray(value.loads)) return null;
-  return value.loads.map((load) => mapIfObject(load, decodeForecast));
+  return value.loads.map((forecast) => mapIfObject(forecast, decodeForecast));
 }
 
-/** The first page as it is used; the fields have the names of the stored ones. */
+/** The first page with decoded forecasts. The fields have the names of the stored ones. */
 export interface FirstPage {
   loads: DemandForecast[];
+  /** Version of the newest job that the forecasts count. */
   upTo: number;
+  /** Number of further pages, 0 or more. */
   more: number;
 }
 
-/** Null: it is no page. A page of an earlier version has no further ones. */
+/**
+ * Returns null when the value is not an object with a list `loads`. A page that an
+ * earlier version wrote has no further pages.
+ */
 export function decodeFirstPage(value: unknown): FirstPage | null {
   const forecasts = decodeForecasts(value);
   if (!forecasts) return null;
--- a/src/records/dependency-list-record.ts
+++ b/src/records/dependency-list-record.ts
@@ -1,69 +1,73 @@
 /**
- * Ids of dependencies beside the record of the job that has them.
+ * Dependencies of a job that are stored outside the job's record.
  *
- * Keys: either pages written together with the record, `upstream/<job>/<page>`;
- * or, for lists that are too long for one transaction, a list written before it:
- * a header, `lists/<job>/<token>`, and pages, `needs/<job>/<token>/<page>`. The
- * record (job-record) says which there are.
- * Written: by the controller that accepts the job. Read: by the leader, and by
- * controllers that look up a job. Removed: by the leader, once the job has ended,
- * or was not accepted.
- * Absent: `removing` in a header, until its list is being removed.
- * Versions: the earliest know neither form; those before the lists know only the
- * pages written with the record.
+ * Keys: There are two forms, and the record (job-record) says which one is used. Pages
+ * `upstream/<job>/<page>` are written in one transaction with the record. A list that is
+ * too long for one transaction is written before the record: a header
+ * `lists/<job>/<token>` and pages `needs/<job>/<token>/<page>`.
+ * Access: The controller that accepts the job writes them. The leader and controllers
+ * that look up the job read them. The leader removes them when the job has ended or was
+ * never accepted.
+ * Absence: `removing` is absent from a header until the list is being removed.
+ * Versions: The earliest versions know neither form. Later versions without lists know
+ * only the pages that are written with the record.
  */
 
 import { isObject } from '../protocol/json-fields.js';
-import { mergeIntoStoredForm, rememberStoredForm } from './stored-form.js';
+import { mergeIntoRetainedForm, retainStoredForm } from './stored-form.js';
 
 /**
- * The header of a list. Its version guards the list: pages and the record are
- * written only over the version that was seen before, and removal changes it.
+ * The header of a dependency list. Pages and the record are written only on the
+ * condition that the header still has the version that was read before, and a removal
+ * changes this version first.
  */
 export interface DependencyListHeader {
-  /** Number of pages of the whole list. */
+  /** Number of pages of the complete list, some of which may not be written yet. */
   pages: number;
-  /** The list is being removed: no page may be added, and no record may name it. */
+  /**
+   * Whether the list is being removed. No page may then be added, and no job record may
+   * refer to the list. Absent means false.
+   */
   removing?: boolean;
 }
 
-/** The header as it is stored. */
+/** The stored form of `DependencyListHeader`. */
 export interface StoredDependencyListHeader {
   pages: number;
   removing?: boolean;
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. A missing `pages` is undefined in the header. */
 export function decodeDependencyListHeader(value: unknown): DependencyListHeader | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredDependencyListHeader;
   const header: DependencyListHeader = { pages: stored.pages };
   if (stored.removing !== undefined) header.removing = stored.removing;
-  rememberStoredForm(header, value, ['pages']);
+  retainStoredForm(header, value, ['pages']);
   return header;
 }
 
-/** The header of a list that is about to be written. */
+/** Returns the stored form of the header of a list that is about to be written. */
 export function encodeDependencyListHeader(
   header: DependencyListHeader,
 ): StoredDependencyListHeader {
   return { pages: header.pages };
 }
 
-/** The same header once its list is being removed. */
+/** Returns the stored form of the header with the mark that its list is being removed. */
 export function encodeHeaderInRemoval(header: DependencyListHeader): StoredDependencyListHeader {
-  return mergeIntoStoredForm(header, { pages: header.pages, removing: true });
+  return mergeIntoRetainedForm(header, { pages: header.pages, removing: true });
 }
 
-/** A page: ids of jobs, in the order of the submission. */
+/** A page of either form: ids of jobs. */
 export type StoredJobIds = string[];
 
-/** A page of ids; it has no fields to map. */
+/** Returns the stored form of a page, which is the list of ids itself. */
 export function encodeJobIds(ids: string[]): StoredJobIds {
   return ids;
 }
 
-/** A page of ids as it is stored; it has no fields to map. */
+/** Returns the ids of a page. The value is not checked: a malformed one is returned unchanged. */
 export function decodeJobIds(value: unknown): string[] {
   return value as StoredJobIds;
 }
--- a/src/records/job-end-record.ts
+++ b/src/records/job-end-record.ts
@@ -2,41 +2,41 @@
  * The end of a job.
  *
  * Keys: `over/<job>`.
- * Written: once, in the transaction that removes the live record, or that
- * accepts the job as already cancelled, by whichever controller ends it. It is
- * never written again or removed. Read: by every controller that is asked for
- * the job, and by a leader for jobs that depend on it.
- * Absent: `at`, for cancellations and in records of earlier versions.
- * Versions: earlier ones write and read `state` and `tasks` alone.
+ * Access: Any controller writes it once, in the transaction that removes the live record
+ * or that accepts the job as already cancelled. It is never rewritten or removed. Every
+ * controller that looks up the job reads it, and so does a leader for jobs that depend
+ * on the job.
+ * Absence: `at` is absent for cancelled jobs and in records of earlier versions.
+ * Versions: Earlier versions read and write only `state` and `tasks`.
  */
 
 import type { JobEnd } from '../model/job.js';
 import { isObject } from '../protocol/json-fields.js';
 
-/** An ended job. */
+/** The record of an ended job. */
 export interface EndedJobRecord {
   state: JobEnd['state'];
-  /** Number of its tasks. */
+  /** Number of tasks in the job, at least 1. */
   tasks: number;
-  /** Time of day of the end, in milliseconds. */
+  /** Time of day of the end, in milliseconds since the epoch. Absent when it was not recorded. */
   at?: number;
 }
 
-/** An ended job as it is stored. */
+/** The stored form of `EndedJobRecord`. */
 export interface StoredJobEnd {
   state: 'done' | 'cancelled';
   tasks: number;
   at?: number;
 }
 
-/** The end of a job with this many tasks. */
+/** Returns the stored form of the end of a job with `tasks` tasks. */
 export function encodeJobEnd(end: JobEnd, tasks: number): StoredJobEnd {
   const stored: StoredJobEnd = { state: end.state, tasks };
   if (end.at !== null) stored.at = end.at;
   return stored;
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. A missing field is undefined in the record. */
 export function decodeJobEnd(value: unknown): EndedJobRecord | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredJobEnd;
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -1,28 +1,30 @@
 /**
- * An accepted job that has not ended.
+ * A live job: one that was accepted and has not ended.
  *
- * Keys: `live/<job>`; the version of the key is the job's place in the order of
- * arrival.
- * Written: once, by the controller that accepts the job. Read: by every
- * controller; the leader keeps all of them. Removed: in the transaction that
- * writes the job's end.
- * Absent: what a job without dependencies does not need.
- * Versions: the earliest write and read `spec` and `at` alone; those before long
- * lists do not know `upstreamList`.
+ * Keys: `live/<job>`. The order of the keys' versions is the order of arrival.
+ * Access: The controller that accepts the job writes the record once. Every controller
+ * reads it, and the leader keeps all live jobs in memory. The transaction that writes
+ * the end of the job removes the record.
+ * Absence: A job without dependencies has none of the three `upstream` fields.
+ * Versions: The earliest versions read and write only `spec` and `at`. Versions without
+ * dependency lists do not know `upstreamList`.
  *
- * The job's description in it is stored in demand forecasts too.
+ * The job specification in the record is also part of a demand forecast (demand-record).
  */
 
 import type { JobSpec } from '../model/job.js';
 import { isObject } from '../protocol/json-fields.js';
-import { mapIfObject, mergeIntoStoredForm, rememberStoredForm } from './stored-form.js';
+import { mapIfObject, mergeIntoRetainedForm, retainStoredForm } from './stored-form.js';
 
-/** A job's description as it is stored. All versions write all fields. */
+/**
+ * The stored form of `JobSpec`, with the fields in the same order and with the same units
+ * and ranges. All versions write all fields.
+ */
 export interface StoredJobSpec {
   id: string;
   jobClass: string;
   team: string;
-  /** The priority: index into the names of priorities, the highest first. */
+  /** The priority, an index into `PRIORITIES`: 0 is the highest. */
   rank: number;
   tasks: number;
   cpus: number;
@@ -30,14 +32,23 @@
   memoryGb: number;
   image: string;
   imageGb: number;
+  /** `machineTypes`. Null when the tasks may run on all types. */
   types: string[] | null;
+  /** Null when the tasks may run in all zones. */
   zone: string | null;
+  /** `singleZone`. */
   oneZone: boolean;
+  /** `zoneAntiAffinity`. */
   spread: boolean;
+  /** `allowsSpot`. */
   spot: boolean;
+  /** `estimatedDurationS`, in seconds. */
   estimateS: number;
+  /** `checkpointIntervalS`, in seconds. 0 when the tasks save no checkpoints. */
   checkpointS: number;
+  /** `checkpointCostS`, in seconds. */
   saveS: number;
+  /** Null when the job has no deadline. */
   deadlineS: number | null;
 }
 
@@ -63,9 +74,9 @@
   'deadlineS',
 ];
 
-/** The description as it is stored, with fields of other versions that it was read with. */
+/** Returns the stored form of a specification, including the unknown fields that it was decoded with. */
 export function encodeJobSpec(spec: JobSpec): StoredJobSpec {
-  return mergeIntoStoredForm(spec, {
+  return mergeIntoRetainedForm(spec, {
     id: spec.id,
     jobClass: spec.jobClass,
     team: spec.team,
@@ -88,7 +99,7 @@
   });
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. A missing field is undefined in the specification. */
 export function decodeJobSpec(value: unknown): JobSpec | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredJobSpec;
@@ -113,19 +124,22 @@
     checkpointCostS: stored.saveS,
     deadlineS: stored.deadlineS,
   };
-  rememberStoredForm(spec, value, JOB_SPEC_FIELDS);
+  retainStoredForm(spec, value, JOB_SPEC_FIELDS);
   return spec;
 }
 
-/** Names the list of a job's dependencies in its record (dependency-list-record). */
+/** The reference of a job record to the dependency list of the job (dependency-list-record). */
 export interface DependencyListRef {
-  /** Names the content, so that a repeated submission of the same list continues the first one. */
+  /**
+   * Identifies the list by its content, so that a repeated submission continues the list
+   * that the first one began to write.
+   */
   token: string;
-  /** Number of pages of the list. */
+  /** Number of pages of the list, at least 1. */
   pages: number;
 }
 
-/** The same as it is stored. */
+/** The stored form of `DependencyListRef`. */
 export interface StoredDependencyListRef {
   token: string;
   pages: number;
@@ -139,33 +153,44 @@
   return { token: stored.token, pages: stored.pages };
 }
 
-/** An accepted job. */
+/** The record of a live job. */
 export interface LiveJobRecord {
   spec: JobSpec;
-  /** Time of day of its acceptance, in milliseconds. */
+  /** Time of day at which the job was accepted, in milliseconds since the epoch. */
   acceptedAt: number;
-  /** Ids of its dependencies that were not done when it was accepted, as far as the record has room for them. */
+  /**
+   * Ids of the dependencies that were not done when the job was accepted, as many as fit
+   * into the record. Absent when there are none.
+   */
   dependencies?: string[];
-  /** Further such ids are in this many pages, written together with the record. */
+  /**
+   * Number of pages with further such ids, which are written together with the record.
+   * Absent, which means 0, when all ids fit into the record.
+   */
   dependencyPages?: number;
   /**
-   * All such ids are in a list that was written before the record.
-   * `dependencies` then holds one id that no job has: a version that does not
-   * know lists waits for that job, so that it starts nothing too early.
+   * The list that holds all dependencies and was written before the record. Absent when
+   * the ids are in the record and its pages. When it is present, `dependencies` holds
+   * only an id that no job has: a version that does not know lists waits for that job
+   * and so never starts the dependent job too early.
    */
   dependencyList?: DependencyListRef;
 }
 
-/** An accepted job as it is stored. */
+/** The stored form of `LiveJobRecord`. */
 export interface StoredLiveJob {
   spec: StoredJobSpec;
+  /** `acceptedAt`, in milliseconds since the epoch. */
   at: number;
+  /** `dependencies`. */
   upstream?: string[];
+  /** `dependencyPages`. */
   upstreamPages?: number;
+  /** `dependencyList`. */
   upstreamList?: StoredDependencyListRef;
 }
 
-/** The record of a job that is being accepted. */
+/** Returns the stored form of the record of a job that is being accepted. */
 export function encodeLiveJob(record: LiveJobRecord): StoredLiveJob {
   const stored: StoredLiveJob = { spec: encodeJobSpec(record.spec), at: record.acceptedAt };
   if (record.dependencies !== undefined) stored.upstream = record.dependencies;
@@ -175,7 +200,11 @@
   return stored;
 }
 
-/** Null: it is no object. Whether it has a description is for the reader to see. */
+/**
+ * Returns null when the value is not an object. A missing field is undefined in the
+ * record, and a `spec` that is not an object is returned unchanged: the caller has to
+ * check it.
+ */
 export function decodeLiveJob(value: unknown): LiveJobRecord | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredLiveJob;
--- a/src/records/keys.ts
+++ b/src/records/keys.ts
@@ -1,45 +1,45 @@
 /**
- * Names of the keys in the state service that hold jobs and machines. They are
- * never changed: other versions read and write the same keys.
+ * Keys of jobs and machines in the state service. They must never change, because other
+ * versions read and write the same keys.
  */
 
-/** Accepted jobs that have not ended (job-record). */
+/** Prefix of the records of live jobs (job-record). */
 export const LIVE_JOB_PREFIX = 'live/';
-/** Pages of dependencies written together with a job's record (dependency-list-record). */
+/** Prefix of the pages of dependencies that are written together with a job record (dependency-list-record). */
 export const DEPENDENCY_PAGE_PREFIX = 'upstream/';
-/** Finished tasks of live jobs (bitmap-layout, finished-tasks-record). */
+/** Prefix of the bitmaps of finished tasks of live jobs (bitmap-layout, finished-tasks-record). */
 export const BITMAP_PREFIX = 'bits/';
-/** Machines that may have been given tasks (roster-record). */
+/** Prefix of the pages of machines that tasks may have been assigned to (roster-record). */
 export const ROSTER_PREFIX = 'roster/';
 
-/** The record of an accepted job. */
+/** Returns the key of the record of a live job. */
 export const liveJobKey = (id: string) => `${LIVE_JOB_PREFIX}${id}`;
 
-/** Ended jobs (job-end-record). */
+/** Prefix of the records of ended jobs (job-end-record). */
 export const ENDED_JOB_PREFIX = 'over/';
 
-/** The record of an ended job. */
+/** Returns the key of the record of an ended job. */
 export const endedJobKey = (id: string) => `${ENDED_JOB_PREFIX}${id}`;
 
-/** A page of a job's dependencies that its record has no room for. */
+/** Returns the key of a page of dependencies that do not fit into the job record. Pages are numbered from 0. */
 export const dependencyPageKey = (id: string, page: number) =>
   `${DEPENDENCY_PAGE_PREFIX}${id}/${page}`;
 
-/** Headers of lists of dependencies that are too long for one transaction. */
+/** Prefix of the headers of dependency lists, which are too long for one transaction. */
 export const LIST_HEADER_PREFIX = 'lists/';
 
-/** The header of such a list. */
+/** Returns the key of the header of a job's dependency list. */
 export const listHeaderKey = (id: string, token: string) => `${LIST_HEADER_PREFIX}${id}/${token}`;
 
-/** All pages of such a list. */
+/** Returns the prefix of all pages of a job's dependency list. */
 export const listPagesPrefix = (id: string, token: string) => `needs/${id}/${token}/`;
 
-/** Digits of a page's number, so that the keys are in the order of the pages. */
+/** Digits to which a page's number is padded, so that keys sort in the order of the pages. */
 const PAGE_DIGITS = 4;
 
-/** A page of such a list. */
+/** Returns the key of a page of a job's dependency list. Pages are numbered from 0. */
 export const listPageKey = (id: string, token: string, page: number) =>
   `${listPagesPrefix(id, token)}${String(page).padStart(PAGE_DIGITS, '0')}`;
 
-/** A page of machines that may have been given tasks. */
+/** Returns the key of a page of machines that tasks may have been assigned to. */
 export const rosterKey = (page: string) => `${ROSTER_PREFIX}${page}`;
--- a/src/records/leader-record.ts
+++ b/src/records/leader-record.ts
@@ -1,28 +1,29 @@
 /**
- * Who leads, and the last leader term.
+ * The current leader and the last leader term.
  *
- * Keys: `leader`, attached to the leader's lease, so that it disappears with it;
- * `term`, a number, which stays.
- * Written: both in the transaction of an election, by the controller that wins.
- * Read: by every controller.
- * Absent: `leader` while nobody leads; `term` before the first election.
- * Versions: all write all fields.
+ * Keys: `leader` is attached to the leader's lease and deleted when the lease ends.
+ * `term` holds a number and is never deleted.
+ * Access: The controller that wins an election writes both in one transaction. Every
+ * controller reads them.
+ * Absence: `leader` is absent while there is no leader, `term` before the first election.
+ * Versions: All versions write all fields.
  */
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** The leader. Its fencing token is the term; its writes are conditioned on the version of this key. */
+/** The current leader. Its fencing token is the term. Its writes are conditioned on the version of this key. */
 export interface LeaderRecord {
-  /** Name of the controller. */
+  /** Name of the leading controller. */
   node: string;
-  /** Tells a restarted process from its predecessor. */
+  /** Identifies the process, so that a restarted controller differs from its predecessor. */
   incarnation: string;
+  /** The leader term, an integer that each election raises. */
   term: number;
-  /** Id of the lease in the state service. */
+  /** Id of the leader's lease in the state service. */
   lease: number;
 }
 
-/** The leader as it is stored. */
+/** The stored form of `LeaderRecord`. */
 export interface StoredLeader {
   node: string;
   incarnation: string;
@@ -30,7 +31,7 @@
   lease: number;
 }
 
-/** The record of a controller that campaigns. */
+/** Returns the stored form of the record that a candidate writes. */
 export function encodeLeaderRecord(record: LeaderRecord): StoredLeader {
   return {
     node: record.node,
@@ -40,7 +41,7 @@
   };
 }
 
-/** Null: a field is missing or of another type, so that nobody leads by it. */
+/** Returns null when a field is missing or has another type. Such a record names no leader. */
 export function decodeLeaderRecord(value: unknown): LeaderRecord | null {
   if (!isObject(value)) return null;
   const { node, incarnation, term, lease } = value;
@@ -54,12 +55,12 @@
   return { node, incarnation, term, lease };
 }
 
-/** A leader term, as a number. */
+/** Returns the stored form of a leader term, which is the number itself. */
 export function encodeTerm(term: number): number {
   return term;
 }
 
-/** Null: it is no number. */
+/** Returns null when the value is not a number. */
 export function decodeTerm(value: unknown): number | null {
   return typeof value === 'number' ? value : null;
 }
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -1,24 +1,26 @@
 /**
- * The cloud's machine types.
+ * The machine types that the cloud offers.
  *
- * Keys: `types`, a list.
- * Written: by the leader, when more than prices has changed. Read: by
- * controllers that start while the cloud is unreachable.
- * Absent: the key, before the first leader has seen the cloud's list.
- * Versions: all write all fields.
+ * Keys: `types` holds a list.
+ * Access: The leader writes it when more than prices has changed. A controller reads it
+ * at start, so that it can start while the cloud is unreachable.
+ * Absence: The key is absent until the first leader has read the types from the cloud.
+ * Versions: All versions write all fields.
  */
 
 import type { MachineType } from '../model/machine.js';
 import { isObject } from '../protocol/json-fields.js';
 import { mapIfObject } from './stored-form.js';
 
-/** A machine type as it is stored. */
+/** The stored form of `MachineType`, with the fields in the same order and with the same units. */
 export interface StoredMachineType {
   name: string;
   cpus: number;
   gpus: number;
   memoryGb: number;
+  /** `imageCacheGb`. */
   cacheGb: number;
+  /** `imagePullGbPerS`. */
   fetchGbPerS: number;
   price: number;
   spotPrice: number;
@@ -26,7 +28,7 @@
   zones: string[];
 }
 
-/** One machine type. */
+/** Returns the stored form of one machine type. */
 export function encodeMachineType(type: MachineType): StoredMachineType {
   return {
     name: type.name,
@@ -42,7 +44,7 @@
   };
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. A missing field is undefined in the machine type. */
 export function decodeMachineType(value: unknown): MachineType | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredMachineType;
@@ -60,20 +62,21 @@
   };
 }
 
-/** The list, in the cloud's order. */
+/** Returns the stored form of the list, in the same order. */
 export function encodeMachineTypes(types: readonly MachineType[]): StoredMachineType[] {
   return types.map(encodeMachineType);
 }
 
 /**
- * The list as it is stored, with whatever another version has put into it, to
- * compare it with what would be written; null: it is no list.
+ * Returns the stored list unchanged, including fields of other versions, for a
+ * comparison with the list to be written. Returns null when the value is not a list.
+ * The items are not checked.
  */
 export function storedMachineTypes(value: unknown): StoredMachineType[] | null {
   return Array.isArray(value) ? value : null;
 }
 
-/** Null: it is no list. */
+/** Returns null when the value is not a list. An item that is not an object is returned unchanged. */
 export function decodeMachineTypes(value: unknown): MachineType[] | null {
   return storedMachineTypes(value)?.map((type) => mapIfObject(type, decodeMachineType)) ?? null;
 }
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -1,81 +1,88 @@
 /**
- * Questions and answers between controllers through the state service, for when
+ * Requests and responses that controllers exchange through the state service when
  * their own connections fail.
  *
- * Keys: `mail/<to>/<from>/<machine>`, attached to a lease. Each message is
- * overwritten by the next one of the same key, and nothing is kept beyond seconds.
- * Written and read: by any controller.
- * Absent: nothing in a message; a key, whenever there is no message.
- * Versions: `kind` is `ask` or `answer`; a message of another kind is ignored.
+ * Keys: `mail/<to>/<from>/<machine>`, attached to a lease that deletes the key after
+ * some seconds. Each message replaces the previous one under the same key.
+ * Access: Every controller writes and reads messages.
+ * Absence: A message has all of its fields. A key is absent while there is no message.
+ * Versions: `kind` is `ask` for a request and `answer` for a response. A message of
+ * another kind is ignored.
  */
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** A question: a heartbeat that is passed on to the leader. */
+/** A request: a heartbeat that is forwarded to the leader. */
 export interface MailboxRequest {
   kind: 'ask';
-  /** Sequence number among the questions of the controller that asks. */
+  /** Number of the request among those of the requesting process, from 1. */
   n: number;
-  /** The controller that asks. */
+  /** Name of the requesting controller. */
   from: string;
-  /** The process that asks: a restarted one takes no answer to a question of its predecessor. */
+  /** Identifies the requesting process, so that a restarted one ignores responses to its predecessor. */
   incarnation: string;
-  /** The heartbeat, as the agent sent it. */
+  /** The heartbeat as JSON, as the agent sent it. */
   text: string;
 }
 
-/** The answer to a question. */
+/** The response to a request. */
 export interface MailboxResponse {
   kind: 'answer';
-  /** Number and incarnation of the question. */
+  /** Number of the request. */
   n: number;
+  /** Incarnation in the request. */
   incarnation: string;
-  /** What was answered, in its stored form (peer-requests). */
+  /** The reply to the heartbeat, as a `SentForwardedReply` (peer-requests). */
   value: unknown;
 }
 
-/** A question as it is stored. */
+/** The stored form of `MailboxRequest`. */
 export interface StoredMailboxRequest {
   kind: 'ask';
+  /** Number of the request. */
   n: number;
   from: string;
   incarnation: string;
   text: string;
 }
 
-/** An answer as it is stored. */
+/** The stored form of `MailboxResponse`. */
 export interface StoredMailboxResponse {
   kind: 'answer';
+  /** Number of the request. */
   n: number;
   incarnation: string;
   value: unknown;
 }
 
-/** A message as it is stored. */
+/** The stored form of any mailbox message. */
 export type StoredMailboxMessage = StoredMailboxRequest | StoredMailboxResponse;
 
-/** A question to write. */
-export function encodeMailboxRequest(question: MailboxRequest): StoredMailboxRequest {
+/** Returns the stored form of a request. */
+export function encodeMailboxRequest(request: MailboxRequest): StoredMailboxRequest {
   return {
     kind: 'ask',
-    n: question.n,
-    from: question.from,
-    incarnation: question.incarnation,
-    text: question.text,
+    n: request.n,
+    from: request.from,
+    incarnation: request.incarnation,
+    text: request.text,
   };
 }
 
-/** An answer to write. */
-export function encodeMailboxResponse(answer: MailboxResponse): StoredMailboxResponse {
+/** Returns the stored form of a response. */
+export function encodeMailboxResponse(response: MailboxResponse): StoredMailboxResponse {
   return {
     kind: 'answer',
-    n: answer.n,
-    incarnation: answer.incarnation,
-    value: answer.value,
+    n: response.n,
+    incarnation: response.incarnation,
+    value: response.value,
   };
 }
 
-/** Null: it is neither a question with a text nor an answer. */
+/**
+ * Returns null when the value is not an object, is of another kind, or is a request
+ * whose `text` is not a string. No other field is checked.
+ */
 export function decodeMailboxMessage(value: unknown): MailboxRequest | MailboxResponse | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredMailboxMessage;
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -1,39 +1,42 @@
 /**
- * What controllers send each other over their own connections, each in a frame
- * of its own: their status all the time, and questions with their answers.
+ * Frames between controllers: statuses, which each controller sends at regular
+ * intervals, and requests with their responses.
  *
- * Sent and read: by every controller; nothing is stored.
- * Absent: `memoryShort`, which earlier versions do not send.
- * Versions: they meet while a new one is rolled out, so each reads what the other
- * sends; a frame of an unknown kind is ignored.
+ * Access: Every controller sends and receives frames. Nothing is stored.
+ * Absence: `memoryShort` is absent from the status of an earlier version.
+ * Versions: Two versions run side by side during an upgrade, so each must be able to
+ * read the frames of the other. A frame of an unknown kind is ignored.
  */
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** Progress of a live job as it is sent: done and running tasks. */
+/** Progress of a live job: its id, the number of tasks that are done and the number that are running. */
 export type SentJobProgress = [jobId: string, done: number, running: number];
 
-/** What a controller tells the others about itself, again and again. */
+/** The status that a controller sends to the others at regular intervals. */
 export interface PeerStatus {
-  /** Name of the controller. */
+  /** Name of the sending controller. */
   node: string;
-  /** Tells a restarted process from its predecessor. */
+  /** Identifies the process, so that a restarted controller differs from its predecessor. */
   incarnation: string;
-  /** Time of day at which it was sent, in milliseconds: a network partition may delay it. */
+  /**
+   * Time of day at which the status was sent, in milliseconds since the epoch. A network
+   * partition may delay the status.
+   */
   sentAt: number;
-  /** The highest leader term that it knows. */
+  /** The highest leader term that the controller knows. */
   term: number;
-  /** It leads. */
+  /** Whether the controller is the leader. */
   leading: boolean;
-  /** The state service serves this controller. */
+  /** Whether the state service serves the controller's requests. */
   stateOk: boolean;
-  /** It has no memory for further jobs. */
+  /** Whether the controller lacks memory for further jobs. Absent in the status of an earlier version. */
   memoryShort?: boolean;
-  /** Progress of live jobs, from the leader, for display only. */
+  /** Progress of live jobs, for display only. Empty unless the controller is the leader. */
   counts: SentJobProgress[];
 }
 
-/** A status as it is sent. */
+/** The form in which a `PeerStatus` is sent. */
 export interface SentPeerStatus {
   node: string;
   incarnation: string;
@@ -45,20 +48,24 @@
   counts: SentJobProgress[];
 }
 
-/** A frame as it is used. `n` numbers the questions of a connection; an answer has the number of its question. */
+/**
+ * A decoded frame: a status, a request (`ask`) or a response (`answer`).
+ * `requestNumber` identifies a request on its connection, and the response has the
+ * same number.
+ */
 export type PeerFrame =
   | { kind: 'status'; status: PeerStatus }
   | { kind: 'ask'; n: number; op: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
-/** A frame as it is sent. What `payload` holds is in peer-requests. */
+/** The form in which a `PeerFrame` is sent. peer-requests defines the payloads. */
 export type SentPeerFrame =
   | { kind: 'status'; status: SentPeerStatus }
   | { kind: 'ask'; n: number; op: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
 function encodeStatus(status: PeerStatus): SentPeerStatus {
-  // A field whose value is undefined would be sent: in CBOR that is not the same as no field.
+  // CBOR encodes a field whose value is undefined, which differs from an absent field.
   return {
     node: status.node,
     incarnation: status.incarnation,
@@ -85,7 +92,7 @@
   return status;
 }
 
-/** A frame to send. */
+/** Returns the form of the frame that is sent. */
 export function encodeFrame(frame: PeerFrame): SentPeerFrame {
   switch (frame.kind) {
     case 'status':
@@ -97,7 +104,11 @@
   }
 }
 
-/** Null: it is no frame that this version knows. Whether a status is believed is for its reader to decide. */
+/**
+ * Returns null when the value is not an object, is of an unknown kind, or is a status
+ * frame whose `status` is not an object. No other field is checked: the caller has to
+ * check those of a status.
+ */
 export function decodeFrame(value: unknown): PeerFrame | null {
   if (!isObject(value)) return null;
   const sent = value as unknown as SentPeerFrame;
--- a/src/records/peer-requests.ts
+++ b/src/records/peer-requests.ts
@@ -1,94 +1,100 @@
 /**
- * Payloads of questions between controllers and of their answers (peer-frames).
+ * Payloads of requests between controllers and of their responses (peer-frames).
  *
- * Questions: `user`, a user's request that is forwarded; `cancelled`, the notice of a
- * cancellation; `report`, whose payload is the bytes of an agent's heartbeat.
- * Answers to `user` and `report` are forwarded replies; in a mailbox they have
- * the same form.
- * Absent: `retryAfterS`, unless the caller may come back.
- * Versions: all send the same fields.
+ * Requests: `user` forwards a user's request. `cancelled` announces a cancellation; its
+ * response is null. `report` forwards an agent's heartbeat; its payload is the bytes of
+ * the heartbeat.
+ * Responses: The response to `user` or `report` is a forwarded reply. It has the same
+ * form in a mailbox.
+ * Absence: `retryAfterS` is absent unless the reply suggests a retry.
+ * Versions: All versions send the same fields.
  */
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** A user's request that is forwarded. */
+/** A user's request that is forwarded to another controller. */
 export interface ForwardedRequest {
+  /** HTTP method. */
   method: string;
-  /** Path and query. */
+  /** Path and query of the request. */
   target: string;
+  /** Bytes of the request's body, which may be empty. */
   body: Uint8Array;
 }
 
-/** The same as it is sent. */
+/** The form in which a `ForwardedRequest` is sent. */
 export interface SentForwardedRequest {
   method: string;
   target: string;
   body: Uint8Array;
 }
 
-/** A cancellation that has been durable since this revision of the state service. */
+/** The announcement of a job's cancellation. */
 export interface CancellationNotice {
+  /** Id of the cancelled job. */
   job: string;
+  /** Revision of the state service at which the cancellation became durable. */
   revision: number;
 }
 
-/** The same as it is sent. */
+/** The form in which a `CancellationNotice` is sent. */
 export interface SentCancellationNotice {
   job: string;
   revision: number;
 }
 
-/** A reply that is passed back to the controller that forwarded the request. */
+/** An HTTP reply for the controller that forwarded the request. */
 export interface ForwardedReply {
-  /** HTTP status. */
+  /** HTTP status code. */
   status: number;
+  /** Body of the reply, before it is encoded as JSON. */
   body: unknown;
-  /** Seconds after which the caller may come back. */
+  /** Seconds after which the caller may retry. Absent when the reply does not suggest a retry. */
   retryAfterS?: number;
 }
 
-/** The same as it is sent. */
-export interface SentReply {
+/** The form in which a `ForwardedReply` is sent. */
+export interface SentForwardedReply {
   status: number;
   body: unknown;
   retryAfterS?: number;
 }
 
-/** A request to forward. */
+/** Returns the form of the request that is sent. */
 export function encodeForwardedRequest(request: ForwardedRequest): SentForwardedRequest {
   return { method: request.method, target: request.target, body: request.body };
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. The fields are not checked. */
 export function decodeForwardedRequest(value: unknown): ForwardedRequest | null {
   if (!isObject(value)) return null;
   const sent = value as unknown as SentForwardedRequest;
   return { method: sent.method, target: sent.target, body: sent.body };
 }
 
-/** A notice to send. */
+/** Returns the form of the notice that is sent. */
 export function encodeCancellationNotice(notice: CancellationNotice): SentCancellationNotice {
   return { job: notice.job, revision: notice.revision };
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. The fields are not checked. */
 export function decodeCancellationNotice(value: unknown): CancellationNotice | null {
   if (!isObject(value)) return null;
   const sent = value as unknown as SentCancellationNotice;
   return { job: sent.job, revision: sent.revision };
 }
 
-/** A reply to pass back. */
-export function encodeForwardedReply(reply: ForwardedReply): SentReply {
-  const sent: SentReply = { status: reply.status, body: reply.body };
+/** Returns the form of the reply that is sent. */
+export function encodeForwardedReply(reply: ForwardedReply): SentForwardedReply {
+  const sent: SentForwardedReply = { status: reply.status, body: reply.body };
   if (reply.retryAfterS !== undefined) sent.retryAfterS = reply.retryAfterS;
   return sent;
 }
 
-/** Null: it is no object. */
+/** Returns null when the value is not an object. The fields are not checked. */
 export function decodeForwardedReply(value: unknown): ForwardedReply | null {
   if (!isObject(value)) return null;
-  const sent = value as unknown as SentReply;
+  const sent = value as unknown as SentForwardedReply;
   const reply: ForwardedReply = { status: sent.status, body: sent.body };
   if (sent.retryAfterS !== undefined) reply.retryAfterS = sent.retryAfterS;
   return reply;
--- a/src/records/roster-record.ts
+++ b/src/records/roster-record.ts
@@ -1,18 +1,19 @@
 /**
- * A page of machines that may have been given tasks.
+ * A page of the roster, the machines that tasks may have been assigned to.
  *
- * Keys: `roster/<page>`; the pages of this version are named `<term>-<number>`.
- * Written and removed: by the leader. Read: by the next leader, on failover,
- * which has to reach these machines before it gives their tasks to others.
- * Absent: nothing in a page; the key, once all of its machines are terminated.
- * Versions: the earliest kept one machine under its own name,
- * `roster/<machine>`: an entry without id and, earlier still, without address.
+ * Keys: `roster/<page>`. This version names its pages `<term>-<number>`.
+ * Access: The leader writes and removes pages. The next leader reads them on failover,
+ * since it has to contact these machines before it assigns their tasks to others.
+ * Absence: An entry has all fields. A key is absent once all machines of the page are
+ * terminated.
+ * Versions: The earliest versions stored each machine under `roster/<machine>`, as an
+ * entry without `id` and, in the first of them, without `address`.
  */
 
 import type { RosterEntry } from '../model/machine.js';
 import { isObject } from '../protocol/json-fields.js';
 
-/** A machine of a page as it is stored. */
+/** The stored form of `RosterEntry`. */
 export interface StoredRosterEntry {
   id: string;
   type: string;
@@ -21,12 +22,12 @@
   address: string;
 }
 
-/** A page as it is stored. */
+/** The stored form of a page. */
 export interface StoredRosterPage {
   machines: StoredRosterEntry[];
 }
 
-/** One machine. */
+/** Returns the stored form of one machine. */
 export function encodeRosterEntry(entry: RosterEntry): StoredRosterEntry {
   return {
     id: entry.id,
@@ -37,12 +38,16 @@
   };
 }
 
-/** The machines of a page. */
+/** Returns the stored form of a page with these machines. */
 export function encodeRosterPage(entries: readonly RosterEntry[]): StoredRosterPage {
   return { machines: entries.map(encodeRosterEntry) };
 }
 
-/** Null: it is no object. A missing field, or one of another type, becomes a text or false: no machine is dropped for it. */
+/**
+ * Returns null when the value is not an object. So that no machine is lost, malformed
+ * fields are replaced: `id`, `type` and `zone` are converted to strings, `spot` becomes
+ * false and `address` becomes empty.
+ */
 export function decodeRosterEntry(value: unknown): RosterEntry | null {
   if (!isObject(value)) return null;
   return {
@@ -55,14 +60,15 @@
 }
 
 /**
- * The machines of a page; `page` is what follows the prefix in its key. A
- * value of any other form counts as one machine of that name: a machine that
- * may have tasks must not be forgotten.
+ * Returns the machines of a page. `page` is the part of the key after the prefix. A
+ * value without a list `machines` is decoded as one machine with the id `page`, because
+ * a machine that may have tasks must not be lost. Items of the list that are not objects
+ * are dropped.
  */
 export function decodeRosterPage(page: string, value: unknown): RosterEntry[] {
   const stored = isObject(value) ? value : {};
-  const list: unknown[] = Array.isArray(stored.machines)
+  const storedEntries: unknown[] = Array.isArray(stored.machines)
     ? stored.machines
     : [{ ...stored, id: page }];
-  return list.map(decodeRosterEntry).filter((entry) => entry !== null);
+  return storedEntries.map(decodeRosterEntry).filter((entry) => entry !== null);
 }
--- a/src/records/stored-form.ts
+++ b/src/records/stored-form.ts
@@ -1,62 +1,64 @@
 /**
- * What all codecs of records share.
+ * Functions that the codecs of records share.
  *
- * A codec maps the stored form of a record to the program's own type and back,
- * field by field: a field of the latter may be renamed, and other versions still
- * read what they know.
+ * A codec maps the stored form of a record to the type that the program uses and back,
+ * field by field. The program's fields can thus be renamed while the stored names, which
+ * other versions read, stay the same.
  *
- * Two versions serve side by side during an upgrade, and the later one may write
- * fields that the earlier one does not know. Where a record is read and written
- * again, the earlier version must not drop these fields: it would silently take
- * back what the later one decided. So such a record's stored form is remembered
- * beside the decoded object and merged into what is written anew
- * (`rememberStoredForm`, `mergeIntoStoredForm`).
+ * Two versions run side by side during an upgrade, and the later one may write fields
+ * that the earlier one does not know. An earlier version that reads a record and writes
+ * it again must keep these fields, or it would silently undo a decision of the later
+ * version. `retainStoredForm` therefore keeps the stored form of a decoded object, and
+ * `mergeIntoRetainedForm` merges the new values into it.
  *
- * Codecs don't judge: whoever reads a record decides what is believed. A field
- * that is missing in the stored form is `undefined` in the decoded object, as it
- * would be without a codec.
+ * Most codecs do not validate fields: the caller has to check them. A field that is
+ * missing in the stored form is undefined in the decoded object.
  */
 
 import { isObject } from '../protocol/json-fields.js';
 
 /**
- * Maps an object with a codec's function. What is no object has no fields to
- * map and is passed on as it is, so that the reader sees, and refuses, what
- * was written.
+ * Decodes or encodes an object with the function of a codec. A value that is not an
+ * object is returned unchanged, so that the caller can check and reject it.
  */
 export function mapIfObject<T>(value: unknown, map: (value: never) => T | null): T {
   return isObject(value) ? (map(value as never) as T) : (value as T);
 }
 
 /**
- * By decoded object: its stored form, where that has other fields, or another
- * order of fields, than this version writes. The usual form is not kept: it
- * would be in memory twice.
+ * Stored forms by decoded object. Only forms whose fields or order of fields differ from
+ * those that this version writes are kept: keeping the others would hold each record in
+ * memory twice.
  */
-const unusualForms = new WeakMap<object, object>();
+const retainedForms = new WeakMap<object, object>();
 
 /**
- * For records that are read and written again: remembers the stored form that
- * the model was decoded from, unless it has just the fields that this version
- * writes, in their order (`usualFields`).
+ * Keeps the stored form that a model was decoded from, for `mergeIntoRetainedForm`. Does
+ * nothing when the form has exactly the fields that this version writes,
+ * `currentFields`, in the same order.
  */
-export function rememberStoredForm(
+export function retainStoredForm(
   model: object,
   stored: object,
-  usualFields: readonly string[],
+  currentFields: readonly string[],
 ): void {
   const fields = Object.keys(stored);
-  const isUsual =
-    fields.length === usualFields.length && fields.every((field, i) => field === usualFields[i]);
-  if (!isUsual) unusualForms.set(model, stored);
+  const isCurrentForm =
+    fields.length === currentFields.length &&
+    fields.every((field, i) => field === currentFields[i]);
+  if (!isCurrentForm) retainedForms.set(model, stored);
 }
 
 /**
- * The stored form to write for a model: `stored`, which this version writes,
- * with the fields of other versions that the record had when it was decoded,
- * each at its place. A model that was not decoded, or was copied since, has none.
+ * Returns the stored form to write for a model: the fields that this version writes,
+ * `stored`, merged into the retained form of the model. Unknown fields keep their values
+ * and all fields keep their places. Returns `stored` when no form was retained, for
+ * example because the model is a copy of the decoded object.
  */
-export function mergeIntoStoredForm<Stored extends object>(model: object, stored: Stored): Stored {
-  const before = unusualForms.get(model);
-  return before ? { ...before, ...stored } : stored;
+export function mergeIntoRetainedForm<Stored extends object>(
+  model: object,
+  stored: Stored,
+): Stored {
+  const retained = retainedForms.get(model);
+  return retained ? { ...retained, ...stored } : stored;
 }
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -59,50 +59,50 @@
   encodeRosterPage,
 } from '../src/records/roster-record.js';
 import { mapIfObject } from '../src/records/stored-form.js';
-import { PEER_FRAMES, WRITTEN } from './support/records.js';
+import { PEER_FRAMES, WRITTEN_RECORDS } from './support/records.js';
 import { jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 
 /** Reads a stored value into the model and writes the model again; throws when it is not readable. */
 type RoundTrip = (value: unknown, key: string) => unknown;
 
-function readable<T>(model: T | null): T {
-  assert.notEqual(model, null, 'readable');
-  return model as T;
+function requireDecoded<T>(decoded: T | null): T {
+  assert.notEqual(decoded, null, 'readable');
+  return decoded as T;
 }
 
 /** The codec of each key by the first part of its name. */
 const ROUND_TRIPS: Record<string, RoundTrip> = {
-  live: (value) => encodeLiveJob(readable(decodeLiveJob(value))),
+  live: (value) => encodeLiveJob(requireDecoded(decodeLiveJob(value))),
   upstream: (value) => encodeJobIds(decodeJobIds(value)),
   needs: (value) => encodeJobIds(decodeJobIds(value)),
   lists: (value) => {
-    const header = readable(decodeDependencyListHeader(value));
+    const header = requireDecoded(decodeDependencyListHeader(value));
     return header.removing ? encodeHeaderInRemoval(header) : encodeDependencyListHeader(header);
   },
   over: (value) => {
-    const record = readable(decodeJobEnd(value));
+    const record = requireDecoded(decodeJobEnd(value));
     return encodeJobEnd({ state: record.state, at: record.at ?? null }, record.tasks);
   },
-  bits: (value) => encodeFinishedTasks(readable(decodeFinishedTasks(value))),
+  bits: (value) => encodeFinishedTasks(requireDecoded(decodeFinishedTasks(value))),
   roster: (value, key) => encodeRosterPage(decodeRosterPage(key, value)),
   loads: (value, key) => {
     if (key !== 'loads')
-      return encodeFurtherPage(readable(decodeForecasts(value)).map(encodeForecast));
-    const { loads, upTo, more } = readable(decodeFirstPage(value));
+      return encodeFurtherPage(requireDecoded(decodeForecasts(value)).map(encodeForecast));
+    const { loads, upTo, more } = requireDecoded(decodeFirstPage(value));
     return encodeFirstPage(loads.map(encodeForecast), upTo, more);
   },
-  types: (value) => encodeMachineTypes(readable(decodeMachineTypes(value))),
+  types: (value) => encodeMachineTypes(requireDecoded(decodeMachineTypes(value))),
   mail: (value) => {
-    const mail = readable(decodeMailboxMessage(value));
+    const mail = requireDecoded(decodeMailboxMessage(value));
     return mail.kind === 'ask' ? encodeMailboxRequest(mail) : encodeMailboxResponse(mail);
   },
-  leader: (value) => encodeLeaderRecord(readable(decodeLeaderRecord(value))),
-  term: (value) => encodeTerm(readable(decodeTerm(value))),
+  leader: (value) => encodeLeaderRecord(requireDecoded(decodeLeaderRecord(value))),
+  term: (value) => encodeTerm(requireDecoded(decodeTerm(value))),
 };
 
 test('whatever the models are called, each record that is read is written as it was, byte for byte', () => {
   const covered = new Set<string>();
-  for (const [key, text] of Object.values(WRITTEN).flat()) {
+  for (const [key, text] of Object.values(WRITTEN_RECORDS).flat()) {
     const [name = ''] = key.split('/');
     const roundTrip = ROUND_TRIPS[name];
     assert.ok(roundTrip, `a codec for ${key}`);
@@ -115,18 +115,21 @@
 test('frames that are read are sent as they were, byte for byte', () => {
   for (const [name, hex] of Object.entries(PEER_FRAMES)) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
-    const read = readable(decodeFrame(value));
+    const read = requireDecoded(decodeFrame(value));
     assert.equal(packFrame(encodeFrame(read)).toString('hex'), hex, name);
   }
   const payloads: [string, (value: unknown) => unknown][] = [
-    [PEER_FRAMES.user, (v) => encodeForwardedRequest(readable(decodeForwardedRequest(v)))],
-    [PEER_FRAMES.cancelled, (v) => encodeCancellationNotice(readable(decodeCancellationNotice(v)))],
-    [PEER_FRAMES.userReply, (v) => encodeForwardedReply(readable(decodeForwardedReply(v)))],
-    [PEER_FRAMES.reportReply, (v) => encodeForwardedReply(readable(decodeForwardedReply(v)))],
+    [PEER_FRAMES.user, (v) => encodeForwardedRequest(requireDecoded(decodeForwardedRequest(v)))],
+    [
+      PEER_FRAMES.cancelled,
+      (v) => encodeCancellationNotice(requireDecoded(decodeCancellationNotice(v))),
+    ],
+    [PEER_FRAMES.userReply, (v) => encodeForwardedReply(requireDecoded(decodeForwardedReply(v)))],
+    [PEER_FRAMES.reportReply, (v) => encodeForwardedReply(requireDecoded(decodeForwardedReply(v)))],
   ];
   for (const [hex, roundTrip] of payloads) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
-    const read = readable(decodeFrame(value));
+    const read = requireDecoded(decodeFrame(value));
     assert.ok(read.kind !== 'status');
     const again = encodeFrame({ ...read, payload: roundTrip(read.payload) });
     assert.equal(packFrame(again).toString('hex'), hex);
@@ -173,7 +176,7 @@
 });
 
 /** What the state service or a peer might hold instead of an object. */
-const NO_OBJECTS = [undefined, null, 5, 'text', true, [], [{}]];
+const NON_OBJECTS = [undefined, null, 5, 'text', true, [], [{}]];
 
 test('what is no object is no record, and is left to its reader as it stands', () => {
   const decoders: Record<string, (value: unknown) => unknown> = {
@@ -194,7 +197,7 @@
     decodeForwardedReply,
   };
   for (const [name, decode] of Object.entries(decoders))
-    for (const value of NO_OBJECTS) {
+    for (const value of NON_OBJECTS) {
       assert.equal(decode(value), null, `${name} of ${JSON.stringify(value)}`);
       assert.equal(mapIfObject(value, decode), value);
     }
@@ -206,15 +209,15 @@
 
 test('records that lack fields are read without them, and those that must be whole are not', () => {
   for (const decode of [decodeJobSpec, decodeMachineType, decodeForecast]) {
-    const model = readable<object>(decode({}));
+    const model = requireDecoded<object>(decode({}));
     assert.ok(Object.values(model).every((value) => value === undefined));
   }
-  const live = readable(decodeLiveJob({ spec: null, at: 'x' }));
+  const live = requireDecoded(decodeLiveJob({ spec: null, at: 'x' }));
   assert.deepEqual([live.spec, live.acceptedAt], [null, 'x']);
   // Null is not the same as absent to those who ask whether there is a list.
-  assert.equal(readable(decodeLiveJob({ upstreamList: null })).dependencyList, null);
-  assert.equal(readable(decodeLiveJob({})).dependencyList, undefined);
-  const end = readable(decodeJobEnd({}));
+  assert.equal(requireDecoded(decodeLiveJob({ upstreamList: null })).dependencyList, null);
+  assert.equal(requireDecoded(decodeLiveJob({})).dependencyList, undefined);
+  const end = requireDecoded(decodeJobEnd({}));
   assert.deepEqual([end.state, end.tasks, end.at], [undefined, undefined, undefined]);
   const alone: RosterEntry = { id: 'n-7', type: 'm16', zone: 'a', spot: false, address: '' };
   assert.deepEqual(decodeRosterPage('n-7', { type: 'm16', zone: 'a' }), [alone]);
@@ -239,7 +242,7 @@
     gapMs: 5,
     quietMs: 6,
   };
-  const forecast = readable(decodeForecast(stored));
+  const forecast = requireDecoded(decodeForecast(stored));
   forecast.mean = 4;
   forecast.occupancyS = 9;
   assert.equal(
@@ -250,7 +253,9 @@
   forecast.meanRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   const shape: StoredResourceRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   assert.deepEqual(encodeForecast(forecast).shape, shape);
-  const header = readable(decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }));
+  const header = requireDecoded(
+    decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }),
+  );
   assert.equal(
     JSON.stringify(encodeHeaderInRemoval(header)),
     '{"by":"n-1","pages":2,"removing":true}',
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -6,7 +6,7 @@
 import { createPeers } from '../src/controller/membership/peers.js';
 import type { PeerStatus } from '../src/records/peer-frames.js';
 import { FakeClock, settle } from './support/clock.js';
-import { recordingNode } from './support/recording.js';
+import { createRecordingNode } from './support/recording.js';
 import { PEER_FRAMES } from './support/records.js';
 
 const SENT_STATUS: PeerStatus = {
@@ -24,16 +24,16 @@
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
 /** Bounded by steps and never by real time, of which a busy machine may need any amount. */
-async function until(holds: () => boolean, step: () => Promise<unknown>): Promise<void> {
-  for (let i = 0; i < 2000 && !holds(); i++) {
+async function waitUntil(condition: () => boolean, step: () => Promise<unknown>): Promise<void> {
+  for (let i = 0; i < 2000 && !condition(); i++) {
     await step();
     await settle();
   }
-  assert.ok(holds(), 'in time');
+  assert.ok(condition(), 'in time');
 }
 
 /** A node's real duties towards its peers, and a peer that is played by bare sockets. */
-async function meeting(t: TestContext) {
+async function startNodeWithPeer(t: TestContext) {
   // The sockets are real: time-outs of connections and questions never come.
   t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
@@ -52,7 +52,7 @@
   const { port } = free.address() as net.AddressInfo;
   free.close();
   await once(free, 'close');
-  const node = recordingNode(clock);
+  const node = createRecordingNode(clock);
   const peerPort = (listener.address() as net.AddressInfo).port;
   const ctx: ControllerContext = {
     ...node.ctx,
@@ -77,7 +77,7 @@
     announceCancellation: (job, revision) => taken.push(['cancelled', job, revision]),
   });
   void peers.run(stop.signal);
-  await until(
+  await waitUntil(
     () => dialled.length > 0,
     () => clock.advance(ctx.timing.renewMs),
   );
@@ -109,20 +109,20 @@
 }
 
 test('what a node tells its peers and asks them is these bytes, and answers are read', async (t) => {
-  const m = await meeting(t);
+  const m = await startNodeWithPeer(t);
   try {
-    await until(
+    await waitUntil(
       () => m.heard().length > 0,
       () => m.clock.advance(m.ctx.timing.renewMs),
     );
     assert.equal(m.heard().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
     m.send(PEER_FRAMES.peerStatus);
-    await until(() => m.peers.isReachable('n-1'), settle);
+    await waitUntil(() => m.peers.isReachable('n-1'), settle);
     assert.deepEqual(m.taken, [['term', 2]]);
     const ask = async (question: () => Promise<unknown>, sent: string, answer: string) => {
       m.forget();
       const asked = question();
-      await until(() => m.heard().includes(sent), settle);
+      await waitUntil(() => m.heard().includes(sent), settle);
       m.reply(answer);
       return asked;
     };
@@ -153,12 +153,12 @@
 });
 
 test('what peers ask is read from these bytes, and answered with these', async (t) => {
-  const m = await meeting(t);
+  const m = await startNodeWithPeer(t);
   try {
     const answer = async (question: string, expected: string) => {
       const before = m.answers().length;
       m.send(question);
-      await until(() => m.answers().length > before, settle);
+      await waitUntil(() => m.answers().length > before, settle);
       assert.equal(m.answers().slice(before), expected);
     };
     await answer(PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
@@ -175,10 +175,10 @@
 });
 
 test('a peer of an earlier version says nothing of its memory, and its counts are taken', async (t) => {
-  const m = await meeting(t);
+  const m = await startNodeWithPeer(t);
   try {
     m.send(PEER_FRAMES.earlierStatus);
-    await until(() => m.peers.isReachable('n-1'), settle);
+    await waitUntil(() => m.peers.isReachable('n-1'), settle);
     assert.equal(m.peers.statuses.isLeaderMemoryShort(), false);
     assert.deepEqual(m.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
     assert.equal(m.peers.lastLedAt('n-1', 3), m.clock.now());
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -19,12 +19,12 @@
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
 import { WITHOUT_LEADER } from './support/job-api.js';
-import { recordingNode } from './support/recording.js';
-import { LONG_IDS, WRITTEN } from './support/records.js';
+import { createRecordingNode } from './support/recording.js';
+import { LONG_IDS, WRITTEN_RECORDS } from './support/records.js';
 import { createCluster, jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 import type { FakeStore } from './support/state.js';
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 /** Puts the literal texts into the store, as another version has left them. */
 function seed(store: FakeStore, ...texts: readonly (readonly [key: string, text: string])[]): void {
@@ -32,18 +32,18 @@
     store.transact([], [{ op: 'put', key, value: JSON.parse(text) }]);
 }
 
-function textOf(records: readonly (readonly [string, string])[], key: string): string {
+function requireText(records: readonly (readonly [string, string])[], key: string): string {
   const found = records.find(([written]) => written === key);
   assert.ok(found, key);
   return found[1];
 }
 
-const PLAIN = textOf(WRITTEN.liveJobs, 'live/req-000001');
-const FULL = textOf(WRITTEN.liveJobs, 'live/req-000002');
-const LOADS = textOf(WRITTEN.loads, 'loads');
+const PLAIN_JOB = requireText(WRITTEN_RECORDS.liveJobs, 'live/req-000001');
+const FULL_JOB = requireText(WRITTEN_RECORDS.liveJobs, 'live/req-000002');
+const FORECAST_PAGE = requireText(WRITTEN_RECORDS.loads, 'loads');
 
 /** A leader that takes over what the store holds, and what it logs. */
-async function takeover(ctx: ControllerContext) {
+async function startLeader(ctx: ControllerContext) {
   const logged: { level: number; msg: string; key?: string }[] = [];
   const log = pino({ level: 'info' }, { write: (line: string) => logged.push(JSON.parse(line)) });
   const stop = new AbortController();
@@ -89,11 +89,16 @@
 }
 
 test('a leader takes over jobs, finished tasks, machines and expected work', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
-  seed(store, ...WRITTEN.liveJobs, ...WRITTEN.upstreamPages, ...WRITTEN.upstreamList);
-  seed(store, ...WRITTEN.progress, ...WRITTEN.loads, ...WRITTEN.types);
+  const { ctx, store } = createRecordingNode(new FakeClock());
+  seed(
+    store,
+    ...WRITTEN_RECORDS.liveJobs,
+    ...WRITTEN_RECORDS.upstreamPages,
+    ...WRITTEN_RECORDS.upstreamList,
+  );
+  seed(store, ...WRITTEN_RECORDS.progress, ...WRITTEN_RECORDS.loads, ...WRITTEN_RECORDS.types);
   seed(store, ['bits/req-000002/0000', '"Ag=="']);
-  const { leader, end } = await takeover(ctx);
+  const { leader, end } = await startLeader(ctx);
   const { jobs, machines } = leader.cluster;
   assert.deepEqual(
     [...jobs.keys()],
@@ -144,15 +149,15 @@
 });
 
 test('machines in keys of their own and jobs without times, of earlier versions, are taken over', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
-  const job = JSON.parse(PLAIN) as { spec: object };
+  const { ctx, store } = createRecordingNode(new FakeClock());
+  const job = JSON.parse(PLAIN_JOB) as { spec: object };
   seed(
     store,
     ['roster/n-7', '{"type":"m16","zone":"a","spot":true}'],
     ['roster/odd', '[]'],
     ['live/req-000001', JSON.stringify({ spec: job.spec })],
   );
-  const { leader, end } = await takeover(ctx);
+  const { leader, end } = await startLeader(ctx);
   const { machines, jobs } = leader.cluster;
   const read = [...machines.values()].map((machine) => [
     machine.id,
@@ -170,10 +175,10 @@
 });
 
 test('jobs and bitmaps that are not readable are said once, and hold up nothing', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
+  const { ctx, store } = createRecordingNode(new FakeClock());
   seed(
     store,
-    ...WRITTEN.liveJobs,
+    ...WRITTEN_RECORDS.liveJobs,
     ['live/a', '5'],
     ['live/b', '{}'],
     ['live/c', '{"spec":null}'],
@@ -181,7 +186,7 @@
     ['bits/req-000001/0000', '{"odd":1}'],
     ['bits/req-000002/odd', '"Ag=="'],
   );
-  const { leader, logged, end } = await takeover(ctx);
+  const { leader, logged, end } = await startLeader(ctx);
   assert.deepEqual([...leader.cluster.jobs.keys()], ['req-000001', 'req-000002', 'req-000003']);
   const errors = logged.filter((line) => line.level >= 50).map((line) => [line.msg, line.key]);
   assert.deepEqual(
@@ -193,9 +198,14 @@
 });
 
 test('what users ask is answered from the records', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
-  seed(store, ...WRITTEN.upstreamPages, ...WRITTEN.upstreamList, ...WRITTEN.ends.slice(0, 2));
-  seed(store, ['live/odd', 'null'], ['live/req-000009', FULL]);
+  const { ctx, store } = createRecordingNode(new FakeClock());
+  seed(
+    store,
+    ...WRITTEN_RECORDS.upstreamPages,
+    ...WRITTEN_RECORDS.upstreamList,
+    ...WRITTEN_RECORDS.ends.slice(0, 2),
+  );
+  seed(store, ['live/odd', 'null'], ['live/req-000009', FULL_JOB]);
   const jobs = new JobStore(ctx);
   for (const id of ['req-000004', 'req-000005']) {
     const found = await jobs.find(id, RequestPriority.submissions);
@@ -223,7 +233,7 @@
 });
 
 test('a record that is none is not believed, and ends nothing', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
+  const { ctx, store } = createRecordingNode(new FakeClock());
   seed(store, ['live/req-000001', 'null'], ['live/req-000002', '5'], ['over/req-000003', 'null']);
   const users = new JobApi(ctx, WITHOUT_LEADER);
   for (const id of ['req-000001', 'req-000002', 'req-000003'])
@@ -232,11 +242,11 @@
 
 test('what a later version added goes on in what is written again', async () => {
   const clock = new FakeClock();
-  const { ctx, store, state } = recordingNode(clock);
-  const loads = LOADS.replace('"spec":{', '"spec":{"later":[1],')
+  const { ctx, store, state } = createRecordingNode(clock);
+  const loads = FORECAST_PAGE.replace('"spec":{', '"spec":{"later":[1],')
     .replace('"shape":{', '"hint":"x","shape":{"disks":2,')
     .replace(',"holdS":20.6', '');
-  const live = PLAIN.replace('"oneZone"', '"region":"r","oneZone"');
+  const live = PLAIN_JOB.replace('"oneZone"', '"region":"r","oneZone"');
   seed(store, ['loads', loads], ['live/req-000001', live]);
   const stop = new AbortController();
   const term = { number: 1, version: 0, signal: stop.signal } as never;
@@ -256,36 +266,39 @@
     .replace('"quietMs":0', '"quietMs":0,"holdS":20.6');
   const shape = '"shape":{"cpus":2,"gpus":0,"memoryGb":4}';
   const small = `{"spec":${JSON.stringify(spec)},"mean":0.212,"variance":0.424,${shape},"holdS":10.6,"gapMs":50000,"quietMs":0}`;
-  assert.equal(state.text('loads'), `{"loads":[${large},${small}],"upTo":99,"more":0}`);
+  assert.equal(state.lastText('loads'), `{"loads":[${large},${small}],"upTo":99,"more":0}`);
 });
 
 test('machine types are read, and kept as they stand unless more than a price differs', async () => {
-  const { ctx, store, state } = recordingNode(new FakeClock());
+  const { ctx, store, state } = createRecordingNode(new FakeClock());
   const cloud = { types: async () => [MACHINE_TYPE] };
   const g8 = { ...MACHINE_TYPE, name: 'g8', gpus: 8 };
-  seed(store, ...WRITTEN.types);
-  assert.deepEqual(await readMachineTypes(ctx, cloud, never), [MACHINE_TYPE, g8]);
-  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
+  seed(store, ...WRITTEN_RECORDS.types);
+  assert.deepEqual(await readMachineTypes(ctx, cloud, neverAborted), [MACHINE_TYPE, g8]);
+  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], neverAborted);
   assert.deepEqual(state.written, []);
   // A later version's field is no longer there once this one has written.
-  seed(store, ['types', textOf(WRITTEN.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1')]);
+  seed(store, [
+    'types',
+    requireText(WRITTEN_RECORDS.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1'),
+  ]);
   assert.deepEqual(
-    (await readMachineTypes(ctx, cloud, never)).map((type) => type.gpus),
+    (await readMachineTypes(ctx, cloud, neverAborted)).map((type) => type.gpus),
     [0, 8],
   );
-  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
-  assert.deepEqual(state.written, WRITTEN.types);
+  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], neverAborted);
+  assert.deepEqual(state.written, WRITTEN_RECORDS.types);
   for (const odd of ['{}', '[]', 'null', '"x"']) {
     seed(store, ['types', odd]);
-    assert.deepEqual(await readMachineTypes(ctx, cloud, never), [MACHINE_TYPE]);
+    assert.deepEqual(await readMachineTypes(ctx, cloud, neverAborted), [MACHINE_TYPE]);
   }
 });
 
 test('a list whose job never came is removed, with what a later version has put into its header', async () => {
   const clock = new FakeClock();
-  const { ctx, store, state } = recordingNode(clock);
-  seed(store, ...WRITTEN.upstreamList.slice(0, -1));
-  const [[key] = ['']] = WRITTEN.upstreamList;
+  const { ctx, store, state } = createRecordingNode(clock);
+  seed(store, ...WRITTEN_RECORDS.upstreamList.slice(0, -1));
+  const [[key] = ['']] = WRITTEN_RECORDS.upstreamList;
   seed(store, [key, '{"by":"n-1","pages":2}']);
   const stop = new AbortController();
   void new DependencyListCleaner(ctx, new Map()).run(stop.signal);
@@ -297,7 +310,7 @@
 
 test('the leader is read from its record; one that is not readable is none', async () => {
   const clock = new FakeClock();
-  const { ctx, store } = recordingNode(clock);
+  const { ctx, store } = createRecordingNode(clock);
   seed(store, ['leader', '{"node":"n-1","incarnation":"n-1-1","term":6,"lease":3}'], ['term', '6']);
   const stop = new AbortController();
   const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
@@ -312,7 +325,7 @@
 
 test('mail that is none, or for an earlier process, is let be', async () => {
   const clock = new FakeClock();
-  const { ctx, store, state } = recordingNode(clock);
+  const { ctx, store, state } = createRecordingNode(clock);
   const stop = new AbortController();
   const texts: string[] = [];
   const mail = new Mailbox(ctx, async (text) => texts.push(text));
@@ -333,7 +346,7 @@
   await late;
   assert.deepEqual(texts, ['t']);
   assert.equal(
-    state.text('mail/n-1/n-0/m-9'),
+    state.lastText('mail/n-1/n-0/m-9'),
     '{"kind":"answer","n":"seven","incarnation":null,"value":1}',
   );
   stop.abort();
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -15,22 +15,25 @@
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
 import { WITHOUT_LEADER } from './support/job-api.js';
-import { recordingNode } from './support/recording.js';
-import { FULL_SUBMISSION, LONG_IDS, WRITTEN } from './support/records.js';
+import { createRecordingNode } from './support/recording.js';
+import { FULL_SUBMISSION, LONG_IDS, WRITTEN_RECORDS } from './support/records.js';
 import { createCluster, jobSpec, MACHINE_TYPE, ScriptedAgent } from './support/scheduler.js';
 import { SUBMISSION } from './support/submission.js';
 
 /** Values of this size hold a job's record and few ids. */
 const SMALL_VALUES = { presentValueBytes: 700, valueBytes: 700 };
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 /** What was written is exactly the literal text, under exactly these keys, in this order. */
-function assertWritten(written: readonly [string, string][], name: keyof typeof WRITTEN): void {
-  assert.deepEqual(written, WRITTEN[name]);
+function assertWritten(
+  written: readonly [string, string][],
+  name: keyof typeof WRITTEN_RECORDS,
+): void {
+  assert.deepEqual(written, WRITTEN_RECORDS[name]);
 }
 
 test('live jobs: plain, with every option, and with one that they wait for', async () => {
-  const { ctx, state } = recordingNode(new FakeClock());
+  const { ctx, state } = createRecordingNode(new FakeClock());
   const users = new JobApi(
     { ...ctx, machineTypes: [MACHINE_TYPE, { ...MACHINE_TYPE, name: 'g8', gpus: 8 }] },
     WITHOUT_LEADER,
@@ -46,7 +49,7 @@
 });
 
 test('live jobs with further ids in pages', async () => {
-  const { ctx, state } = recordingNode(new FakeClock(), SMALL_VALUES);
+  const { ctx, state } = createRecordingNode(new FakeClock(), SMALL_VALUES);
   const record: LiveJobRecord = {
     spec: jobSpec({ id: 'req-000004' }),
     acceptedAt: ctx.clock.wall(),
@@ -60,7 +63,10 @@
 });
 
 test('live jobs with a list of their own, and the removal of that list', async () => {
-  const { ctx, state, store } = recordingNode(new FakeClock(), { ...SMALL_VALUES, changes: 1 });
+  const { ctx, state, store } = createRecordingNode(new FakeClock(), {
+    ...SMALL_VALUES,
+    changes: 1,
+  });
   const record: LiveJobRecord = {
     spec: jobSpec({ id: 'req-000005' }),
     acceptedAt: ctx.clock.wall(),
@@ -85,7 +91,7 @@
 });
 
 test('ends of jobs: done, cancelled by their user, with another and before they began', async () => {
-  const { ctx, state } = recordingNode(new FakeClock());
+  const { ctx, state } = createRecordingNode(new FakeClock());
   const store = new JobStore(ctx);
   const cluster = createCluster();
   for (const id of ['req-000001', 'req-000002'])
@@ -110,7 +116,7 @@
 });
 
 test('finished tasks of an array, and pages of machines', async () => {
-  const { state } = recordingNode(new FakeClock());
+  const { state } = createRecordingNode(new FakeClock());
   const cluster = createCluster({ term: 3 });
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 100 }), 7, 0, false);
   const job = cluster.jobs.get('req-000001');
@@ -136,7 +142,7 @@
 
 test('what work is expected, in pages', async () => {
   const clock = new FakeClock();
-  const { ctx, state } = recordingNode(clock, { valueBytes: 900 });
+  const { ctx, state } = createRecordingNode(clock, { valueBytes: 900 });
   const stop = new AbortController();
   const term = { term: 1, version: 0, signal: stop.signal } as never;
   const loads = new DemandStore(ctx, term, new ScaleOutPlanner(createCluster()));
@@ -157,19 +163,23 @@
 });
 
 test('machine types; a change of prices alone is not written', async () => {
-  const { ctx, state } = recordingNode(new FakeClock());
-  await storeMachineTypes(ctx, [MACHINE_TYPE, { ...MACHINE_TYPE, name: 'g8', gpus: 8 }], never);
+  const { ctx, state } = createRecordingNode(new FakeClock());
+  await storeMachineTypes(
+    ctx,
+    [MACHINE_TYPE, { ...MACHINE_TYPE, name: 'g8', gpus: 8 }],
+    neverAborted,
+  );
   await storeMachineTypes(
     ctx,
     [MACHINE_TYPE, { ...MACHINE_TYPE, name: 'g8', gpus: 8, price: 7, spotPrice: 2 }],
-    never,
+    neverAborted,
   );
   assertWritten(state.written, 'types');
 });
 
 test('questions and answers by mail', async () => {
   const clock = new FakeClock();
-  const { ctx, state, store } = recordingNode(clock);
+  const { ctx, state, store } = createRecordingNode(clock);
   const stop = new AbortController();
   const asker = new Mailbox(ctx, () => Promise.reject(new Error('not asked')));
   const other = { ...ctx, node: 'n-1', incarnation: 'n-1-1' };
@@ -185,7 +195,7 @@
 
 test('the leader and its term', async () => {
   const clock = new FakeClock();
-  const { ctx, state } = recordingNode(clock);
+  const { ctx, state } = createRecordingNode(clock);
   const stop = new AbortController();
   const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
   void leadership.run(stop.signal);
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -6,7 +6,7 @@
 import { FakeStateService, FakeStore } from './state.js';
 
 /** A state service that keeps the text of every value that is written to it, in order. */
-export class RecordingState extends FakeStateService {
+export class RecordingStateService extends FakeStateService {
   /** Key and JSON text of each value, as they leave the writer. */
   readonly written: [key: string, text: string][] = [];
 
@@ -19,15 +19,15 @@
   }
 
   /** The text last written under the key. */
-  text(key: string): string | undefined {
+  lastText(key: string): string | undefined {
     return this.written.findLast(([written]) => written === key)?.[1];
   }
 }
 
 /** One node with a store of its own; low limits make little data take several pages. */
-export function recordingNode(clock: FakeClock, limits: Partial<StateLimits> = {}) {
+export function createRecordingNode(clock: FakeClock, limits: Partial<StateLimits> = {}) {
   const store = new FakeStore(clock);
-  const state = new RecordingState(store);
+  const state = new RecordingStateService(store);
   const base = createContext('n-0', state, clock);
   const ctx: ControllerContext = { ...base, limits: { ...base.limits, ...limits } };
   return { store, state, ctx };
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -16,13 +16,13 @@
 /** Ids as long as they may be: few of them fill a page. */
 export const LONG_IDS = Array.from({ length: 10 }, (_, i) => `req-${String(i).padStart(60, '0')}`);
 
-type Written = [key: string, text: string][];
+type WrittenRecords = [key: string, text: string][];
 
 /**
  * What is written to the state service, literally: each value's key and its JSON text, in the order
  * of writing. Other versions read these bytes: they change only together with a way to read both.
  */
-export const WRITTEN = {
+export const WRITTEN_RECORDS = {
   /** Live jobs as users submit them: plain, with all that may be left out, and waiting for two others. */
   liveJobs: [
     [
@@ -117,7 +117,7 @@
     ['leader', '{"node":"n-0","incarnation":"n-0-1","term":1,"lease":1}'],
     ['term', '1'],
   ],
-} satisfies Record<string, Written>;
+} satisfies Record<string, WrittenRecords>;
 
 /** Frames between controllers as hexadecimal: a length of four bytes, then one CBOR value. */
 export const PEER_FRAMES = {
