--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -31,17 +31,17 @@
   later: 'ignored',
 };
 
-test('a submission is taken with every field, and nullable ones may be left out', () => {
+test('a submission with all fields is parsed, and its nullable fields may be absent', () => {
   const spec = parseSubmission(SUBMISSION);
   assert.equal(spec.priority, 1);
   assert.deepEqual(spec.machineTypes, ['m16']);
-  const { rigs: _r, hall: _h, dueS: _d, ...short } = SUBMISSION;
-  const other = parseSubmission(short);
-  assert.deepEqual([other.machineTypes, other.zone, other.deadlineS], [null, null, null]);
+  const { rigs: _r, hall: _h, dueS: _d, ...withoutNullable } = SUBMISSION;
+  const parsed = parseSubmission(withoutNullable);
+  assert.deepEqual([parsed.machineTypes, parsed.zone, parsed.deadlineS], [null, null, null]);
 });
 
-test('a malformed submission is refused, whatever is wrong with it', () => {
-  const wrong: Record<string, unknown> = {
+test('a submission with a malformed field or body is rejected', () => {
+  const malformed: Record<string, unknown> = {
     id: 'job-1',
     bracket: 7,
     crew: '',
@@ -63,7 +63,7 @@
     markCostS: {},
     dueS: 'soon',
   };
-  for (const [field, value] of Object.entries(wrong))
+  for (const [field, value] of Object.entries(malformed))
     assert.throws(
       () => parseSubmission({ ...SUBMISSION, [field]: value }),
       MalformedMessageError,
@@ -75,7 +75,7 @@
     assert.throws(() => parseSubmission(body), MalformedMessageError);
 });
 
-test('what can never run is told from what can', () => {
+test('a job that can never run is reported with the reason', () => {
   const teams = new Map([['ops', teamQuota({ name: 'ops', maxCpus: 10 })]]);
   const job = parseSubmission({ ...SUBMISSION, memoryGb: 8 });
   assert.equal(unrunnableReason(job, teams, [MACHINE_TYPE]), null);
@@ -89,7 +89,7 @@
   assert.equal(unrunnableReason({ ...job, cpus: 11 }, teams, [MACHINE_TYPE]), 'exceedsTeamMaximum');
 });
 
-test('reports and orders carry the wire’s own words', () => {
+test('heartbeats are parsed from the names on the wire, and commands are encoded to them', () => {
   const heartbeat = parseHeartbeat({
     cart: 'n-000231',
     endpoint: '10.1.0.232:9000',
@@ -129,7 +129,7 @@
   );
 });
 
-test('malformed reports and lists are refused, not believed', () => {
+test('malformed heartbeats and machine lists are rejected', () => {
   for (const body of [null, {}, { cart: 'n-1', hands: 'x' }, { carts: [{ id: 'n-1' }] }])
     assert.throws(() => parseHeartbeat(body), MalformedMessageError);
   for (const body of [null, {}, { carts: [{ id: 'n-1', standing: 'odd' }] }, { carts: [7] }])
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -62,15 +62,15 @@
 import { PEER_FRAMES, WRITTEN_RECORDS } from './support/records.js';
 import { jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 
-/** Reads a stored value into the model and writes the model again; throws when it is not readable. */
+/** Decodes a stored value and encodes the result again. Throws when the value can't be decoded. */
 type RoundTrip = (value: unknown, key: string) => unknown;
 
 function requireDecoded<T>(decoded: T | null): T {
-  assert.notEqual(decoded, null, 'readable');
+  assert.notEqual(decoded, null, 'the value can be decoded');
   return decoded as T;
 }
 
-/** The codec of each key by the first part of its name. */
+/** Codecs by the first part of the key. */
 const ROUND_TRIPS: Record<string, RoundTrip> = {
   live: (value) => encodeLiveJob(requireDecoded(decodeLiveJob(value))),
   upstream: (value) => encodeJobIds(decodeJobIds(value)),
@@ -93,14 +93,14 @@
   },
   types: (value) => encodeMachineTypes(requireDecoded(decodeMachineTypes(value))),
   mail: (value) => {
-    const mail = requireDecoded(decodeMailboxMessage(value));
-    return mail.kind === 'ask' ? encodeMailboxRequest(mail) : encodeMailboxResponse(mail);
+    const message = requireDecoded(decodeMailboxMessage(value));
+    return message.kind === 'ask' ? encodeMailboxRequest(message) : encodeMailboxResponse(message);
   },
   leader: (value) => encodeLeaderRecord(requireDecoded(decodeLeaderRecord(value))),
   term: (value) => encodeTerm(requireDecoded(decodeTerm(value))),
 };
 
-test('whatever the models are called, each record that is read is written as it was, byte for byte', () => {
+test('a stored record that is decoded and encoded again is unchanged, byte for byte', () => {
   const covered = new Set<string>();
   for (const [key, text] of Object.values(WRITTEN_RECORDS).flat()) {
     const [name = ''] = key.split('/');
@@ -112,11 +112,11 @@
   assert.deepEqual([...covered].sort(), Object.keys(ROUND_TRIPS).sort());
 });
 
-test('frames that are read are sent as they were, byte for byte', () => {
+test('a peer frame that is decoded and encoded again is unchanged, byte for byte', () => {
   for (const [name, hex] of Object.entries(PEER_FRAMES)) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
-    const read = requireDecoded(decodeFrame(value));
-    assert.equal(packFrame(encodeFrame(read)).toString('hex'), hex, name);
+    const frame = requireDecoded(decodeFrame(value));
+    assert.equal(packFrame(encodeFrame(frame)).toString('hex'), hex, name);
   }
   const payloads: [string, (value: unknown) => unknown][] = [
     [PEER_FRAMES.user, (v) => encodeForwardedRequest(requireDecoded(decodeForwardedRequest(v)))],
@@ -129,17 +129,17 @@
   ];
   for (const [hex, roundTrip] of payloads) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
-    const read = requireDecoded(decodeFrame(value));
-    assert.ok(read.kind !== 'status');
-    const again = encodeFrame({ ...read, payload: roundTrip(read.payload) });
-    assert.equal(packFrame(again).toString('hex'), hex);
+    const frame = requireDecoded(decodeFrame(value));
+    assert.ok(frame.kind !== 'status');
+    const encoded = encodeFrame({ ...frame, payload: roundTrip(frame.payload) });
+    assert.equal(packFrame(encoded).toString('hex'), hex);
   }
 });
 
-test('a model that is written is read as it was', () => {
+test('a model that is encoded and decoded again is unchanged', () => {
   const job = jobSpec({ machineTypes: ['m16'], zone: 'b', deadlineS: 30 });
-  const throughText = (stored: unknown): unknown => JSON.parse(JSON.stringify(stored));
-  assert.deepEqual(decodeJobSpec(throughText(encodeJobSpec(job))), job);
+  const jsonRoundTrip = (stored: unknown): unknown => JSON.parse(JSON.stringify(stored));
+  assert.deepEqual(decodeJobSpec(jsonRoundTrip(encodeJobSpec(job))), job);
   const records: LiveJobRecord[] = [
     { spec: job, acceptedAt: 7 },
     { spec: job, acceptedAt: 7, dependencies: ['req-1'], dependencyPages: 2 },
@@ -151,7 +151,7 @@
     },
   ];
   for (const record of records)
-    assert.deepEqual(decodeLiveJob(throughText(encodeLiveJob(record))), record);
+    assert.deepEqual(decodeLiveJob(jsonRoundTrip(encodeLiveJob(record))), record);
   const forecast: DemandForecast = {
     spec: job,
     mean: 0.5,
@@ -161,8 +161,8 @@
     arrivalIntervalMs: null,
     sinceLastArrivalMs: 9,
   };
-  assert.deepEqual(decodeForecast(throughText(encodeForecast(forecast))), forecast);
-  assert.deepEqual(decodeMachineTypes(throughText(encodeMachineTypes([MACHINE_TYPE]))), [
+  assert.deepEqual(decodeForecast(jsonRoundTrip(encodeForecast(forecast))), forecast);
+  assert.deepEqual(decodeMachineTypes(jsonRoundTrip(encodeMachineTypes([MACHINE_TYPE]))), [
     MACHINE_TYPE,
   ]);
   const machine: RosterEntry = {
@@ -172,13 +172,13 @@
     spot: true,
     address: '10.0.0.1:9001',
   };
-  assert.deepEqual(decodeRosterPage('3-1', throughText(encodeRosterPage([machine]))), [machine]);
+  assert.deepEqual(decodeRosterPage('3-1', jsonRoundTrip(encodeRosterPage([machine]))), [machine]);
 });
 
-/** What the state service or a peer might hold instead of an object. */
+/** Values that the state service or a peer may return instead of an object. */
 const NON_OBJECTS = [undefined, null, 5, 'text', true, [], [{}]];
 
-test('what is no object is no record, and is left to its reader as it stands', () => {
+test('a value that is not an object decodes to null, and mapIfObject returns it unchanged', () => {
   const decoders: Record<string, (value: unknown) => unknown> = {
     decodeJobSpec,
     decodeLiveJob,
@@ -207,32 +207,38 @@
   assert.equal(decodeTerm('7'), null);
 });
 
-test('records that lack fields are read without them, and those that must be whole are not', () => {
+test('a record with missing fields decodes without them, or to null where they are required', () => {
   for (const decode of [decodeJobSpec, decodeMachineType, decodeForecast]) {
     const model = requireDecoded<object>(decode({}));
     assert.ok(Object.values(model).every((value) => value === undefined));
   }
   const live = requireDecoded(decodeLiveJob({ spec: null, at: 'x' }));
   assert.deepEqual([live.spec, live.acceptedAt], [null, 'x']);
-  // Null is not the same as absent to those who ask whether there is a list.
+  // Callers distinguish an absent list from null.
   assert.equal(requireDecoded(decodeLiveJob({ upstreamList: null })).dependencyList, null);
   assert.equal(requireDecoded(decodeLiveJob({})).dependencyList, undefined);
   const end = requireDecoded(decodeJobEnd({}));
   assert.deepEqual([end.state, end.tasks, end.at], [undefined, undefined, undefined]);
-  const alone: RosterEntry = { id: 'n-7', type: 'm16', zone: 'a', spot: false, address: '' };
-  assert.deepEqual(decodeRosterPage('n-7', { type: 'm16', zone: 'a' }), [alone]);
+  const singleMachine: RosterEntry = {
+    id: 'n-7',
+    type: 'm16',
+    zone: 'a',
+    spot: false,
+    address: '',
+  };
+  assert.deepEqual(decodeRosterPage('n-7', { type: 'm16', zone: 'a' }), [singleMachine]);
   assert.deepEqual(decodeRosterPage('p', { machines: [null, 5] }), []);
   assert.deepEqual(decodeFirstPage({ loads: [], upTo: 3 }), { loads: [], upTo: 3, more: 0 });
-  for (const odd of [{}, { kind: 'ask' }, { kind: 'ask', text: 5 }, { kind: 'status' }])
-    assert.equal(decodeMailboxMessage(odd), null);
-  for (const odd of [{}, { kind: 'odd' }, { kind: 'status' }, { kind: 'status', status: [] }])
-    assert.equal(decodeFrame(odd), null);
+  for (const malformed of [{}, { kind: 'ask' }, { kind: 'ask', text: 5 }, { kind: 'status' }])
+    assert.equal(decodeMailboxMessage(malformed), null);
+  for (const malformed of [{}, { kind: 'odd' }, { kind: 'status' }, { kind: 'status', status: [] }])
+    assert.equal(decodeFrame(malformed), null);
   const leader = { node: 'n-0', incarnation: 'i', term: 1, lease: 2 };
   for (const field of Object.keys(leader))
     assert.equal(decodeLeaderRecord({ ...leader, [field]: null }), null, field);
 });
 
-test('in what is read and written again, fields of a later version stay where they are', () => {
+test('unknown fields keep their values and places when a record is decoded and encoded again', () => {
   const stored = {
     later: 1,
     spec: { region: 'r', ...encodeJobSpec(jobSpec()) },
@@ -249,7 +255,7 @@
     JSON.stringify(encodeForecast(forecast)),
     JSON.stringify({ ...stored, mean: 4, holdS: 9 }),
   );
-  // What is made anew has nothing of it.
+  // A new object has no unknown fields.
   forecast.meanRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   const shape: StoredResourceRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   assert.deepEqual(encodeForecast(forecast).shape, shape);
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -20,38 +20,38 @@
   counts: [['req-000412', 9, 4]],
 };
 
-/** A frame's bytes without the length before it. */
+/** Decodes the hexadecimal form of a frame. */
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
-/** Bounded by steps and never by real time, of which a busy machine may need any amount. */
+/** Repeats the step until the condition holds. Limits steps and not real time, since a busy machine may be slow. */
 async function waitUntil(condition: () => boolean, step: () => Promise<unknown>): Promise<void> {
   for (let i = 0; i < 2000 && !condition(); i++) {
     await step();
     await settle();
   }
-  assert.ok(condition(), 'in time');
+  assert.ok(condition(), 'the condition holds within the limit of steps');
 }
 
-/** A node's real duties towards its peers, and a peer that is played by bare sockets. */
+/** Starts the peer routines of a node and a simulated peer that consists of plain sockets. */
 async function startNodeWithPeer(t: TestContext) {
-  // The sockets are real: time-outs of connections and questions never come.
+  // The sockets are real, so timers are mocked: connections and requests must not time out.
   t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
   const stop = new AbortController();
-  const heard: Buffer[] = [];
-  const dialled: net.Socket[] = [];
+  const receivedByPeer: Buffer[] = [];
+  const peerSockets: net.Socket[] = [];
   const listener = net.createServer((socket) => {
-    dialled.push(socket);
-    socket.on('data', (data) => heard.push(data));
+    peerSockets.push(socket);
+    socket.on('data', (data) => receivedByPeer.push(data));
     socket.on('error', () => {});
   });
   listener.listen(0, '127.0.0.1');
   await once(listener, 'listening');
-  const free = net.createServer().listen(0, '127.0.0.1');
-  await once(free, 'listening');
-  const { port } = free.address() as net.AddressInfo;
-  free.close();
-  await once(free, 'close');
+  const portProbe = net.createServer().listen(0, '127.0.0.1');
+  await once(portProbe, 'listening');
+  const { port } = portProbe.address() as net.AddressInfo;
+  portProbe.close();
+  await once(portProbe, 'close');
   const node = createRecordingNode(clock);
   const peerPort = (listener.address() as net.AddressInfo).port;
   const ctx: ControllerContext = {
@@ -62,128 +62,132 @@
       peers: [{ node: 'n-1', zone: 'a', address: `127.0.0.1:${peerPort}` }],
     },
   };
-  const taken: unknown[] = [];
+  const handlerCalls: unknown[] = [];
   const peers = createPeers(ctx, {
     currentStatus: () => SENT_STATUS,
-    observeTerm: (term) => taken.push(['term', term]),
+    observeTerm: (term) => handlerCalls.push(['term', term]),
     serveUser: async (method, target, body) => {
-      taken.push(['user', method, target, body.toString()]);
+      handlerCalls.push(['user', method, target, body.toString()]);
       return { status: 503, body: { error: 'later' }, retryAfterS: 1 };
     },
     handleHeartbeat: async (body) => {
-      taken.push(['report', body.toString()]);
+      handlerCalls.push(['report', body.toString()]);
       return { status: 200, body: { baton: 3_145_728, orders: [] } };
     },
-    announceCancellation: (job, revision) => taken.push(['cancelled', job, revision]),
+    announceCancellation: (job, revision) => handlerCalls.push(['cancelled', job, revision]),
   });
   void peers.run(stop.signal);
   await waitUntil(
-    () => dialled.length > 0,
+    () => peerSockets.length > 0,
     () => clock.advance(ctx.timing.renewMs),
   );
   const socket = net.connect(port, '127.0.0.1');
   await once(socket, 'connect');
-  const answers: Buffer[] = [];
-  socket.on('data', (data) => answers.push(data));
+  const sentToPeer: Buffer[] = [];
+  socket.on('data', (data) => sentToPeer.push(data));
   return {
     clock,
     ctx,
     peers,
-    taken,
-    /** The bytes that the node sends on its own connection. */
-    heard: () => Buffer.concat(heard).toString('hex'),
-    /** Sends the node bytes as its peer. */
+    handlerCalls,
+    /** Returns the bytes that the node has sent on its own connection, as hexadecimal. */
+    receivedByPeer: () => Buffer.concat(receivedByPeer).toString('hex'),
+    /** Sends bytes to the node on the peer's connection. */
     send: (hex: string) => socket.write(bytesOf(hex)),
-    /** The bytes that the node answers with. */
-    answers: () => Buffer.concat(answers).toString('hex'),
-    /** Answers the node's own question. */
-    reply: (hex: string) => dialled.at(-1)?.write(bytesOf(hex)),
-    forget: () => heard.splice(0),
-    end: () => {
+    /** Returns the bytes that the node has sent on the peer's connection, as hexadecimal. */
+    sentToPeer: () => Buffer.concat(sentToPeer).toString('hex'),
+    /** Responds to a request of the node. */
+    reply: (hex: string) => peerSockets.at(-1)?.write(bytesOf(hex)),
+    clearReceived: () => receivedByPeer.splice(0),
+    close: () => {
       stop.abort();
       socket.destroy();
-      for (const s of dialled) s.destroy();
+      for (const peerSocket of peerSockets) peerSocket.destroy();
       listener.close();
     },
   };
 }
 
-test('what a node tells its peers and asks them is these bytes, and answers are read', async (t) => {
-  const m = await startNodeWithPeer(t);
+test('the status and requests of a node are the recorded bytes, and recorded responses are decoded', async (t) => {
+  const setup = await startNodeWithPeer(t);
   try {
     await waitUntil(
-      () => m.heard().length > 0,
-      () => m.clock.advance(m.ctx.timing.renewMs),
+      () => setup.receivedByPeer().length > 0,
+      () => setup.clock.advance(setup.ctx.timing.renewMs),
     );
-    assert.equal(m.heard().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
-    m.send(PEER_FRAMES.peerStatus);
-    await waitUntil(() => m.peers.isReachable('n-1'), settle);
-    assert.deepEqual(m.taken, [['term', 2]]);
-    const ask = async (question: () => Promise<unknown>, sent: string, answer: string) => {
-      m.forget();
-      const asked = question();
-      await waitUntil(() => m.heard().includes(sent), settle);
-      m.reply(answer);
-      return asked;
+    assert.equal(setup.receivedByPeer().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
+    setup.send(PEER_FRAMES.peerStatus);
+    await waitUntil(() => setup.peers.isReachable('n-1'), settle);
+    assert.deepEqual(setup.handlerCalls, [['term', 2]]);
+    const request = async (
+      send: () => Promise<unknown>,
+      requestHex: string,
+      responseHex: string,
+    ) => {
+      setup.clearReceived();
+      const response = send();
+      await waitUntil(() => setup.receivedByPeer().includes(requestHex), settle);
+      setup.reply(responseHex);
+      return response;
     };
-    await ask(
-      () => m.peers.announceCancellation('req-000412', 90),
+    await request(
+      () => setup.peers.announceCancellation('req-000412', 90),
       PEER_FRAMES.cancelled,
       PEER_FRAMES.nothing,
     );
     assert.deepEqual(
-      await ask(
-        () => m.peers.forwardRequest('n-1', 'POST', '/v1/jobs', Buffer.from('{"id":"req-1"}')),
+      await request(
+        () => setup.peers.forwardRequest('n-1', 'POST', '/v1/jobs', Buffer.from('{"id":"req-1"}')),
         PEER_FRAMES.user,
         PEER_FRAMES.userReply,
       ),
       { status: 503, body: { error: 'later' }, retryAfterS: 1 },
     );
     assert.deepEqual(
-      await ask(
-        () => m.peers.forwardHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
+      await request(
+        () => setup.peers.forwardHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
         PEER_FRAMES.report,
         PEER_FRAMES.reportReply,
       ),
       { status: 200, body: { baton: 3_145_728, orders: [] } },
     );
   } finally {
-    m.end();
+    setup.close();
   }
 });
 
-test('what peers ask is read from these bytes, and answered with these', async (t) => {
-  const m = await startNodeWithPeer(t);
+test('recorded requests of a peer are decoded, and the responses are the recorded bytes', async (t) => {
+  const setup = await startNodeWithPeer(t);
   try {
-    const answer = async (question: string, expected: string) => {
-      const before = m.answers().length;
-      m.send(question);
-      await waitUntil(() => m.answers().length > before, settle);
-      assert.equal(m.answers().slice(before), expected);
+    const assertResponse = async (request: string, expected: string) => {
+      const before = setup.sentToPeer().length;
+      setup.send(request);
+      await waitUntil(() => setup.sentToPeer().length > before, settle);
+      assert.equal(setup.sentToPeer().slice(before), expected);
     };
-    await answer(PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
-    await answer(PEER_FRAMES.user, PEER_FRAMES.userReply);
-    await answer(PEER_FRAMES.report, PEER_FRAMES.reportReply);
-    assert.deepEqual(m.taken, [
+    await assertResponse(PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
+    await assertResponse(PEER_FRAMES.user, PEER_FRAMES.userReply);
+    await assertResponse(PEER_FRAMES.report, PEER_FRAMES.reportReply);
+    assert.deepEqual(setup.handlerCalls, [
       ['cancelled', 'req-000412', 90],
       ['user', 'POST', '/v1/jobs', '{"id":"req-1"}'],
       ['report', '{"cart":"m-7"}'],
     ]);
   } finally {
-    m.end();
+    setup.close();
   }
 });
 
-test('a peer of an earlier version says nothing of its memory, and its counts are taken', async (t) => {
-  const m = await startNodeWithPeer(t);
+test('the status of an earlier version, without memoryShort, is accepted with its task counts', async (t) => {
+  const setup = await startNodeWithPeer(t);
   try {
-    m.send(PEER_FRAMES.earlierStatus);
-    await waitUntil(() => m.peers.isReachable('n-1'), settle);
-    assert.equal(m.peers.statuses.isLeaderMemoryShort(), false);
-    assert.deepEqual(m.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
-    assert.equal(m.peers.lastLedAt('n-1', 3), m.clock.now());
-    assert.equal(m.peers.statuses.servedPeer(), 'n-1');
+    setup.send(PEER_FRAMES.earlierStatus);
+    await waitUntil(() => setup.peers.isReachable('n-1'), settle);
+    assert.equal(setup.peers.statuses.isLeaderMemoryShort(), false);
+    assert.deepEqual(setup.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
+    assert.equal(setup.peers.lastLedAt('n-1', 3), setup.clock.now());
+    assert.equal(setup.peers.statuses.servedPeer(), 'n-1');
   } finally {
-    m.end();
+    setup.close();
   }
 });
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -26,7 +26,7 @@
 
 const neverAborted = new AbortController().signal;
 
-/** Puts the literal texts into the store, as another version has left them. */
+/** Stores the JSON texts, as if another version had written them. */
 function seed(store: FakeStore, ...texts: readonly (readonly [key: string, text: string])[]): void {
   for (const [key, text] of texts)
     store.transact([], [{ op: 'put', key, value: JSON.parse(text) }]);
@@ -42,7 +42,7 @@
 const FULL_JOB = requireText(WRITTEN_RECORDS.liveJobs, 'live/req-000002');
 const FORECAST_PAGE = requireText(WRITTEN_RECORDS.loads, 'loads');
 
-/** A leader that takes over what the store holds, and what it logs. */
+/** Starts a leader that restores the contents of the store. Returns it with its log lines. */
 async function startLeader(ctx: ControllerContext) {
   const logged: { level: number; msg: string; key?: string }[] = [];
   const log = pino({ level: 'info' }, { write: (line: string) => logged.push(JSON.parse(line)) });
@@ -63,7 +63,7 @@
     provision: async () => null,
     terminate: async () => {},
   };
-  const workers = {
+  const agents = {
     command: () => Promise.reject(new Error()),
     retainOnly: () => {},
     close: () => {},
@@ -73,9 +73,9 @@
     cloud,
     term,
     policy: schedulerPolicy(DEFAULT_POLICY),
-    agents: workers,
+    agents: agents,
   });
-  const ended = leader.run().catch(() => {});
+  const termEnded = leader.run().catch(() => {});
   await settle();
   assert.ok(leader.ready);
   return {
@@ -83,12 +83,12 @@
     logged,
     end: async () => {
       stop.abort();
-      await ended;
+      await termEnded;
     },
   };
 }
 
-test('a leader takes over jobs, finished tasks, machines and expected work', async () => {
+test('a new leader restores jobs, finished tasks and machines from stored records', async () => {
   const { ctx, store } = createRecordingNode(new FakeClock());
   seed(
     store,
@@ -148,7 +148,7 @@
   await end();
 });
 
-test('machines in keys of their own and jobs without times, of earlier versions, are taken over', async () => {
+test('a new leader restores records of earlier versions: one machine per key, jobs without a time', async () => {
   const { ctx, store } = createRecordingNode(new FakeClock());
   const job = JSON.parse(PLAIN_JOB) as { spec: object };
   seed(
@@ -159,14 +159,14 @@
   );
   const { leader, end } = await startLeader(ctx);
   const { machines, jobs } = leader.cluster;
-  const read = [...machines.values()].map((machine) => [
+  const restored = [...machines.values()].map((machine) => [
     machine.id,
     machine.typeName,
     machine.zone,
     machine.spot,
     machine.address,
   ]);
-  assert.deepEqual(read, [
+  assert.deepEqual(restored, [
     ['n-7', 'm16', 'a', true, ''],
     ['odd', 'undefined', 'undefined', false, ''],
   ]);
@@ -174,7 +174,7 @@
   await end();
 });
 
-test('jobs and bitmaps that are not readable are said once, and hold up nothing', async () => {
+test('unreadable jobs are logged once, unreadable bitmaps are ignored, and other jobs are restored', async () => {
   const { ctx, store } = createRecordingNode(new FakeClock());
   seed(
     store,
@@ -197,7 +197,7 @@
   await end();
 });
 
-test('what users ask is answered from the records', async () => {
+test('queries of users are answered from stored records', async () => {
   const { ctx, store } = createRecordingNode(new FakeClock());
   seed(
     store,
@@ -221,55 +221,55 @@
   const cancelled = await jobs.findEnd('req-000002', RequestPriority.submissions);
   const cancelledEnd: EndedJobRecord = { state: 'cancelled', tasks: 3 };
   assert.deepEqual(cancelled?.record, cancelledEnd);
-  const users = new JobApi(ctx, WITHOUT_LEADER);
-  const standings = [];
+  const jobApi = new JobApi(ctx, WITHOUT_LEADER);
+  const statusBodies = [];
   for (const id of ['req-000001', 'req-000002', 'req-000009'])
-    standings.push((await users.query(id)).body);
-  assert.deepEqual(standings, [
+    statusBodies.push((await jobApi.query(id)).body);
+  assert.deepEqual(statusBodies, [
     { id: 'req-000001', standing: 'done', done: 3, running: 0 },
     { id: 'req-000002', standing: 'cancelled', done: 0, running: 0 },
     { id: 'req-000009', standing: 'queued', done: 0, running: 0 },
   ]);
 });
 
-test('a record that is none is not believed, and ends nothing', async () => {
+test('a query of a job whose record is not an object gets 503', async () => {
   const { ctx, store } = createRecordingNode(new FakeClock());
   seed(store, ['live/req-000001', 'null'], ['live/req-000002', '5'], ['over/req-000003', 'null']);
-  const users = new JobApi(ctx, WITHOUT_LEADER);
+  const jobApi = new JobApi(ctx, WITHOUT_LEADER);
   for (const id of ['req-000001', 'req-000002', 'req-000003'])
-    assert.equal((await users.query(id)).status, 503);
+    assert.equal((await jobApi.query(id)).status, 503);
 });
 
-test('what a later version added goes on in what is written again', async () => {
+test('fields that a later version added to demand forecasts are kept when they are written again', async () => {
   const clock = new FakeClock();
   const { ctx, store, state } = createRecordingNode(clock);
-  const loads = FORECAST_PAGE.replace('"spec":{', '"spec":{"later":[1],')
+  const stored = FORECAST_PAGE.replace('"spec":{', '"spec":{"later":[1],')
     .replace('"shape":{', '"hint":"x","shape":{"disks":2,')
     .replace(',"holdS":20.6', '');
   const live = PLAIN_JOB.replace('"oneZone"', '"region":"r","oneZone"');
-  seed(store, ['loads', loads], ['live/req-000001', live]);
+  seed(store, ['loads', stored], ['live/req-000001', live]);
   const stop = new AbortController();
   const term = { number: 1, version: 0, signal: stop.signal } as never;
-  const first = new ScaleOutPlanner(createCluster());
-  const kept = new DemandStore(ctx, term, first);
-  await kept.read();
+  const scaleOut = new ScaleOutPlanner(createCluster());
+  const demandStore = new DemandStore(ctx, term, scaleOut);
+  await demandStore.read();
   const found = await new JobStore(ctx).find('req-000001', RequestPriority.submissions);
   assert.ok(found?.live);
-  kept.recordArrival(found.record.spec, 99);
-  void kept.run(stop.signal).catch(() => {});
+  demandStore.recordArrival(found.record.spec, 99);
+  void demandStore.run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
   const { spec } = JSON.parse(live) as { spec: object };
-  const large = loads
-    .slice(loads.indexOf('{"spec"'), loads.indexOf('],"upTo"'))
+  const large = stored
+    .slice(stored.indexOf('{"spec"'), stored.indexOf('],"upTo"'))
     .replace('"quietMs":0', '"quietMs":0,"holdS":20.6');
   const shape = '"shape":{"cpus":2,"gpus":0,"memoryGb":4}';
   const small = `{"spec":${JSON.stringify(spec)},"mean":0.212,"variance":0.424,${shape},"holdS":10.6,"gapMs":50000,"quietMs":0}`;
   assert.equal(state.lastText('loads'), `{"loads":[${large},${small}],"upTo":99,"more":0}`);
 });
 
-test('machine types are read, and kept as they stand unless more than a price differs', async () => {
+test('stored machine types are read, and are written again only when more than prices differ', async () => {
   const { ctx, store, state } = createRecordingNode(new FakeClock());
   const cloud = { types: async () => [MACHINE_TYPE] };
   const g8 = { ...MACHINE_TYPE, name: 'g8', gpus: 8 };
@@ -277,7 +277,7 @@
   assert.deepEqual(await readMachineTypes(ctx, cloud, neverAborted), [MACHINE_TYPE, g8]);
   await storeMachineTypes(ctx, [MACHINE_TYPE, g8], neverAborted);
   assert.deepEqual(state.written, []);
-  // A later version's field is no longer there once this one has written.
+  // Writing the list drops the field of a later version.
   seed(store, [
     'types',
     requireText(WRITTEN_RECORDS.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1'),
@@ -288,13 +288,13 @@
   );
   await storeMachineTypes(ctx, [MACHINE_TYPE, g8], neverAborted);
   assert.deepEqual(state.written, WRITTEN_RECORDS.types);
-  for (const odd of ['{}', '[]', 'null', '"x"']) {
-    seed(store, ['types', odd]);
+  for (const malformed of ['{}', '[]', 'null', '"x"']) {
+    seed(store, ['types', malformed]);
     assert.deepEqual(await readMachineTypes(ctx, cloud, neverAborted), [MACHINE_TYPE]);
   }
 });
 
-test('a list whose job never came is removed, with what a later version has put into its header', async () => {
+test('an orphaned dependency list is removed, and its header keeps the fields of a later version', async () => {
   const clock = new FakeClock();
   const { ctx, store, state } = createRecordingNode(clock);
   seed(store, ...WRITTEN_RECORDS.upstreamList.slice(0, -1));
@@ -308,30 +308,30 @@
   assert.deepEqual([...store.entries.keys()], []);
 });
 
-test('the leader is read from its record; one that is not readable is none', async () => {
+test('the leader and the term are read from their records, and the next term follows the stored one', async () => {
   const clock = new FakeClock();
   const { ctx, store } = createRecordingNode(clock);
   seed(store, ['leader', '{"node":"n-1","incarnation":"n-1-1","term":6,"lease":3}'], ['term', '6']);
   const stop = new AbortController();
-  const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
-  void leadership.run(stop.signal);
+  const election = new LeaderElection(ctx, () => new Promise(() => {}));
+  void election.run(stop.signal);
   await settle();
-  assert.deepEqual([leadership.leader, leadership.observedTerm], ['n-1', 6]);
+  assert.deepEqual([election.leader, election.observedTerm], ['n-1', 6]);
   store.transact([], [{ op: 'delete', key: 'leader' }]);
   await clock.advance(5000);
-  assert.equal(leadership.current?.number, 7);
+  assert.equal(election.current?.number, 7);
   stop.abort();
 });
 
-test('mail that is none, or for an earlier process, is let be', async () => {
+test('malformed mailbox messages and responses to other requests or processes are ignored', async () => {
   const clock = new FakeClock();
   const { ctx, store, state } = createRecordingNode(clock);
   const stop = new AbortController();
   const texts: string[] = [];
-  const mail = new Mailbox(ctx, async (text) => texts.push(text));
-  void mail.run(stop.signal);
+  const mailbox = new Mailbox(ctx, async (text) => texts.push(text));
+  void mailbox.run(stop.signal);
   await settle();
-  const late = assert.rejects(mail.request('n-1', 'm-7', 'x', 1000), /not answered/);
+  const unanswered = assert.rejects(mailbox.request('n-1', 'm-7', 'x', 1000), /not answered/);
   await settle();
   seed(
     store,
@@ -343,7 +343,7 @@
     ['mail/n-0/n-1/m-9', '{"kind":"ask","n":"seven","from":"n-1","incarnation":null,"text":"t"}'],
   );
   await clock.advance(1000);
-  await late;
+  await unanswered;
   assert.deepEqual(texts, ['t']);
   assert.equal(
     state.lastText('mail/n-1/n-0/m-9'),
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -20,11 +20,11 @@
 import { createCluster, jobSpec, MACHINE_TYPE, ScriptedAgent } from './support/scheduler.js';
 import { SUBMISSION } from './support/submission.js';
 
-/** Values of this size hold a job's record and few ids. */
+/** Limits under which a value holds a job record and few ids. */
 const SMALL_VALUES = { presentValueBytes: 700, valueBytes: 700 };
 const neverAborted = new AbortController().signal;
 
-/** What was written is exactly the literal text, under exactly these keys, in this order. */
+/** Asserts that exactly the recorded keys and texts were written, in this order. */
 function assertWritten(
   written: readonly [string, string][],
   name: keyof typeof WRITTEN_RECORDS,
@@ -32,14 +32,14 @@
   assert.deepEqual(written, WRITTEN_RECORDS[name]);
 }
 
-test('live jobs: plain, with every option, and with one that they wait for', async () => {
+test('live jobs without options, with every option and with dependencies are written as recorded', async () => {
   const { ctx, state } = createRecordingNode(new FakeClock());
-  const users = new JobApi(
+  const jobApi = new JobApi(
     { ...ctx, machineTypes: [MACHINE_TYPE, { ...MACHINE_TYPE, name: 'g8', gpus: 8 }] },
     WITHOUT_LEADER,
   );
   const submit = async (fields: object) => {
-    const reply = await users.submit(Buffer.from(JSON.stringify({ ...SUBMISSION, ...fields })));
+    const reply = await jobApi.submit(Buffer.from(JSON.stringify({ ...SUBMISSION, ...fields })));
     assert.equal(reply.status, 201);
   };
   await submit({ id: 'req-000001' });
@@ -48,7 +48,7 @@
   assertWritten(state.written, 'liveJobs');
 });
 
-test('live jobs with further ids in pages', async () => {
+test('a live job with further dependencies in pages is written as recorded', async () => {
   const { ctx, state } = createRecordingNode(new FakeClock(), SMALL_VALUES);
   const record: LiveJobRecord = {
     spec: jobSpec({ id: 'req-000004' }),
@@ -62,7 +62,7 @@
   assertWritten(state.written, 'upstreamPages');
 });
 
-test('live jobs with a list of their own, and the removal of that list', async () => {
+test('a live job with a dependency list, and the removal of the list, are written as recorded', async () => {
   const { ctx, state, store } = createRecordingNode(new FakeClock(), {
     ...SMALL_VALUES,
     changes: 1,
@@ -90,22 +90,22 @@
   assertWritten(state.written, 'listRemoval');
 });
 
-test('ends of jobs: done, cancelled by their user, with another and before they began', async () => {
+test('ends of jobs, done or cancelled in each way, are written as recorded', async () => {
   const { ctx, state } = createRecordingNode(new FakeClock());
   const store = new JobStore(ctx);
   const cluster = createCluster();
   for (const id of ['req-000001', 'req-000002'])
     cluster.addJob(jobSpec({ id, tasks: 3 }), 7, 0, false);
   const done = cluster.jobs.get('req-000001');
-  const waiting = cluster.jobs.get('req-000002');
-  assert.ok(done && waiting);
+  const dependent = cluster.jobs.get('req-000002');
+  assert.ok(done && dependent);
   for (const index of [0, 1, 2]) done.markDone(index);
-  waiting.dependencyCancelled = true;
+  dependent.dependencyCancelled = true;
   for (const write of pendingWrites(cluster, { progressChanges: 9, wallNow: ctx.clock.wall() }))
     await state.transact([], write.changes);
   await store.createCancelled(jobSpec({ id: 'req-000003', tasks: 4 }), RequestPriority.submissions);
-  const accepted: LiveJobRecord = { spec: jobSpec({ id: 'req-000004' }), acceptedAt: 5 };
-  await store.create(accepted, { pending: [], named: [] }, RequestPriority.submissions);
+  const acceptedJob: LiveJobRecord = { spec: jobSpec({ id: 'req-000004' }), acceptedAt: 5 };
+  await store.create(acceptedJob, { pending: [], named: [] }, RequestPriority.submissions);
   const live = await store.find('req-000004', RequestPriority.submissions);
   assert.ok(live?.live);
   await store.cancel(live, RequestPriority.submissions);
@@ -115,7 +115,7 @@
   );
 });
 
-test('finished tasks of an array, and pages of machines', async () => {
+test('bitmaps of finished tasks and roster pages are written as recorded', async () => {
   const { state } = createRecordingNode(new FakeClock());
   const cluster = createCluster({ term: 3 });
   cluster.addJob(jobSpec({ id: 'req-000001', tasks: 100 }), 7, 0, false);
@@ -125,44 +125,44 @@
     job.markDone(index);
     job.unsavedChunks.set(cluster.bitmaps.chunkOf(index), []);
   }
-  for (const worker of [new ScriptedAgent('n-1', 'a', true), new ScriptedAgent('n-2', 'b')]) {
-    cluster.applyHeartbeat(worker.heartbeat(), 'heartbeat', 0);
-    worker.execute(cluster.term, []);
-    cluster.applyHeartbeat(worker.heartbeat(), 'heartbeat', 0);
+  for (const agent of [new ScriptedAgent('n-1', 'a', true), new ScriptedAgent('n-2', 'b')]) {
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 0);
+    agent.execute(cluster.term, []);
+    cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 0);
   }
   const writes = pendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   for (const write of writes) await state.transact([], write.changes);
   assertWritten(state.written, 'progress');
-  // What the writer takes their room for, beside the bytes themselves.
+  // The sizes that the progress writer assumes for the writes.
   assert.deepEqual(
     writes.map((write) => write.size),
     [552, 532, 528],
   );
 });
 
-test('what work is expected, in pages', async () => {
+test('demand forecasts are written in pages as recorded', async () => {
   const clock = new FakeClock();
   const { ctx, state } = createRecordingNode(clock, { valueBytes: 900 });
   const stop = new AbortController();
   const term = { term: 1, version: 0, signal: stop.signal } as never;
-  const loads = new DemandStore(ctx, term, new ScaleOutPlanner(createCluster()));
-  loads.recordArrival(jobSpec({ jobClass: 'small', tasks: 1 }), 11);
-  loads.recordArrival(
+  const demandStore = new DemandStore(ctx, term, new ScaleOutPlanner(createCluster()));
+  demandStore.recordArrival(jobSpec({ jobClass: 'small', tasks: 1 }), 11);
+  demandStore.recordArrival(
     jobSpec({ jobClass: 'large', tasks: 8, machineTypes: ['m16'], zone: 'a' }),
     12,
   );
-  loads.recordArrival(
+  demandStore.recordArrival(
     jobSpec({ jobClass: 'large', tasks: 8, machineTypes: ['m16'], zone: 'a', cpus: 2 }),
     13,
   );
-  void loads.run(stop.signal).catch(() => {});
+  void demandStore.run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
   assertWritten(state.written, 'loads');
 });
 
-test('machine types; a change of prices alone is not written', async () => {
+test('machine types are written as recorded, but not again when only prices change', async () => {
   const { ctx, state } = createRecordingNode(new FakeClock());
   await storeMachineTypes(
     ctx,
@@ -177,28 +177,31 @@
   assertWritten(state.written, 'types');
 });
 
-test('questions and answers by mail', async () => {
+test('mailbox requests and responses are written as recorded', async () => {
   const clock = new FakeClock();
   const { ctx, state, store } = createRecordingNode(clock);
   const stop = new AbortController();
-  const asker = new Mailbox(ctx, () => Promise.reject(new Error('not asked')));
-  const other = { ...ctx, node: 'n-1', incarnation: 'n-1-1' };
-  const answerer = new Mailbox(other, async (text) => ({ status: 200, body: { got: text } }));
-  for (const mail of [asker, answerer]) void mail.run(stop.signal);
+  const requester = new Mailbox(ctx, () => Promise.reject(new Error('unexpected request')));
+  const peerContext = { ...ctx, node: 'n-1', incarnation: 'n-1-1' };
+  const responder = new Mailbox(peerContext, async (text) => ({
+    status: 200,
+    body: { got: text },
+  }));
+  for (const mailbox of [requester, responder]) void mailbox.run(stop.signal);
   await settle();
-  const answer = await asker.request('n-1', 'm-7', '{"cart":"m-7"}', 1000);
-  assert.deepEqual(answer, { status: 200, body: { got: '{"cart":"m-7"}' } });
+  const response = await requester.request('n-1', 'm-7', '{"cart":"m-7"}', 1000);
+  assert.deepEqual(response, { status: 200, body: { got: '{"cart":"m-7"}' } });
   stop.abort();
   assertWritten(state.written, 'mail');
   assert.ok([...store.entries.values()].every((e) => e.lease !== undefined));
 });
 
-test('the leader and its term', async () => {
+test('the leader and the term are written as recorded', async () => {
   const clock = new FakeClock();
   const { ctx, state } = createRecordingNode(clock);
   const stop = new AbortController();
-  const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
-  void leadership.run(stop.signal);
+  const election = new LeaderElection(ctx, () => new Promise(() => {}));
+  void election.run(stop.signal);
   await settle();
   stop.abort();
   assertWritten(state.written, 'leader');
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -5,9 +5,9 @@
 import { createContext } from './context.js';
 import { FakeStateService, FakeStore } from './state.js';
 
-/** A state service that keeps the text of every value that is written to it, in order. */
+/** A state service that records the JSON text of every written value, in the order of writing. */
 export class RecordingStateService extends FakeStateService {
-  /** Key and JSON text of each value, as they leave the writer. */
+  /** Key and JSON text of each value in the transactions sent to the service. */
   readonly written: [key: string, text: string][] = [];
 
   constructor(store: FakeStore) {
@@ -18,13 +18,13 @@
     };
   }
 
-  /** The text last written under the key. */
+  /** Returns the text last written under the key; undefined when there is none. */
   lastText(key: string): string | undefined {
     return this.written.findLast(([written]) => written === key)?.[1];
   }
 }
 
-/** One node with a store of its own; low limits make little data take several pages. */
+/** Creates the context of a node with its own store. Low limits split little data into several pages. */
 export function createRecordingNode(clock: FakeClock, limits: Partial<StateLimits> = {}) {
   const store = new FakeStore(clock);
   const state = new RecordingStateService(store);
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -1,4 +1,4 @@
-/** A submission's words for all that may be left out. */
+/** All optional fields of a submission, with their names on the wire. */
 export const FULL_SUBMISSION = {
   rank: 'critical',
   accelerators: 1,
@@ -13,17 +13,17 @@
   dueS: 300,
 };
 
-/** Ids as long as they may be: few of them fill a page. */
+/** Ids of the maximum length, so that few of them fill a page. */
 export const LONG_IDS = Array.from({ length: 10 }, (_, i) => `req-${String(i).padStart(60, '0')}`);
 
 type WrittenRecords = [key: string, text: string][];
 
 /**
- * What is written to the state service, literally: each value's key and its JSON text, in the order
- * of writing. Other versions read these bytes: they change only together with a way to read both.
+ * Key and JSON text of each value that is written to the state service, in the order of writing.
+ * Other versions read these bytes. They may change only together with code that reads both forms.
  */
 export const WRITTEN_RECORDS = {
-  /** Live jobs as users submit them: plain, with all that may be left out, and waiting for two others. */
+  /** Live jobs: without optional fields, with all of them, and with two dependencies. */
   liveJobs: [
     [
       'live/req-000001',
@@ -38,7 +38,7 @@
       '{"spec":{"id":"req-000003","jobClass":"work","team":"ops","rank":2,"tasks":2,"cpus":2,"gpus":0,"memoryGb":4,"image":"img","imageGb":1,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":false,"estimateS":10,"checkpointS":0,"saveS":0,"deadlineS":null},"at":1800000001000,"upstream":["req-000001","req-000002"]}',
     ],
   ],
-  /** A live job with ids that its record has no room for, and their page. */
+  /** A live job with more dependencies than fit into its record, and the page with the others. */
   upstreamPages: [
     [
       'live/req-000004',
@@ -49,7 +49,7 @@
       '["req-000000000000000000000000000000000000000000000000000000000004","req-000000000000000000000000000000000000000000000000000000000005","req-000000000000000000000000000000000000000000000000000000000006","req-000000000000000000000000000000000000000000000000000000000007","req-000000000000000000000000000000000000000000000000000000000008","req-000000000000000000000000000000000000000000000000000000000009"]',
     ],
   ],
-  /** A live job whose ids stand in a list of their own: header, pages, record. */
+  /** A live job with a dependency list: header, pages and record. */
   upstreamList: [
     ['lists/req-000005/dafb463aead1b3dc', '{"pages":2}'],
     [
@@ -65,16 +65,16 @@
       '{"spec":{"id":"req-000005","jobClass":"work","team":"ops","rank":2,"tasks":4,"cpus":4,"gpus":0,"memoryGb":8,"image":"img","imageGb":1,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":true,"estimateS":20,"checkpointS":0,"saveS":0,"deadlineS":null},"at":1800000001000,"upstream":["req-000005/list"],"upstreamList":{"token":"dafb463aead1b3dc","pages":2}}',
     ],
   ],
-  /** The header of that list once it is being removed. */
+  /** The header of the same list while the list is being removed. */
   listRemoval: [['lists/req-000005/dafb463aead1b3dc', '{"pages":2,"removing":true}']],
-  /** Ends: done, cancelled with another, cancelled at once, cancelled by a user. */
+  /** Ended jobs: done, cancelled with a dependency, cancelled on acceptance, cancelled by a user. */
   ends: [
     ['over/req-000001', '{"state":"done","tasks":3,"at":1800000001000}'],
     ['over/req-000002', '{"state":"cancelled","tasks":3}'],
     ['over/req-000003', '{"state":"cancelled","tasks":4}'],
     ['over/req-000004', '{"state":"cancelled","tasks":4}'],
   ],
-  /** Pages of machines and bitmaps of finished tasks. */
+  /** A roster page and bitmaps of finished tasks. */
   progress: [
     [
       'roster/3-1',
@@ -83,7 +83,7 @@
     ['bits/req-000001/0000/0', '"AQIAAAAAAIA="'],
     ['bits/req-000001/0001/64', '"AQAAAAg="'],
   ],
-  /** Expected work: the first page and a further one. */
+  /** Demand forecasts: the first page and a further one. */
   loads: [
     [
       'loads',
@@ -94,14 +94,13 @@
       '{"loads":[{"spec":{"id":"req-000001","jobClass":"small","team":"ops","rank":2,"tasks":1,"cpus":4,"gpus":0,"memoryGb":8,"image":"img","imageGb":1,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":true,"estimateS":20,"checkpointS":0,"saveS":0,"deadlineS":null},"mean":0.20600000000000002,"variance":0.20600000000000002,"shape":{"cpus":4,"gpus":0,"memoryGb":8},"holdS":20.6,"gapMs":50000,"quietMs":0}]}',
     ],
   ],
-  /** Machine types. */
   types: [
     [
       'types',
       '[{"name":"m16","cpus":16,"gpus":0,"memoryGb":64,"cacheGb":50,"fetchGbPerS":0.5,"price":1,"spotPrice":0.3,"bootS":40,"zones":["a","b"]},{"name":"g8","cpus":16,"gpus":8,"memoryGb":64,"cacheGb":50,"fetchGbPerS":0.5,"price":1,"spotPrice":0.3,"bootS":40,"zones":["a","b"]}]',
     ],
   ],
-  /** A question by mail and its answer. */
+  /** A mailbox request and its response. */
   mail: [
     [
       'mail/n-1/n-0/m-7',
@@ -112,14 +111,14 @@
       '{"kind":"answer","n":1,"incarnation":"n-0-1","value":{"status":200,"body":{"got":"{\\"cart\\":\\"m-7\\"}"}}}',
     ],
   ],
-  /** The leader and its term. */
+  /** The leader and the term. */
   leader: [
     ['leader', '{"node":"n-0","incarnation":"n-0-1","term":1,"lease":1}'],
     ['term', '1'],
   ],
 } satisfies Record<string, WrittenRecords>;
 
-/** Frames between controllers as hexadecimal: a length of four bytes, then one CBOR value. */
+/** Frames between controllers in hexadecimal: a length of four bytes, then one CBOR value. */
 export const PEER_FRAMES = {
   status:
     '0000007fb90002646b696e646673746174757366737461747573b90008646e6f6465636e2d306b696e6361726e6174696f6e656e2d302d316673656e744174fb427a3185c53e8000647465726d03676c656164696e67f56773746174654f6bf56b6d656d6f727953686f7274f466636f756e747381836a7265712d3030303431320904',
