--- a/src/model/job-feasibility.ts
+++ b/src/model/job-feasibility.ts
@@ -6,7 +6,7 @@
 /** Why no task of a job can ever start. */
 export type UnrunnableReason = 'unknownTeam' | 'fitsNoMachineType' | 'exceedsTeamMaximum';
 
-/** Reports whether an empty machine of the type can run one task of the job. */
+/** Reports whether one task of the job can ever run on a machine of the type. */
 export function canRunOnType(job: JobSpec, type: MachineType): boolean {
   return (
     (job.machineTypes === null || job.machineTypes.includes(type.name)) &&
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -15,7 +15,7 @@
   imagePullGbPerS: number;
   /** Price of an on-demand machine per unit of time. */
   price: number;
-  /** Price of a spot machine per unit of time. The cloud may preempt it after a notice. */
+  /** Price per unit of time of a spot machine, which the cloud may preempt after a notice. */
   spotPrice: number;
   /** Usual time from the provisioning request to the first heartbeat, in seconds. */
   bootS: number;
@@ -34,7 +34,7 @@
   /** Whether the machine is a spot machine. */
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Seconds since the machine was requested. */
+  /** Seconds since the machine was requested. 0 if the cloud does not state it. */
   ageS: number;
 }
 
--- a/src/model/task-command.ts
+++ b/src/model/task-command.ts
@@ -21,7 +21,7 @@
   graceS: number;
 }
 
-/** Lets the agent forget the exited attempt, whose outcome is durable or need not be. */
+/** Lets the agent forget the exited attempt, whose outcome is durable or need not be stored. */
 export interface ForgetCommand extends AttemptReference {
   op: 'forget';
 }
--- a/src/protocol/agent-protocol.ts
+++ b/src/protocol/agent-protocol.ts
@@ -97,7 +97,7 @@
 }
 
 /**
- * Removes commands from the end of a response to a heartbeat until it fits into
+ * Returns a copy of a heartbeat response without its last commands, so that it fits into
  * `maxBytes` bytes. A value that is not such a response is returned unchanged.
  */
 export function truncateCommands(response: unknown, maxBytes: number): unknown {
--- a/src/protocol/cloud-protocol.ts
+++ b/src/protocol/cloud-protocol.ts
@@ -35,7 +35,10 @@
   count: number;
 }
 
-/** Parses the machine types on offer. Throws `MalformedMessageError`. */
+/**
+ * Parses the machine types on offer. A type without `accelerators` has no GPUs, and a
+ * type without `spotPrice` has the on-demand price. Throws `MalformedMessageError`.
+ */
 export function parseMachineTypes(body: unknown): MachineType[] {
   return readArray(body, 'rigs').map(parseMachineType);
 }
--- a/src/protocol/json-fields.ts
+++ b/src/protocol/json-fields.ts
@@ -10,7 +10,7 @@
 /** A message from outside violates the protocol. */
 export class MalformedMessageError extends Error {}
 
-/** Larger amounts are implausible for one task, and smaller ones would be lost in sums with them. */
+/** Larger amounts are implausible for one task and would dominate every sum. */
 const MAX_AMOUNT = 1e9;
 const MAX_STRING_LENGTH = 200;
 
--- a/src/records/bitmap-layout.ts
+++ b/src/records/bitmap-layout.ts
@@ -15,8 +15,8 @@
   /** Index of the task that the chunk's first bit represents, from 0. */
   firstTask: number;
   /**
-   * Number of the chunk, from 0. Null when this layout never writes the key, which is
-   * then only read: the key has the earlier form or belongs to another chunk size.
+   * Number of the chunk, from 0. Null for a key that is read but never written, because
+   * it has the earlier form or belongs to another chunk size.
    */
   chunk: number | null;
 }
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -1,13 +1,13 @@
 /**
  * Demand forecasts, in pages.
  *
- * Keys: `loads` holds the first page, `loads/<page>` the further pages, numbered from 1.
- * Access: The leader writes them at regular intervals. The next leader reads them on
- * failover.
- * Absence: The keys are absent until a leader has written them. Earlier versions write
- * neither `holdS` in a forecast nor `more` in the first page.
- * Versions: Earlier versions read and write only the first page. Fields of a forecast
- * that this version does not know are kept when the forecast is written again.
+ * - Keys: `loads` holds the first page, `loads/<page>` the further pages, numbered from 1.
+ * - Access: The leader writes them at regular intervals. The next leader reads them on
+ *   failover.
+ * - Absence: The keys are absent until a leader has written them. Earlier versions write
+ *   neither `holdS` in a forecast nor `more` in the first page.
+ * - Versions: Earlier versions read and write only the first page. Fields of a forecast
+ *   that this version does not know are kept when the forecast is written again.
  */
 
 import type { DemandForecast } from '../model/demand-forecast.js';
@@ -15,14 +15,14 @@
 import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from './job-record.js';
 import { mapIfObject, mergeIntoRetainedForm, retainStoredForm } from './stored-form.js';
 
-/** The stored form of `DemandForecast.meanRequest`: mean resources of one task. */
+/** The stored form of `DemandForecast.meanRequest`, with the same fields and units. */
 export interface StoredResourceRequest {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** The stored form of `DemandForecast`, with the fields in the same order. */
+/** The stored form of `DemandForecast`, with the fields in the same order and with the same units. */
 export interface StoredForecast {
   /** The job of this kind that arrived last. */
   spec: StoredJobSpec;
@@ -122,7 +122,10 @@
   return forecast;
 }
 
-/** Returns the stored form of the first page; see `StoredFirstPage` for the parameters. */
+/**
+ * Returns the stored form of the first page. `countedVersion` is stored as `upTo`,
+ * `furtherPages` as `more`.
+ */
 export function encodeFirstPage(
   forecasts: StoredForecast[],
   countedVersion: number,
--- a/src/records/dependency-list-record.ts
+++ b/src/records/dependency-list-record.ts
@@ -1,16 +1,16 @@
 /**
  * Dependencies of a job that are stored outside the job's record.
  *
- * Keys: There are two forms, and the record (job-record) says which one is used. Pages
- * `upstream/<job>/<page>` are written in one transaction with the record. A list that is
- * too long for one transaction is written before the record: a header
- * `lists/<job>/<token>` and pages `needs/<job>/<token>/<page>`.
- * Access: The controller that accepts the job writes them. The leader and controllers
- * that look up the job read them. The leader removes them when the job has ended or was
- * never accepted.
- * Absence: `removing` is absent from a header until the list is being removed.
- * Versions: The earliest versions know neither form. Later versions without lists know
- * only the pages that are written with the record.
+ * - Keys: There are two forms, and the record (job-record) says which one is used. Pages
+ *   `upstream/<job>/<page>` are written in one transaction with the record. A list that is
+ *   too long for one transaction is written before the record: a header
+ *   `lists/<job>/<token>` and pages `needs/<job>/<token>/<page>`.
+ * - Access: The controller that accepts the job writes them. The leader and controllers
+ *   that look up the job read them. The leader removes them when the job has ended or was
+ *   never accepted.
+ * - Absence: `removing` is absent from a header until the list is being removed.
+ * - Versions: The earliest versions know neither form. Later versions without lists know
+ *   only the pages that are written with the record.
  */
 
 import { isObject } from '../protocol/json-fields.js';
@@ -31,7 +31,7 @@
   removing?: boolean;
 }
 
-/** The stored form of `DependencyListHeader`. */
+/** The stored form of `DependencyListHeader`, with the same fields. */
 export interface StoredDependencyListHeader {
   pages: number;
   removing?: boolean;
--- a/src/records/job-end-record.ts
+++ b/src/records/job-end-record.ts
@@ -1,13 +1,13 @@
 /**
  * The end of a job.
  *
- * Keys: `over/<job>`.
- * Access: Any controller writes it once, in the transaction that removes the live record
- * or that accepts the job as already cancelled. It is never rewritten or removed. Every
- * controller that looks up the job reads it, and so does a leader for jobs that depend
- * on the job.
- * Absence: `at` is absent for cancelled jobs and in records of earlier versions.
- * Versions: Earlier versions read and write only `state` and `tasks`.
+ * - Keys: `over/<job>`.
+ * - Access: Any controller writes it once, in the transaction that removes the live record
+ *   or that accepts the job as already cancelled. It is never rewritten or removed. Every
+ *   controller that looks up the job reads it, and so does a leader for jobs that depend
+ *   on the job.
+ * - Absence: `at` is absent for cancelled jobs and in records of earlier versions.
+ * - Versions: Earlier versions read and write only `state` and `tasks`.
  */
 
 import type { JobEnd } from '../model/job.js';
@@ -22,7 +22,7 @@
   at?: number;
 }
 
-/** The stored form of `EndedJobRecord`. */
+/** The stored form of `EndedJobRecord`, with the same fields. */
 export interface StoredJobEnd {
   state: 'done' | 'cancelled';
   tasks: number;
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -1,13 +1,13 @@
 /**
  * A live job: one that was accepted and has not ended.
  *
- * Keys: `live/<job>`. The order of the keys' versions is the order of arrival.
- * Access: The controller that accepts the job writes the record once. Every controller
- * reads it, and the leader keeps all live jobs in memory. The transaction that writes
- * the end of the job removes the record.
- * Absence: A job without dependencies has none of the three `upstream` fields.
- * Versions: The earliest versions read and write only `spec` and `at`. Versions without
- * dependency lists do not know `upstreamList`.
+ * - Keys: `live/<job>`. The order of the keys' versions is the order of arrival.
+ * - Access: The controller that accepts the job writes the record once. Every controller
+ *   reads it, and the leader keeps all live jobs in memory. The transaction that writes
+ *   the end of the job removes the record.
+ * - Absence: A job without dependencies has none of the three `upstream` fields.
+ * - Versions: The earliest versions read and write only `spec` and `at`. Versions without
+ *   dependency lists do not know `upstreamList`.
  *
  * The job specification in the record is also part of a demand forecast (demand-record).
  */
@@ -128,7 +128,7 @@
   return spec;
 }
 
-/** The reference of a job record to the dependency list of the job (dependency-list-record). */
+/** A job record's reference to the job's dependency list (dependency-list-record). */
 export interface DependencyListRef {
   /**
    * Identifies the list by its content, so that a repeated submission continues the list
@@ -139,7 +139,7 @@
   pages: number;
 }
 
-/** The stored form of `DependencyListRef`. */
+/** The stored form of `DependencyListRef`, with the same fields. */
 export interface StoredDependencyListRef {
   token: string;
   pages: number;
--- a/src/records/leader-record.ts
+++ b/src/records/leader-record.ts
@@ -1,12 +1,12 @@
 /**
  * The current leader and the last leader term.
  *
- * Keys: `leader` is attached to the leader's lease and deleted when the lease ends.
- * `term` holds a number and is never deleted.
- * Access: The controller that wins an election writes both in one transaction. Every
- * controller reads them.
- * Absence: `leader` is absent while there is no leader, `term` before the first election.
- * Versions: All versions write all fields.
+ * - Keys: `leader` is attached to the leader's lease and deleted when the lease ends.
+ *   `term` holds a number and is never deleted.
+ * - Access: The controller that wins an election writes both in one transaction. Every
+ *   controller reads them.
+ * - Absence: `leader` is absent while there is no leader, `term` before the first election.
+ * - Versions: All versions write all fields.
  */
 
 import { isObject } from '../protocol/json-fields.js';
@@ -23,7 +23,7 @@
   lease: number;
 }
 
-/** The stored form of `LeaderRecord`. */
+/** The stored form of `LeaderRecord`, with the same fields. */
 export interface StoredLeader {
   node: string;
   incarnation: string;
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -1,11 +1,11 @@
 /**
  * The machine types that the cloud offers.
  *
- * Keys: `types` holds a list.
- * Access: The leader writes it when more than prices has changed. A controller reads it
- * at start, so that it can start while the cloud is unreachable.
- * Absence: The key is absent until the first leader has read the types from the cloud.
- * Versions: All versions write all fields.
+ * - Keys: `types` holds a list.
+ * - Access: The leader writes it when more than prices has changed. A controller reads it
+ *   at start, so that it can start while the cloud is unreachable.
+ * - Absence: The key is absent until the first leader has read the types from the cloud.
+ * - Versions: All versions write all fields.
  */
 
 import type { MachineType } from '../model/machine.js';
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -2,12 +2,12 @@
  * Requests and responses that controllers exchange through the state service when
  * their own connections fail.
  *
- * Keys: `mail/<to>/<from>/<machine>`, attached to a lease that deletes the key after
- * some seconds. Each message replaces the previous one under the same key.
- * Access: Every controller writes and reads messages.
- * Absence: A message has all of its fields. A key is absent while there is no message.
- * Versions: `kind` is `ask` for a request and `answer` for a response. A message of
- * another kind is ignored.
+ * - Keys: `mail/<to>/<from>/<machine>`, attached to a lease that deletes the key after
+ *   some seconds. Each message replaces the previous one under the same key.
+ * - Access: Every controller writes and reads messages.
+ * - Absence: A message has all of its fields. A key is absent while there is no message.
+ * - Versions: `kind` is `ask` for a request and `answer` for a response. A message of
+ *   another kind is ignored.
  */
 
 import { isObject } from '../protocol/json-fields.js';
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -2,10 +2,10 @@
  * Frames between controllers: statuses, which each controller sends at regular
  * intervals, and requests with their responses.
  *
- * Access: Every controller sends and receives frames. Nothing is stored.
- * Absence: `memoryShort` is absent from the status of an earlier version.
- * Versions: Two versions run side by side during an upgrade, so each must be able to
- * read the frames of the other. A frame of an unknown kind is ignored.
+ * - Access: Every controller sends and receives frames. Nothing is stored.
+ * - Absence: `memoryShort` is absent from the status of an earlier version.
+ * - Versions: Two versions run side by side during an upgrade, so each must be able to
+ *   read the frames of the other. A frame of an unknown kind is ignored.
  */
 
 import { isObject } from '../protocol/json-fields.js';
--- a/src/records/peer-requests.ts
+++ b/src/records/peer-requests.ts
@@ -1,13 +1,13 @@
 /**
  * Payloads of requests between controllers and of their responses (peer-frames).
  *
- * Requests: `user` forwards a user's request. `cancelled` announces a cancellation; its
- * response is null. `report` forwards an agent's heartbeat; its payload is the bytes of
- * the heartbeat.
- * Responses: The response to `user` or `report` is a forwarded reply. It has the same
- * form in a mailbox.
- * Absence: `retryAfterS` is absent unless the reply suggests a retry.
- * Versions: All versions send the same fields.
+ * - Requests: `user` forwards a user's request. `cancelled` announces a cancellation; its
+ *   response is null. `report` forwards an agent's heartbeat; its payload is the bytes of
+ *   the heartbeat.
+ * - Responses: The response to `user` or `report` is a forwarded reply. It has the same
+ *   form in a mailbox.
+ * - Absence: `retryAfterS` is absent unless the reply suggests a retry.
+ * - Versions: All versions send the same fields.
  */
 
 import { isObject } from '../protocol/json-fields.js';
--- a/src/records/roster-record.ts
+++ b/src/records/roster-record.ts
@@ -1,19 +1,19 @@
 /**
  * A page of the roster, the machines that tasks may have been assigned to.
  *
- * Keys: `roster/<page>`. This version names its pages `<term>-<number>`.
- * Access: The leader writes and removes pages. The next leader reads them on failover,
- * since it has to contact these machines before it assigns their tasks to others.
- * Absence: An entry has all fields. A key is absent once all machines of the page are
- * terminated.
- * Versions: The earliest versions stored each machine under `roster/<machine>`, as an
- * entry without `id` and, in the first of them, without `address`.
+ * - Keys: `roster/<page>`. This version names its pages `<term>-<number>`.
+ * - Access: The leader writes and removes pages. The next leader reads them on failover,
+ *   since it has to contact these machines before it assigns their tasks to others.
+ * - Absence: An entry has all fields. A key is absent once all machines of the page are
+ *   terminated.
+ * - Versions: The earliest versions stored each machine under `roster/<machine>`, as an
+ *   entry without `id` and, in the first of them, without `address`.
  */
 
 import type { RosterEntry } from '../model/machine.js';
 import { isObject } from '../protocol/json-fields.js';
 
-/** The stored form of `RosterEntry`. */
+/** The stored form of `RosterEntry`, with the same fields. */
 export interface StoredRosterEntry {
   id: string;
   type: string;
--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -66,7 +66,7 @@
 type RoundTrip = (value: unknown, key: string) => unknown;
 
 function requireDecoded<T>(decoded: T | null): T {
-  assert.notEqual(decoded, null, 'the value can be decoded');
+  assert.notEqual(decoded, null, "value can't be decoded");
   return decoded as T;
 }
 
@@ -105,7 +105,7 @@
   for (const [key, text] of Object.values(WRITTEN_RECORDS).flat()) {
     const [name = ''] = key.split('/');
     const roundTrip = ROUND_TRIPS[name];
-    assert.ok(roundTrip, `a codec for ${key}`);
+    assert.ok(roundTrip, `no codec for ${key}`);
     assert.equal(JSON.stringify(roundTrip(JSON.parse(text), key)), text, key);
     covered.add(name);
   }
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -20,7 +20,7 @@
   counts: [['req-000412', 9, 4]],
 };
 
-/** Decodes the hexadecimal form of a frame. */
+/** Returns the bytes of a frame in hexadecimal. */
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
 /** Repeats the step until the condition holds. Limits steps and not real time, since a busy machine may be slow. */
@@ -29,7 +29,7 @@
     await step();
     await settle();
   }
-  assert.ok(condition(), 'the condition holds within the limit of steps');
+  assert.ok(condition(), 'condition not met within the limit of steps');
 }
 
 /** Starts the peer routines of a node and a simulated peer that consists of plain sockets. */
@@ -38,11 +38,11 @@
   t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
   const stop = new AbortController();
-  const receivedByPeer: Buffer[] = [];
+  const sentByNode: Buffer[] = [];
   const peerSockets: net.Socket[] = [];
   const listener = net.createServer((socket) => {
     peerSockets.push(socket);
-    socket.on('data', (data) => receivedByPeer.push(data));
+    socket.on('data', (data) => sentByNode.push(data));
     socket.on('error', () => {});
   });
   listener.listen(0, '127.0.0.1');
@@ -83,22 +83,22 @@
   );
   const socket = net.connect(port, '127.0.0.1');
   await once(socket, 'connect');
-  const sentToPeer: Buffer[] = [];
-  socket.on('data', (data) => sentToPeer.push(data));
+  const responsesOfNode: Buffer[] = [];
+  socket.on('data', (data) => responsesOfNode.push(data));
   return {
     clock,
     ctx,
     peers,
     handlerCalls,
     /** Returns the bytes that the node has sent on its own connection, as hexadecimal. */
-    receivedByPeer: () => Buffer.concat(receivedByPeer).toString('hex'),
+    sentByNode: () => Buffer.concat(sentByNode).toString('hex'),
     /** Sends bytes to the node on the peer's connection. */
     send: (hex: string) => socket.write(bytesOf(hex)),
     /** Returns the bytes that the node has sent on the peer's connection, as hexadecimal. */
-    sentToPeer: () => Buffer.concat(sentToPeer).toString('hex'),
+    responsesOfNode: () => Buffer.concat(responsesOfNode).toString('hex'),
     /** Responds to a request of the node. */
     reply: (hex: string) => peerSockets.at(-1)?.write(bytesOf(hex)),
-    clearReceived: () => receivedByPeer.splice(0),
+    clearSent: () => sentByNode.splice(0),
     close: () => {
       stop.abort();
       socket.destroy();
@@ -112,10 +112,10 @@
   const setup = await startNodeWithPeer(t);
   try {
     await waitUntil(
-      () => setup.receivedByPeer().length > 0,
+      () => setup.sentByNode().length > 0,
       () => setup.clock.advance(setup.ctx.timing.renewMs),
     );
-    assert.equal(setup.receivedByPeer().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
+    assert.equal(setup.sentByNode().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
     setup.send(PEER_FRAMES.peerStatus);
     await waitUntil(() => setup.peers.isReachable('n-1'), settle);
     assert.deepEqual(setup.handlerCalls, [['term', 2]]);
@@ -124,9 +124,9 @@
       requestHex: string,
       responseHex: string,
     ) => {
-      setup.clearReceived();
+      setup.clearSent();
       const response = send();
-      await waitUntil(() => setup.receivedByPeer().includes(requestHex), settle);
+      await waitUntil(() => setup.sentByNode().includes(requestHex), settle);
       setup.reply(responseHex);
       return response;
     };
@@ -160,10 +160,10 @@
   const setup = await startNodeWithPeer(t);
   try {
     const assertResponse = async (request: string, expected: string) => {
-      const before = setup.sentToPeer().length;
+      const before = setup.responsesOfNode().length;
       setup.send(request);
-      await waitUntil(() => setup.sentToPeer().length > before, settle);
-      assert.equal(setup.sentToPeer().slice(before), expected);
+      await waitUntil(() => setup.responsesOfNode().length > before, settle);
+      assert.equal(setup.responsesOfNode().slice(before), expected);
     };
     await assertResponse(PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
     await assertResponse(PEER_FRAMES.user, PEER_FRAMES.userReply);
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -73,7 +73,7 @@
     cloud,
     term,
     policy: schedulerPolicy(DEFAULT_POLICY),
-    agents: agents,
+    agents,
   });
   const termEnded = leader.run().catch(() => {});
   await settle();
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -1,4 +1,4 @@
-/** All optional fields of a submission, with their names on the wire. */
+/** Fields of a submission that set every option, with their names on the wire. */
 export const FULL_SUBMISSION = {
   rank: 'critical',
   accelerators: 1,
@@ -23,7 +23,7 @@
  * Other versions read these bytes. They may change only together with code that reads both forms.
  */
 export const WRITTEN_RECORDS = {
-  /** Live jobs: without optional fields, with all of them, and with two dependencies. */
+  /** Live jobs: without options, with every option, and with two dependencies. */
   liveJobs: [
     [
       'live/req-000001',
