--- a/src/model/demand-forecast.ts
+++ b/src/model/demand-forecast.ts
@@ -13,7 +13,10 @@
   spec: JobSpec;
   /** Mean number of concurrent tasks: the task-seconds of work that arrive each second. */
   mean: number;
-  /** Variance of the number of concurrent tasks. It is large, since all tasks of an array arrive at once. */
+  /**
+   * Variance of the number of concurrent tasks. It is large, since all tasks of an array
+   * arrive at once.
+   */
   variance: number;
   /** Mean resource request of a task. */
   meanRequest: ResourceRequest;
@@ -21,6 +24,9 @@
   occupancyS: number;
   /** Smoothed mean time between arrivals, in milliseconds. Null while no interval is known. */
   arrivalIntervalMs: number | null;
-  /** Milliseconds since the last arrival. A duration, not a time, since the clocks of leaders differ. */
+  /**
+   * Milliseconds since the last arrival. A duration, not a time, since the clocks of
+   * leaders differ.
+   */
   sinceLastArrivalMs: number;
 }
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -38,7 +38,10 @@
   ageS: number;
 }
 
-/** A machine in the durable roster, which contains all machines that tasks may have been assigned to. */
+/**
+ * A machine in the durable roster, which contains all machines that tasks may have been
+ * assigned to.
+ */
 export interface RosterEntry {
   id: string;
   /** Name of the machine type. */
@@ -50,7 +53,10 @@
   address: string;
 }
 
-/** Returns the key of a machine pool: the on-demand or the spot machines of one type in one zone. */
+/**
+ * Returns the key of a machine pool: the on-demand or the spot machines of one type in
+ * one zone.
+ */
 export function machinePoolKey(type: string, zone: string, spot: boolean): string {
   return `${type}|${zone}|${spot}`;
 }
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -42,7 +42,10 @@
   safetyMargin: number;
   /** `rent.smooth-boots`: time over which the demand forecast is smoothed, in boot times. */
   smoothingBoots: number;
-  /** `rent.drain-boots`: boot times, after the first one, within which a backlog should be worked off. */
+  /**
+   * `rent.drain-boots`: boot times, after the first one, within which a backlog should be
+   * worked off.
+   */
   backlogBoots: number;
   /** `rent.idle-boots`: boot times without work after which an unneeded machine is terminated. */
   idleBoots: number;
@@ -50,7 +53,10 @@
   bootPatience: number;
   /** `rent.backoff-boots`: first back-off after the cloud had no capacity, in boot times. */
   backoffBoots: number;
-  /** `sick.jobs`: number of jobs whose tasks fail in a row on a machine before it is quarantined. */
+  /**
+   * `sick.jobs`: number of jobs whose tasks fail in a row on a machine before it is
+   * quarantined.
+   */
   quarantineJobs: number;
   /**
    * `sick.failures`: number of task failures in a row on a machine before it is
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -19,7 +19,10 @@
   memoryGb: number;
 }
 
-/** A team's quota: the resources that it is guaranteed and the maximum that its running tasks may use. */
+/**
+ * A team's quota: the resources that it is guaranteed and the maximum that its running
+ * tasks may use.
+ */
 export interface TeamQuota {
   name: string;
   /** Guaranteed CPU cores. */
--- a/src/protocol/agent-protocol.ts
+++ b/src/protocol/agent-protocol.ts
@@ -16,11 +16,14 @@
   requireObject,
 } from './json-fields.js';
 
-/** Number of fence values in one leader term. A fencing token is `term * FENCES_PER_TERM + fence`. */
+/**
+ * Number of fence values in one leader term. A fencing token is `term * FENCES_PER_TERM +
+ * fence`.
+ */
 const FENCES_PER_TERM = 2 ** 20;
 
 /** Matches the name of a task: the id of the job and the index of the task in it. */
-const TASK_NAME = /^(.+)\/(\d{1,6})$/;
+const TASK_NAME_PATTERN = /^(.+)\/(\d{1,6})$/;
 const MAX_TASK_NAME_LENGTH = 220;
 
 const TASK_STATES: Record<string, TaskState> = {
@@ -69,7 +72,7 @@
 
 function parseTaskStatus(value: unknown): TaskStatus {
   const fields = requireObject(value, 'task is not an object');
-  const match = TASK_NAME.exec(readString(fields, 'hand', MAX_TASK_NAME_LENGTH));
+  const match = TASK_NAME_PATTERN.exec(readString(fields, 'hand', MAX_TASK_NAME_LENGTH));
   if (!match) throw new MalformedMessageError('task name');
   const state = TASK_STATES[String(fields.standing)];
   if (!state) throw new MalformedMessageError('task state');
@@ -91,7 +94,10 @@
   return { verb: 'forget', ...base };
 }
 
-/** Returns the body of the response to a heartbeat. It renews the agent's lease under the token and contains commands. */
+/**
+ * Returns the body of the response to a heartbeat. It renews the agent's lease under the
+ * token and contains commands.
+ */
 export function heartbeatResponseBody(token: number, commands: TaskCommand[]): JsonObject {
   return { baton: token, orders: commands.map(encodeCommand) };
 }
@@ -112,7 +118,10 @@
   return { ...response, orders };
 }
 
-/** Returns the body that redirects an agent to the leader's node. `leader` is null when no leader is known. */
+/**
+ * Returns the body that redirects an agent to the leader's node. `leader` is null when no
+ * leader is known.
+ */
 export function redirectBody(leader: string | null): JsonObject {
   return leader === null ? {} : { steward: leader };
 }
--- a/src/protocol/cloud-protocol.ts
+++ b/src/protocol/cloud-protocol.ts
@@ -24,7 +24,10 @@
 
 /** A request to provision machines of one pool. */
 export interface ProvisionRequest {
-  /** Name of the request. A request that is repeated under the same name provisions nothing more. */
+  /**
+   * Name of the request. A request that is repeated under the same name provisions
+   * nothing more.
+   */
   name: string;
   /** Name of the machine type. */
   type: string;
@@ -61,7 +64,10 @@
   };
 }
 
-/** Returns the target of one page: up to `limit` machines with ids after `after`, or the first ones if it is null. */
+/**
+ * Returns the target of one page: up to `limit` machines with ids after `after`, or the
+ * first ones if it is null.
+ */
 export function machineListTarget(after: string | null, limit: number): string {
   const afterParameter = after === null ? '' : `after=${encodeURIComponent(after)}&`;
   return `${PATHS.machines}?${afterParameter}limit=${limit}`;
@@ -100,7 +106,10 @@
   };
 }
 
-/** Returns the ids of the provisioned machines and skips items that are not strings. Throws `MalformedMessageError`. */
+/**
+ * Returns the ids of the provisioned machines and skips items that are not strings.
+ * Throws `MalformedMessageError`.
+ */
 export function parseProvisioned(body: unknown): string[] {
   return readArray(body, 'carts').filter((id): id is string => typeof id === 'string');
 }
--- a/src/protocol/job-protocol.ts
+++ b/src/protocol/job-protocol.ts
@@ -15,12 +15,18 @@
   requireObject,
 } from './json-fields.js';
 
-/** The form of a job id. Ids become parts of keys in the state service, so no other form is accepted. */
+/**
+ * The form of a job id. Ids become parts of keys in the state service, so no other form
+ * is accepted.
+ */
 export const JOB_ID_PATTERN = /^req-[0-9]{1,60}$/;
 const MAX_TASKS = 100_000;
 const MAX_TYPE_NAME_LENGTH = 200;
 
-/** Returns the job id of a submission without checking its other fields. Throws `MalformedMessageError`. */
+/**
+ * Returns the job id of a submission without checking its other fields. Throws
+ * `MalformedMessageError`.
+ */
 export function parseJobId(body: unknown): string {
   const id = readString(requireObject(body), 'id');
   if (!JOB_ID_PATTERN.test(id)) throw new MalformedMessageError('id is not in the form req-000412');
@@ -76,7 +82,10 @@
   return typeof value === 'string' && value.length <= MAX_TYPE_NAME_LENGTH;
 }
 
-/** Returns the ids of the jobs that must be done before this one starts, without duplicates. Throws `MalformedMessageError`. */
+/**
+ * Returns the ids of the jobs that must be done before this one starts, without
+ * duplicates. Throws `MalformedMessageError`.
+ */
 export function parseDependencies(body: unknown): string[] {
   if (!isObject(body) || isAbsent(body.awaits)) return [];
   const ids = body.awaits;
@@ -92,7 +101,10 @@
 /** The state of a job in responses to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Returns the body of the response to a query: the state and the numbers of tasks that are done and running. */
+/**
+ * Returns the body of the response to a query: the state and the numbers of tasks that
+ * are done and running.
+ */
 export function jobStatusBody(
   id: string,
   state: JobState,
--- a/src/protocol/json-fields.ts
+++ b/src/protocol/json-fields.ts
@@ -24,7 +24,10 @@
   return value === null || value === undefined;
 }
 
-/** Returns the value if it is an object; otherwise throws `MalformedMessageError` with this message. */
+/**
+ * Returns the value if it is an object; otherwise throws `MalformedMessageError` with
+ * this message.
+ */
 export function requireObject(value: unknown, errorMessage = 'not an object'): JsonObject {
   if (!isObject(value)) throw new MalformedMessageError(errorMessage);
   return value;
--- a/src/protocol/key-value-protocol.ts
+++ b/src/protocol/key-value-protocol.ts
@@ -13,7 +13,10 @@
   version: number;
 }
 
-/** One write of a transaction. `lease` is the id of a lease; the key is deleted when the lease ends. */
+/**
+ * One write of a transaction. `lease` is the id of a lease; the key is deleted when the
+ * lease ends.
+ */
 export type Change =
   | { op: 'put'; key: string; value: unknown; lease?: number }
   | { op: 'delete'; key: string };
@@ -57,7 +60,10 @@
   return `${PATHS.keys}/${key.split('/').map(encodeURIComponent).join('/')}`;
 }
 
-/** Returns the target of one page: up to `limit` keys under the prefix, after the key `after` if it is not null. */
+/**
+ * Returns the target of one page: up to `limit` keys under the prefix, after the key
+ * `after` if it is not null.
+ */
 export function listTarget(prefix: string, after: string | null, limit: number): string {
   const afterParameter = after === null ? '' : `&after=${encodeURIComponent(after)}`;
   return `${PATHS.keys}?starts=${encodeURIComponent(prefix)}${afterParameter}&limit=${limit}`;
@@ -76,7 +82,10 @@
   return `${PATHS.leases}/${id}${renewal ? '/touch' : ''}`;
 }
 
-/** Returns the body of a request for a lease that ends after `ttlMs` milliseconds without a renewal. */
+/**
+ * Returns the body of a request for a lease that ends after `ttlMs` milliseconds without
+ * a renewal.
+ */
 export function grantBody(ttlMs: number): JsonObject {
   return { lifeMs: ttlMs };
 }
@@ -105,7 +114,10 @@
   return requireInteger(requireObject(body).ledgerRev, 'revision');
 }
 
-/** Returns the keys whose conditions did not hold; none when the response has no list of them. Throws `MalformedMessageError`. */
+/**
+ * Returns the keys whose conditions did not hold; none when the response has no list of
+ * them. Throws `MalformedMessageError`.
+ */
 export function parseFailed(body: unknown): string[] {
   const { failed } = requireObject(body);
   return Array.isArray(failed) ? failed.map(String) : [];
@@ -129,7 +141,10 @@
   };
 }
 
-/** Parses the response to a watch; it has no events when the list is absent. Throws `MalformedMessageError`. */
+/**
+ * Parses the response to a watch; it has no events when the list is absent. Throws
+ * `MalformedMessageError`.
+ */
 export function parseEvents(body: unknown): EventBatch {
   const fields = requireObject(body);
   const events = Array.isArray(fields.news) ? fields.news : [];
--- a/src/records/demand-record.ts
+++ b/src/records/demand-record.ts
@@ -22,7 +22,10 @@
   memoryGb: number;
 }
 
-/** The stored form of `DemandForecast`, with the fields in the same order and with the same units. */
+/**
+ * The stored form of `DemandForecast`, with the fields in the same order and with the
+ * same units.
+ */
 export interface StoredForecast {
   /** The job of this kind that arrived last. */
   spec: StoredJobSpec;
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -74,7 +74,10 @@
   'deadlineS',
 ];
 
-/** Returns the stored form of a specification, including the unknown fields that it was decoded with. */
+/**
+ * Returns the stored form of a specification, including the unknown fields that it was
+ * decoded with.
+ */
 export function encodeJobSpec(spec: JobSpec): StoredJobSpec {
   return mergeIntoRetainedForm(spec, {
     id: spec.id,
@@ -99,7 +102,10 @@
   });
 }
 
-/** Returns null when the value is not an object. A missing field is undefined in the specification. */
+/**
+ * Returns null when the value is not an object. A missing field is undefined in the
+ * specification.
+ */
 export function decodeJobSpec(value: unknown): JobSpec | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredJobSpec;
--- a/src/records/keys.ts
+++ b/src/records/keys.ts
@@ -5,7 +5,10 @@
 
 /** Prefix of the records of live jobs (job-record). */
 export const LIVE_JOB_PREFIX = 'live/';
-/** Prefix of the pages of dependencies that are written together with a job record (dependency-list-record). */
+/**
+ * Prefix of the pages of dependencies that are written together with a job record
+ * (dependency-list-record).
+ */
 export const DEPENDENCY_PAGE_PREFIX = 'upstream/';
 /** Prefix of the bitmaps of finished tasks of live jobs (bitmap-layout, finished-tasks-record). */
 export const BITMAP_PREFIX = 'bits/';
@@ -21,7 +24,10 @@
 /** Returns the key of the record of an ended job. */
 export const endedJobKey = (id: string) => `${ENDED_JOB_PREFIX}${id}`;
 
-/** Returns the key of a page of dependencies that do not fit into the job record. Pages are numbered from 0. */
+/**
+ * Returns the key of a page of dependencies that do not fit into the job record. Pages
+ * are numbered from 0.
+ */
 export const dependencyPageKey = (id: string, page: number) =>
   `${DEPENDENCY_PAGE_PREFIX}${id}/${page}`;
 
--- a/src/records/leader-record.ts
+++ b/src/records/leader-record.ts
@@ -11,7 +11,10 @@
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** The current leader. Its fencing token is the term. Its writes are conditioned on the version of this key. */
+/**
+ * The current leader. Its fencing token is the term. Its writes are conditioned on the
+ * version of this key.
+ */
 export interface LeaderRecord {
   /** Name of the leading controller. */
   node: string;
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -44,7 +44,10 @@
   };
 }
 
-/** Returns null when the value is not an object. A missing field is undefined in the machine type. */
+/**
+ * Returns null when the value is not an object. A missing field is undefined in the
+ * machine type.
+ */
 export function decodeMachineType(value: unknown): MachineType | null {
   if (!isObject(value)) return null;
   const stored = value as unknown as StoredMachineType;
@@ -76,7 +79,10 @@
   return Array.isArray(value) ? value : null;
 }
 
-/** Returns null when the value is not a list. An item that is not an object is returned unchanged. */
+/**
+ * Returns null when the value is not a list. An item that is not an object is returned
+ * unchanged.
+ */
 export function decodeMachineTypes(value: unknown): MachineType[] | null {
   return storedMachineTypes(value)?.map((type) => mapIfObject(type, decodeMachineType)) ?? null;
 }
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -19,7 +19,10 @@
   n: number;
   /** Name of the requesting controller. */
   from: string;
-  /** Identifies the requesting process, so that a restarted one ignores responses to its predecessor. */
+  /**
+   * Identifies the requesting process, so that a restarted one ignores responses to its
+   * predecessor.
+   */
   incarnation: string;
   /** The heartbeat as JSON, as the agent sent it. */
   text: string;
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -10,7 +10,10 @@
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** Progress of a live job: its id, the number of tasks that are done and the number that are running. */
+/**
+ * Progress of a live job: its id, the number of tasks that are done and the number that
+ * are running.
+ */
 export type SentJobProgress = [jobId: string, done: number, running: number];
 
 /** The status that a controller sends to the others at regular intervals. */
@@ -30,7 +33,10 @@
   leading: boolean;
   /** Whether the state service serves the controller's requests. */
   stateOk: boolean;
-  /** Whether the controller lacks memory for further jobs. Absent in the status of an earlier version. */
+  /**
+   * Whether the controller lacks memory for further jobs. Absent in the status of an
+   * earlier version.
+   */
   memoryShort?: boolean;
   /** Progress of live jobs, for display only. Empty unless the controller is the leader. */
   counts: SentJobProgress[];
--- a/src/records/value-sizes.ts
+++ b/src/records/value-sizes.ts
@@ -11,7 +11,10 @@
 
 /** Limits of the state service on values. */
 export interface ValueLimits {
-  /** Limit on a value in bytes: the lowest of the present limit and those that may come into force. */
+  /**
+   * Limit on a value in bytes: the lowest of the present limit and those that may come
+   * into force.
+   */
   valueBytes: number;
 }
 
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -23,7 +23,10 @@
 /** Returns the bytes of a frame in hexadecimal. */
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
-/** Repeats the step until the condition holds. Limits steps and not real time, since a busy machine may be slow. */
+/**
+ * Repeats the step until the condition holds. Limits steps and not real time, since a
+ * busy machine may be slow.
+ */
 async function waitUntil(condition: () => boolean, step: () => Promise<unknown>): Promise<void> {
   for (let i = 0; i < 2000 && !condition(); i++) {
     await step();
--- a/test/support/recording.ts
+++ b/test/support/recording.ts
@@ -24,7 +24,10 @@
   }
 }
 
-/** Creates the context of a node with its own store. Low limits split little data into several pages. */
+/**
+ * Creates the context of a node with its own store. Low limits split little data into
+ * several pages.
+ */
 export function createRecordingNode(clock: FakeClock, limits: Partial<StateLimits> = {}) {
   const store = new FakeStore(clock);
   const state = new RecordingStateService(store);
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -67,7 +67,10 @@
   ],
   /** The header of the same list while the list is being removed. */
   listRemoval: [['lists/req-000005/dafb463aead1b3dc', '{"pages":2,"removing":true}']],
-  /** Ended jobs: done, cancelled with a dependency, cancelled on acceptance, cancelled by a user. */
+  /**
+   * Ended jobs: done, cancelled with a dependency, cancelled on acceptance, cancelled by
+   * a user.
+   */
   ends: [
     ['over/req-000001', '{"state":"done","tasks":3,"at":1800000001000}'],
     ['over/req-000002', '{"state":"cancelled","tasks":3}'],
