--- a/test/records-codecs.test.ts
+++ b/test/records-codecs.test.ts
@@ -59,84 +59,87 @@
   encodeRosterPage,
 } from '../src/records/roster-record.js';
 import { mapIfObject } from '../src/records/stored-form.js';
-import { PEER_FRAMES, WRITTEN } from './support/records.js';
+import { PEER_FRAMES, WRITTEN_RECORDS } from './support/records.js';
 import { jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 
-/** Reads a stored value into the model and writes the model again; throws when it is not readable. */
+/** Decodes a stored value and encodes the result again. Throws when the value can't be decoded. */
 type RoundTrip = (value: unknown, key: string) => unknown;
 
-function readable<T>(model: T | null): T {
-  assert.notEqual(model, null, 'readable');
-  return model as T;
+function requireDecoded<T>(decoded: T | null): T {
+  assert.notEqual(decoded, null, "value can't be decoded");
+  return decoded as T;
 }
 
-/** The codec of each key by the first part of its name. */
+/** Codecs by the first part of the key. */
 const ROUND_TRIPS: Record<string, RoundTrip> = {
-  live: (value) => encodeLiveJob(readable(decodeLiveJob(value))),
+  live: (value) => encodeLiveJob(requireDecoded(decodeLiveJob(value))),
   upstream: (value) => encodeJobIds(decodeJobIds(value)),
   needs: (value) => encodeJobIds(decodeJobIds(value)),
   lists: (value) => {
-    const header = readable(decodeDependencyListHeader(value));
+    const header = requireDecoded(decodeDependencyListHeader(value));
     return header.removing ? encodeHeaderInRemoval(header) : encodeDependencyListHeader(header);
   },
   over: (value) => {
-    const record = readable(decodeJobEnd(value));
+    const record = requireDecoded(decodeJobEnd(value));
     return encodeJobEnd({ state: record.state, at: record.at ?? null }, record.tasks);
   },
-  bits: (value) => encodeFinishedTasks(readable(decodeFinishedTasks(value))),
+  bits: (value) => encodeFinishedTasks(requireDecoded(decodeFinishedTasks(value))),
   roster: (value, key) => encodeRosterPage(decodeRosterPage(key, value)),
   loads: (value, key) => {
     if (key !== 'loads')
-      return encodeFurtherPage(readable(decodeForecasts(value)).map(encodeForecast));
-    const { loads, upTo, more } = readable(decodeFirstPage(value));
+      return encodeFurtherPage(requireDecoded(decodeForecasts(value)).map(encodeForecast));
+    const { loads, upTo, more } = requireDecoded(decodeFirstPage(value));
     return encodeFirstPage(loads.map(encodeForecast), upTo, more);
   },
-  types: (value) => encodeMachineTypes(readable(decodeMachineTypes(value))),
+  types: (value) => encodeMachineTypes(requireDecoded(decodeMachineTypes(value))),
   mail: (value) => {
-    const mail = readable(decodeMailboxMessage(value));
-    return mail.kind === 'ask' ? encodeMailboxRequest(mail) : encodeMailboxResponse(mail);
+    const message = requireDecoded(decodeMailboxMessage(value));
+    return message.kind === 'ask' ? encodeMailboxRequest(message) : encodeMailboxResponse(message);
   },
-  leader: (value) => encodeLeaderRecord(readable(decodeLeaderRecord(value))),
-  term: (value) => encodeTerm(readable(decodeTerm(value))),
+  leader: (value) => encodeLeaderRecord(requireDecoded(decodeLeaderRecord(value))),
+  term: (value) => encodeTerm(requireDecoded(decodeTerm(value))),
 };
 
-test('whatever the models are called, each record that is read is written as it was, byte for byte', () => {
+test('a stored record that is decoded and encoded again is unchanged, byte for byte', () => {
   const covered = new Set<string>();
-  for (const [key, text] of Object.values(WRITTEN).flat()) {
+  for (const [key, text] of Object.values(WRITTEN_RECORDS).flat()) {
     const [name = ''] = key.split('/');
     const roundTrip = ROUND_TRIPS[name];
-    assert.ok(roundTrip, `a codec for ${key}`);
+    assert.ok(roundTrip, `no codec for ${key}`);
     assert.equal(JSON.stringify(roundTrip(JSON.parse(text), key)), text, key);
     covered.add(name);
   }
   assert.deepEqual([...covered].sort(), Object.keys(ROUND_TRIPS).sort());
 });
 
-test('frames that are read are sent as they were, byte for byte', () => {
+test('a peer frame that is decoded and encoded again is unchanged, byte for byte', () => {
   for (const [name, hex] of Object.entries(PEER_FRAMES)) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
-    const read = readable(decodeFrame(value));
-    assert.equal(packFrame(encodeFrame(read)).toString('hex'), hex, name);
+    const frame = requireDecoded(decodeFrame(value));
+    assert.equal(packFrame(encodeFrame(frame)).toString('hex'), hex, name);
   }
   const payloads: [string, (value: unknown) => unknown][] = [
-    [PEER_FRAMES.user, (v) => encodeForwardedRequest(readable(decodeForwardedRequest(v)))],
-    [PEER_FRAMES.cancelled, (v) => encodeCancellationNotice(readable(decodeCancellationNotice(v)))],
-    [PEER_FRAMES.userReply, (v) => encodeForwardedReply(readable(decodeForwardedReply(v)))],
-    [PEER_FRAMES.reportReply, (v) => encodeForwardedReply(readable(decodeForwardedReply(v)))],
+    [PEER_FRAMES.user, (v) => encodeForwardedRequest(requireDecoded(decodeForwardedRequest(v)))],
+    [
+      PEER_FRAMES.cancelled,
+      (v) => encodeCancellationNotice(requireDecoded(decodeCancellationNotice(v))),
+    ],
+    [PEER_FRAMES.userReply, (v) => encodeForwardedReply(requireDecoded(decodeForwardedReply(v)))],
+    [PEER_FRAMES.reportReply, (v) => encodeForwardedReply(requireDecoded(decodeForwardedReply(v)))],
   ];
   for (const [hex, roundTrip] of payloads) {
     const [value] = new FrameReader().push(Buffer.from(hex, 'hex'));
-    const read = readable(decodeFrame(value));
-    assert.ok(read.kind !== 'status');
-    const again = encodeFrame({ ...read, payload: roundTrip(read.payload) });
-    assert.equal(packFrame(again).toString('hex'), hex);
+    const frame = requireDecoded(decodeFrame(value));
+    assert.ok(frame.kind !== 'status');
+    const encoded = encodeFrame({ ...frame, payload: roundTrip(frame.payload) });
+    assert.equal(packFrame(encoded).toString('hex'), hex);
   }
 });
 
-test('a model that is written is read as it was', () => {
+test('a model that is encoded and decoded again is unchanged', () => {
   const job = jobSpec({ machineTypes: ['m16'], zone: 'b', deadlineS: 30 });
-  const throughText = (stored: unknown): unknown => JSON.parse(JSON.stringify(stored));
-  assert.deepEqual(decodeJobSpec(throughText(encodeJobSpec(job))), job);
+  const jsonRoundTrip = (stored: unknown): unknown => JSON.parse(JSON.stringify(stored));
+  assert.deepEqual(decodeJobSpec(jsonRoundTrip(encodeJobSpec(job))), job);
   const records: LiveJobRecord[] = [
     { spec: job, acceptedAt: 7 },
     { spec: job, acceptedAt: 7, dependencies: ['req-1'], dependencyPages: 2 },
@@ -148,7 +151,7 @@
     },
   ];
   for (const record of records)
-    assert.deepEqual(decodeLiveJob(throughText(encodeLiveJob(record))), record);
+    assert.deepEqual(decodeLiveJob(jsonRoundTrip(encodeLiveJob(record))), record);
   const forecast: DemandForecast = {
     spec: job,
     mean: 0.5,
@@ -158,8 +161,8 @@
     arrivalIntervalMs: null,
     sinceLastArrivalMs: 9,
   };
-  assert.deepEqual(decodeForecast(throughText(encodeForecast(forecast))), forecast);
-  assert.deepEqual(decodeMachineTypes(throughText(encodeMachineTypes([MACHINE_TYPE]))), [
+  assert.deepEqual(decodeForecast(jsonRoundTrip(encodeForecast(forecast))), forecast);
+  assert.deepEqual(decodeMachineTypes(jsonRoundTrip(encodeMachineTypes([MACHINE_TYPE]))), [
     MACHINE_TYPE,
   ]);
   const machine: RosterEntry = {
@@ -169,13 +172,13 @@
     spot: true,
     address: '10.0.0.1:9001',
   };
-  assert.deepEqual(decodeRosterPage('3-1', throughText(encodeRosterPage([machine]))), [machine]);
+  assert.deepEqual(decodeRosterPage('3-1', jsonRoundTrip(encodeRosterPage([machine]))), [machine]);
 });
 
-/** What the state service or a peer might hold instead of an object. */
-const NO_OBJECTS = [undefined, null, 5, 'text', true, [], [{}]];
+/** Values that the state service or a peer may return instead of an object. */
+const NON_OBJECTS = [undefined, null, 5, 'text', true, [], [{}]];
 
-test('what is no object is no record, and is left to its reader as it stands', () => {
+test('a value that is not an object decodes to null, and mapIfObject returns it unchanged', () => {
   const decoders: Record<string, (value: unknown) => unknown> = {
     decodeJobSpec,
     decodeLiveJob,
@@ -194,7 +197,7 @@
     decodeForwardedReply,
   };
   for (const [name, decode] of Object.entries(decoders))
-    for (const value of NO_OBJECTS) {
+    for (const value of NON_OBJECTS) {
       assert.equal(decode(value), null, `${name} of ${JSON.stringify(value)}`);
       assert.equal(mapIfObject(value, decode), value);
     }
@@ -204,32 +207,38 @@
   assert.equal(decodeTerm('7'), null);
 });
 
-test('records that lack fields are read without them, and those that must be whole are not', () => {
+test('a record with missing fields decodes without them, or to null where they are required', () => {
   for (const decode of [decodeJobSpec, decodeMachineType, decodeForecast]) {
-    const model = readable<object>(decode({}));
+    const model = requireDecoded<object>(decode({}));
     assert.ok(Object.values(model).every((value) => value === undefined));
   }
-  const live = readable(decodeLiveJob({ spec: null, at: 'x' }));
+  const live = requireDecoded(decodeLiveJob({ spec: null, at: 'x' }));
   assert.deepEqual([live.spec, live.acceptedAt], [null, 'x']);
-  // Null is not the same as absent to those who ask whether there is a list.
-  assert.equal(readable(decodeLiveJob({ upstreamList: null })).dependencyList, null);
-  assert.equal(readable(decodeLiveJob({})).dependencyList, undefined);
-  const end = readable(decodeJobEnd({}));
+  // Callers distinguish an absent list from null.
+  assert.equal(requireDecoded(decodeLiveJob({ upstreamList: null })).dependencyList, null);
+  assert.equal(requireDecoded(decodeLiveJob({})).dependencyList, undefined);
+  const end = requireDecoded(decodeJobEnd({}));
   assert.deepEqual([end.state, end.tasks, end.at], [undefined, undefined, undefined]);
-  const alone: RosterEntry = { id: 'n-7', type: 'm16', zone: 'a', spot: false, address: '' };
-  assert.deepEqual(decodeRosterPage('n-7', { type: 'm16', zone: 'a' }), [alone]);
+  const singleMachine: RosterEntry = {
+    id: 'n-7',
+    type: 'm16',
+    zone: 'a',
+    spot: false,
+    address: '',
+  };
+  assert.deepEqual(decodeRosterPage('n-7', { type: 'm16', zone: 'a' }), [singleMachine]);
   assert.deepEqual(decodeRosterPage('p', { machines: [null, 5] }), []);
   assert.deepEqual(decodeFirstPage({ loads: [], upTo: 3 }), { loads: [], upTo: 3, more: 0 });
-  for (const odd of [{}, { kind: 'ask' }, { kind: 'ask', text: 5 }, { kind: 'status' }])
-    assert.equal(decodeMailboxMessage(odd), null);
-  for (const odd of [{}, { kind: 'odd' }, { kind: 'status' }, { kind: 'status', status: [] }])
-    assert.equal(decodeFrame(odd), null);
+  for (const malformed of [{}, { kind: 'ask' }, { kind: 'ask', text: 5 }, { kind: 'status' }])
+    assert.equal(decodeMailboxMessage(malformed), null);
+  for (const malformed of [{}, { kind: 'odd' }, { kind: 'status' }, { kind: 'status', status: [] }])
+    assert.equal(decodeFrame(malformed), null);
   const leader = { node: 'n-0', incarnation: 'i', term: 1, lease: 2 };
   for (const field of Object.keys(leader))
     assert.equal(decodeLeaderRecord({ ...leader, [field]: null }), null, field);
 });
 
-test('in what is read and written again, fields of a later version stay where they are', () => {
+test('unknown fields keep their values and places when a record is decoded and encoded again', () => {
   const stored = {
     later: 1,
     spec: { region: 'r', ...encodeJobSpec(jobSpec()) },
@@ -239,18 +248,20 @@
     gapMs: 5,
     quietMs: 6,
   };
-  const forecast = readable(decodeForecast(stored));
+  const forecast = requireDecoded(decodeForecast(stored));
   forecast.mean = 4;
   forecast.occupancyS = 9;
   assert.equal(
     JSON.stringify(encodeForecast(forecast)),
     JSON.stringify({ ...stored, mean: 4, holdS: 9 }),
   );
-  // What is made anew has nothing of it.
+  // A new object has no unknown fields.
   forecast.meanRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   const shape: StoredResourceRequest = { cpus: 2, gpus: 0, memoryGb: 2 };
   assert.deepEqual(encodeForecast(forecast).shape, shape);
-  const header = readable(decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }));
+  const header = requireDecoded(
+    decodeDependencyListHeader({ by: 'n-1', pages: 2, removing: false }),
+  );
   assert.equal(
     JSON.stringify(encodeHeaderInRemoval(header)),
     '{"by":"n-1","pages":2,"removing":true}',
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -6,7 +6,7 @@
 import { createPeers } from '../src/controller/membership/peers.js';
 import type { PeerStatus } from '../src/records/peer-frames.js';
 import { FakeClock, settle } from './support/clock.js';
-import { recordingNode } from './support/recording.js';
+import { createRecordingNode } from './support/recording.js';
 import { PEER_FRAMES } from './support/records.js';
 
 const SENT_STATUS: PeerStatus = {
@@ -20,39 +20,42 @@
   counts: [['req-000412', 9, 4]],
 };
 
-/** A frame's bytes without the length before it. */
+/** Returns the bytes of a frame in hexadecimal. */
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
-/** Bounded by steps and never by real time, of which a busy machine may need any amount. */
-async function until(holds: () => boolean, step: () => Promise<unknown>): Promise<void> {
-  for (let i = 0; i < 2000 && !holds(); i++) {
+/**
+ * Repeats the step until the condition holds. Limits steps and not real time, since a
+ * busy machine may be slow.
+ */
+async function waitUntil(condition: () => boolean, step: () => Promise<unknown>): Promise<void> {
+  for (let i = 0; i < 2000 && !condition(); i++) {
     await step();
     await settle();
   }
-  assert.ok(holds(), 'in time');
+  assert.ok(condition(), 'condition not met within the limit of steps');
 }
 
-/** A node's real duties towards its peers, and a peer that is played by bare sockets. */
-async function meeting(t: TestContext) {
-  // The sockets are real: time-outs of connections and questions never come.
+/** Starts the peer routines of a node and a simulated peer that consists of plain sockets. */
+async function startNodeWithPeer(t: TestContext) {
+  // The sockets are real, so timers are mocked: connections and requests must not time out.
   t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
   const stop = new AbortController();
-  const heard: Buffer[] = [];
-  const dialled: net.Socket[] = [];
+  const sentByNode: Buffer[] = [];
+  const peerSockets: net.Socket[] = [];
   const listener = net.createServer((socket) => {
-    dialled.push(socket);
-    socket.on('data', (data) => heard.push(data));
+    peerSockets.push(socket);
+    socket.on('data', (data) => sentByNode.push(data));
     socket.on('error', () => {});
   });
   listener.listen(0, '127.0.0.1');
   await once(listener, 'listening');
-  const free = net.createServer().listen(0, '127.0.0.1');
-  await once(free, 'listening');
-  const { port } = free.address() as net.AddressInfo;
-  free.close();
-  await once(free, 'close');
-  const node = recordingNode(clock);
+  const portProbe = net.createServer().listen(0, '127.0.0.1');
+  await once(portProbe, 'listening');
+  const { port } = portProbe.address() as net.AddressInfo;
+  portProbe.close();
+  await once(portProbe, 'close');
+  const node = createRecordingNode(clock);
   const peerPort = (listener.address() as net.AddressInfo).port;
   const ctx: ControllerContext = {
     ...node.ctx,
@@ -62,128 +65,132 @@
       peers: [{ node: 'n-1', zone: 'a', address: `127.0.0.1:${peerPort}` }],
     },
   };
-  const taken: unknown[] = [];
+  const handlerCalls: unknown[] = [];
   const peers = createPeers(ctx, {
     currentStatus: () => SENT_STATUS,
-    observeTerm: (term) => taken.push(['term', term]),
+    observeTerm: (term) => handlerCalls.push(['term', term]),
     serveUser: async (method, target, body) => {
-      taken.push(['user', method, target, body.toString()]);
+      handlerCalls.push(['user', method, target, body.toString()]);
       return { status: 503, body: { error: 'later' }, retryAfterS: 1 };
     },
     handleHeartbeat: async (body) => {
-      taken.push(['report', body.toString()]);
+      handlerCalls.push(['report', body.toString()]);
       return { status: 200, body: { baton: 3_145_728, orders: [] } };
     },
-    announceCancellation: (job, revision) => taken.push(['cancelled', job, revision]),
+    announceCancellation: (job, revision) => handlerCalls.push(['cancelled', job, revision]),
   });
   void peers.run(stop.signal);
-  await until(
-    () => dialled.length > 0,
+  await waitUntil(
+    () => peerSockets.length > 0,
     () => clock.advance(ctx.timing.renewMs),
   );
   const socket = net.connect(port, '127.0.0.1');
   await once(socket, 'connect');
-  const answers: Buffer[] = [];
-  socket.on('data', (data) => answers.push(data));
+  const responsesOfNode: Buffer[] = [];
+  socket.on('data', (data) => responsesOfNode.push(data));
   return {
     clock,
     ctx,
     peers,
-    taken,
-    /** The bytes that the node sends on its own connection. */
-    heard: () => Buffer.concat(heard).toString('hex'),
-    /** Sends the node bytes as its peer. */
+    handlerCalls,
+    /** Returns the bytes that the node has sent on its own connection, as hexadecimal. */
+    sentByNode: () => Buffer.concat(sentByNode).toString('hex'),
+    /** Sends bytes to the node on the peer's connection. */
     send: (hex: string) => socket.write(bytesOf(hex)),
-    /** The bytes that the node answers with. */
-    answers: () => Buffer.concat(answers).toString('hex'),
-    /** Answers the node's own question. */
-    reply: (hex: string) => dialled.at(-1)?.write(bytesOf(hex)),
-    forget: () => heard.splice(0),
-    end: () => {
+    /** Returns the bytes that the node has sent on the peer's connection, as hexadecimal. */
+    responsesOfNode: () => Buffer.concat(responsesOfNode).toString('hex'),
+    /** Responds to a request of the node. */
+    reply: (hex: string) => peerSockets.at(-1)?.write(bytesOf(hex)),
+    clearSent: () => sentByNode.splice(0),
+    close: () => {
       stop.abort();
       socket.destroy();
-      for (const s of dialled) s.destroy();
+      for (const peerSocket of peerSockets) peerSocket.destroy();
       listener.close();
     },
   };
 }
 
-test('what a node tells its peers and asks them is these bytes, and answers are read', async (t) => {
-  const m = await meeting(t);
+test('the status and requests of a node are the recorded bytes, and recorded responses are decoded', async (t) => {
+  const setup = await startNodeWithPeer(t);
   try {
-    await until(
-      () => m.heard().length > 0,
-      () => m.clock.advance(m.ctx.timing.renewMs),
+    await waitUntil(
+      () => setup.sentByNode().length > 0,
+      () => setup.clock.advance(setup.ctx.timing.renewMs),
     );
-    assert.equal(m.heard().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
-    m.send(PEER_FRAMES.peerStatus);
-    await until(() => m.peers.isReachable('n-1'), settle);
-    assert.deepEqual(m.taken, [['term', 2]]);
-    const ask = async (question: () => Promise<unknown>, sent: string, answer: string) => {
-      m.forget();
-      const asked = question();
-      await until(() => m.heard().includes(sent), settle);
-      m.reply(answer);
-      return asked;
+    assert.equal(setup.sentByNode().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
+    setup.send(PEER_FRAMES.peerStatus);
+    await waitUntil(() => setup.peers.isReachable('n-1'), settle);
+    assert.deepEqual(setup.handlerCalls, [['term', 2]]);
+    const request = async (
+      send: () => Promise<unknown>,
+      requestHex: string,
+      responseHex: string,
+    ) => {
+      setup.clearSent();
+      const response = send();
+      await waitUntil(() => setup.sentByNode().includes(requestHex), settle);
+      setup.reply(responseHex);
+      return response;
     };
-    await ask(
-      () => m.peers.announceCancellation('req-000412', 90),
+    await request(
+      () => setup.peers.announceCancellation('req-000412', 90),
       PEER_FRAMES.cancelled,
       PEER_FRAMES.nothing,
     );
     assert.deepEqual(
-      await ask(
-        () => m.peers.forwardRequest('n-1', 'POST', '/v1/jobs', Buffer.from('{"id":"req-1"}')),
+      await request(
+        () => setup.peers.forwardRequest('n-1', 'POST', '/v1/jobs', Buffer.from('{"id":"req-1"}')),
         PEER_FRAMES.user,
         PEER_FRAMES.userReply,
       ),
       { status: 503, body: { error: 'later' }, retryAfterS: 1 },
     );
     assert.deepEqual(
-      await ask(
-        () => m.peers.forwardHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
+      await request(
+        () => setup.peers.forwardHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
         PEER_FRAMES.report,
         PEER_FRAMES.reportReply,
       ),
       { status: 200, body: { baton: 3_145_728, orders: [] } },
     );
   } finally {
-    m.end();
+    setup.close();
   }
 });
 
-test('what peers ask is read from these bytes, and answered with these', async (t) => {
-  const m = await meeting(t);
+test('recorded requests of a peer are decoded, and the responses are the recorded bytes', async (t) => {
+  const setup = await startNodeWithPeer(t);
   try {
-    const answer = async (question: string, expected: string) => {
-      const before = m.answers().length;
-      m.send(question);
-      await until(() => m.answers().length > before, settle);
-      assert.equal(m.answers().slice(before), expected);
+    const assertResponse = async (request: string, expected: string) => {
+      const before = setup.responsesOfNode().length;
+      setup.send(request);
+      await waitUntil(() => setup.responsesOfNode().length > before, settle);
+      assert.equal(setup.responsesOfNode().slice(before), expected);
     };
-    await answer(PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
-    await answer(PEER_FRAMES.user, PEER_FRAMES.userReply);
-    await answer(PEER_FRAMES.report, PEER_FRAMES.reportReply);
-    assert.deepEqual(m.taken, [
+    await assertResponse(PEER_FRAMES.cancelled, PEER_FRAMES.nothing);
+    await assertResponse(PEER_FRAMES.user, PEER_FRAMES.userReply);
+    await assertResponse(PEER_FRAMES.report, PEER_FRAMES.reportReply);
+    assert.deepEqual(setup.handlerCalls, [
       ['cancelled', 'req-000412', 90],
       ['user', 'POST', '/v1/jobs', '{"id":"req-1"}'],
       ['report', '{"cart":"m-7"}'],
     ]);
   } finally {
-    m.end();
+    setup.close();
   }
 });
 
-test('a peer of an earlier version says nothing of its memory, and its counts are taken', async (t) => {
-  const m = await meeting(t);
+test('the status of an earlier version, without memoryShort, is accepted with its task counts', async (t) => {
+  const setup = await startNodeWithPeer(t);
   try {
-    m.send(PEER_FRAMES.earlierStatus);
-    await until(() => m.peers.isReachable('n-1'), settle);
-    assert.equal(m.peers.statuses.isLeaderMemoryShort(), false);
-    assert.deepEqual(m.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
-    assert.equal(m.peers.lastLedAt('n-1', 3), m.clock.now());
-    assert.equal(m.peers.statuses.servedPeer(), 'n-1');
+    setup.send(PEER_FRAMES.earlierStatus);
+    await waitUntil(() => setup.peers.isReachable('n-1'), settle);
+    assert.equal(setup.peers.statuses.isLeaderMemoryShort(), false);
+    assert.deepEqual(setup.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
+    assert.equal(setup.peers.lastLedAt('n-1', 3), setup.clock.now());
+    assert.equal(setup.peers.statuses.servedPeer(), 'n-1');
   } finally {
-    m.end();
+    setup.close();
   }
 });
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -19,31 +19,31 @@
 import { ScaleOutPlanner } from '../src/scheduler/scaling/scale-out.js';
 import { FakeClock, settle } from './support/clock.js';
 import { WITHOUT_LEADER } from './support/job-api.js';
-import { recordingNode } from './support/recording.js';
-import { LONG_IDS, WRITTEN } from './support/records.js';
+import { createRecordingNode } from './support/recording.js';
+import { LONG_IDS, WRITTEN_RECORDS } from './support/records.js';
 import { createCluster, jobSpec, MACHINE_TYPE } from './support/scheduler.js';
 import type { FakeStore } from './support/state.js';
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-/** Puts the literal texts into the store, as another version has left them. */
+/** Stores the JSON texts, as if another version had written them. */
 function seed(store: FakeStore, ...texts: readonly (readonly [key: string, text: string])[]): void {
   for (const [key, text] of texts)
     store.transact([], [{ op: 'put', key, value: JSON.parse(text) }]);
 }
 
-function textOf(records: readonly (readonly [string, string])[], key: string): string {
+function requireText(records: readonly (readonly [string, string])[], key: string): string {
   const found = records.find(([written]) => written === key);
   assert.ok(found, key);
   return found[1];
 }
 
-const PLAIN = textOf(WRITTEN.liveJobs, 'live/req-000001');
-const FULL = textOf(WRITTEN.liveJobs, 'live/req-000002');
-const LOADS = textOf(WRITTEN.loads, 'loads');
+const PLAIN_JOB = requireText(WRITTEN_RECORDS.liveJobs, 'live/req-000001');
+const FULL_JOB = requireText(WRITTEN_RECORDS.liveJobs, 'live/req-000002');
+const FORECAST_PAGE = requireText(WRITTEN_RECORDS.loads, 'loads');
 
-/** A leader that takes over what the store holds, and what it logs. */
-async function takeover(ctx: ControllerContext) {
+/** Starts a leader that restores the contents of the store. Returns it with its log lines. */
+async function startLeader(ctx: ControllerContext) {
   const logged: { level: number; msg: string; key?: string }[] = [];
   const log = pino({ level: 'info' }, { write: (line: string) => logged.push(JSON.parse(line)) });
   const stop = new AbortController();
@@ -63,7 +63,7 @@
     provision: async () => null,
     terminate: async () => {},
   };
-  const workers = {
+  const agents = {
     command: () => Promise.reject(new Error()),
     retainOnly: () => {},
     close: () => {},
@@ -73,9 +73,9 @@
     cloud,
     term,
     policy: schedulerPolicy(DEFAULT_POLICY),
-    agents: workers,
+    agents,
   });
-  const ended = leader.run().catch(() => {});
+  const termEnded = leader.run().catch(() => {});
   await settle();
   assert.ok(leader.ready);
   return {
@@ -83,17 +83,22 @@
     logged,
     end: async () => {
       stop.abort();
-      await ended;
+      await termEnded;
     },
   };
 }
 
-test('a leader takes over jobs, finished tasks, machines and expected work', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
-  seed(store, ...WRITTEN.liveJobs, ...WRITTEN.upstreamPages, ...WRITTEN.upstreamList);
-  seed(store, ...WRITTEN.progress, ...WRITTEN.loads, ...WRITTEN.types);
+test('a new leader restores jobs, finished tasks and machines from stored records', async () => {
+  const { ctx, store } = createRecordingNode(new FakeClock());
+  seed(
+    store,
+    ...WRITTEN_RECORDS.liveJobs,
+    ...WRITTEN_RECORDS.upstreamPages,
+    ...WRITTEN_RECORDS.upstreamList,
+  );
+  seed(store, ...WRITTEN_RECORDS.progress, ...WRITTEN_RECORDS.loads, ...WRITTEN_RECORDS.types);
   seed(store, ['bits/req-000002/0000', '"Ag=="']);
-  const { leader, end } = await takeover(ctx);
+  const { leader, end } = await startLeader(ctx);
   const { jobs, machines } = leader.cluster;
   assert.deepEqual(
     [...jobs.keys()],
@@ -143,25 +148,25 @@
   await end();
 });
 
-test('machines in keys of their own and jobs without times, of earlier versions, are taken over', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
-  const job = JSON.parse(PLAIN) as { spec: object };
+test('a new leader restores records of earlier versions: one machine per key, jobs without a time', async () => {
+  const { ctx, store } = createRecordingNode(new FakeClock());
+  const job = JSON.parse(PLAIN_JOB) as { spec: object };
   seed(
     store,
     ['roster/n-7', '{"type":"m16","zone":"a","spot":true}'],
     ['roster/odd', '[]'],
     ['live/req-000001', JSON.stringify({ spec: job.spec })],
   );
-  const { leader, end } = await takeover(ctx);
+  const { leader, end } = await startLeader(ctx);
   const { machines, jobs } = leader.cluster;
-  const read = [...machines.values()].map((machine) => [
+  const restored = [...machines.values()].map((machine) => [
     machine.id,
     machine.typeName,
     machine.zone,
     machine.spot,
     machine.address,
   ]);
-  assert.deepEqual(read, [
+  assert.deepEqual(restored, [
     ['n-7', 'm16', 'a', true, ''],
     ['odd', 'undefined', 'undefined', false, ''],
   ]);
@@ -169,11 +174,11 @@
   await end();
 });
 
-test('jobs and bitmaps that are not readable are said once, and hold up nothing', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
+test('unreadable jobs are logged once, unreadable bitmaps are ignored, and other jobs are restored', async () => {
+  const { ctx, store } = createRecordingNode(new FakeClock());
   seed(
     store,
-    ...WRITTEN.liveJobs,
+    ...WRITTEN_RECORDS.liveJobs,
     ['live/a', '5'],
     ['live/b', '{}'],
     ['live/c', '{"spec":null}'],
@@ -181,7 +186,7 @@
     ['bits/req-000001/0000', '{"odd":1}'],
     ['bits/req-000002/odd', '"Ag=="'],
   );
-  const { leader, logged, end } = await takeover(ctx);
+  const { leader, logged, end } = await startLeader(ctx);
   assert.deepEqual([...leader.cluster.jobs.keys()], ['req-000001', 'req-000002', 'req-000003']);
   const errors = logged.filter((line) => line.level >= 50).map((line) => [line.msg, line.key]);
   assert.deepEqual(
@@ -192,10 +197,15 @@
   await end();
 });
 
-test('what users ask is answered from the records', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
-  seed(store, ...WRITTEN.upstreamPages, ...WRITTEN.upstreamList, ...WRITTEN.ends.slice(0, 2));
-  seed(store, ['live/odd', 'null'], ['live/req-000009', FULL]);
+test('queries of users are answered from stored records', async () => {
+  const { ctx, store } = createRecordingNode(new FakeClock());
+  seed(
+    store,
+    ...WRITTEN_RECORDS.upstreamPages,
+    ...WRITTEN_RECORDS.upstreamList,
+    ...WRITTEN_RECORDS.ends.slice(0, 2),
+  );
+  seed(store, ['live/odd', 'null'], ['live/req-000009', FULL_JOB]);
   const jobs = new JobStore(ctx);
   for (const id of ['req-000004', 'req-000005']) {
     const found = await jobs.find(id, RequestPriority.submissions);
@@ -211,81 +221,84 @@
   const cancelled = await jobs.findEnded('req-000002', RequestPriority.submissions);
   const cancelledEnd: EndedJobRecord = { state: 'cancelled', tasks: 3 };
   assert.deepEqual(cancelled?.record, cancelledEnd);
-  const users = new JobApi(ctx, WITHOUT_LEADER);
-  const standings = [];
+  const jobApi = new JobApi(ctx, WITHOUT_LEADER);
+  const statusBodies = [];
   for (const id of ['req-000001', 'req-000002', 'req-000009'])
-    standings.push((await users.query(id)).body);
-  assert.deepEqual(standings, [
+    statusBodies.push((await jobApi.query(id)).body);
+  assert.deepEqual(statusBodies, [
     { id: 'req-000001', standing: 'done', done: 3, running: 0 },
     { id: 'req-000002', standing: 'cancelled', done: 0, running: 0 },
     { id: 'req-000009', standing: 'queued', done: 0, running: 0 },
   ]);
 });
 
-test('a record that is none is not believed, and ends nothing', async () => {
-  const { ctx, store } = recordingNode(new FakeClock());
+test('a query of a job whose record is not an object gets 503', async () => {
+  const { ctx, store } = createRecordingNode(new FakeClock());
   seed(store, ['live/req-000001', 'null'], ['live/req-000002', '5'], ['over/req-000003', 'null']);
-  const users = new JobApi(ctx, WITHOUT_LEADER);
+  const jobApi = new JobApi(ctx, WITHOUT_LEADER);
   for (const id of ['req-000001', 'req-000002', 'req-000003'])
-    assert.equal((await users.query(id)).status, 503);
+    assert.equal((await jobApi.query(id)).status, 503);
 });
 
-test('what a later version added goes on in what is written again', async () => {
+test('fields that a later version added to demand forecasts are kept when they are written again', async () => {
   const clock = new FakeClock();
-  const { ctx, store, state } = recordingNode(clock);
-  const loads = LOADS.replace('"spec":{', '"spec":{"later":[1],')
+  const { ctx, store, state } = createRecordingNode(clock);
+  const stored = FORECAST_PAGE.replace('"spec":{', '"spec":{"later":[1],')
     .replace('"shape":{', '"hint":"x","shape":{"disks":2,')
     .replace(',"holdS":20.6', '');
-  const live = PLAIN.replace('"oneZone"', '"region":"r","oneZone"');
-  seed(store, ['loads', loads], ['live/req-000001', live]);
+  const live = PLAIN_JOB.replace('"oneZone"', '"region":"r","oneZone"');
+  seed(store, ['loads', stored], ['live/req-000001', live]);
   const stop = new AbortController();
   const term = { number: 1, version: 0, signal: stop.signal } as never;
-  const first = new ScaleOutPlanner(createCluster());
-  const kept = new DemandStore(ctx, term, first);
-  await kept.read();
+  const scaleOut = new ScaleOutPlanner(createCluster());
+  const demandStore = new DemandStore(ctx, term, scaleOut);
+  await demandStore.read();
   const found = await new JobStore(ctx).find('req-000001', RequestPriority.submissions);
   assert.ok(found?.live);
-  kept.recordArrival(found.record.spec, 99);
-  void kept.run(stop.signal).catch(() => {});
+  demandStore.recordArrival(found.record.spec, 99);
+  void demandStore.run(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
   const { spec } = JSON.parse(live) as { spec: object };
-  const large = loads
-    .slice(loads.indexOf('{"spec"'), loads.indexOf('],"upTo"'))
+  const large = stored
+    .slice(stored.indexOf('{"spec"'), stored.indexOf('],"upTo"'))
     .replace('"quietMs":0', '"quietMs":0,"holdS":20.6');
   const shape = '"shape":{"cpus":2,"gpus":0,"memoryGb":4}';
   const small = `{"spec":${JSON.stringify(spec)},"mean":0.212,"variance":0.424,${shape},"holdS":10.6,"gapMs":50000,"quietMs":0}`;
-  assert.equal(state.text('loads'), `{"loads":[${large},${small}],"upTo":99,"more":0}`);
+  assert.equal(state.lastText('loads'), `{"loads":[${large},${small}],"upTo":99,"more":0}`);
 });
 
-test('machine types are read, and kept as they stand unless more than a price differs', async () => {
-  const { ctx, store, state } = recordingNode(new FakeClock());
+test('stored machine types are read, and are written again only when more than prices differ', async () => {
+  const { ctx, store, state } = createRecordingNode(new FakeClock());
   const cloud = { types: async () => [MACHINE_TYPE] };
   const g8 = { ...MACHINE_TYPE, name: 'g8', gpus: 8 };
-  seed(store, ...WRITTEN.types);
-  assert.deepEqual(await readMachineTypes(ctx, cloud, never), [MACHINE_TYPE, g8]);
-  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
+  seed(store, ...WRITTEN_RECORDS.types);
+  assert.deepEqual(await readMachineTypes(ctx, cloud, neverAborted), [MACHINE_TYPE, g8]);
+  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], neverAborted);
   assert.deepEqual(state.written, []);
-  // A later version's field is no longer there once this one has written.
-  seed(store, ['types', textOf(WRITTEN.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1')]);
+  // Writing the list drops the field of a later version.
+  seed(store, [
+    'types',
+    requireText(WRITTEN_RECORDS.types, 'types').replace('"gpus":8', '"gpus":8,"disks":1'),
+  ]);
   assert.deepEqual(
-    (await readMachineTypes(ctx, cloud, never)).map((type) => type.gpus),
+    (await readMachineTypes(ctx, cloud, neverAborted)).map((type) => type.gpus),
     [0, 8],
   );
-  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], never);
-  assert.deepEqual(state.written, WRITTEN.types);
-  for (const odd of ['{}', '[]', 'null', '"x"']) {
-    seed(store, ['types', odd]);
-    assert.deepEqual(await readMachineTypes(ctx, cloud, never), [MACHINE_TYPE]);
+  await storeMachineTypes(ctx, [MACHINE_TYPE, g8], neverAborted);
+  assert.deepEqual(state.written, WRITTEN_RECORDS.types);
+  for (const malformed of ['{}', '[]', 'null', '"x"']) {
+    seed(store, ['types', malformed]);
+    assert.deepEqual(await readMachineTypes(ctx, cloud, neverAborted), [MACHINE_TYPE]);
   }
 });
 
-test('a list whose job never came is removed, with what a later version has put into its header', async () => {
+test('an orphaned dependency list is removed, and its header keeps the fields of a later version', async () => {
   const clock = new FakeClock();
-  const { ctx, store, state } = recordingNode(clock);
-  seed(store, ...WRITTEN.upstreamList.slice(0, -1));
-  const [[key] = ['']] = WRITTEN.upstreamList;
+  const { ctx, store, state } = createRecordingNode(clock);
+  seed(store, ...WRITTEN_RECORDS.upstreamList.slice(0, -1));
+  const [[key] = ['']] = WRITTEN_RECORDS.upstreamList;
   seed(store, [key, '{"by":"n-1","pages":2}']);
   const stop = new AbortController();
   void new DependencyListCleaner(ctx, new Map()).run(stop.signal);
@@ -295,30 +308,30 @@
   assert.deepEqual([...store.entries.keys()], []);
 });
 
-test('the leader is read from its record; one that is not readable is none', async () => {
+test('the leader and the term are read from their records, and the next term follows the stored one', async () => {
   const clock = new FakeClock();
-  const { ctx, store } = recordingNode(clock);
+  const { ctx, store } = createRecordingNode(clock);
   seed(store, ['leader', '{"node":"n-1","incarnation":"n-1-1","term":6,"lease":3}'], ['term', '6']);
   const stop = new AbortController();
-  const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
-  void leadership.run(stop.signal);
+  const election = new LeaderElection(ctx, () => new Promise(() => {}));
+  void election.run(stop.signal);
   await settle();
-  assert.deepEqual([leadership.leader, leadership.observedTerm], ['n-1', 6]);
+  assert.deepEqual([election.leader, election.observedTerm], ['n-1', 6]);
   store.transact([], [{ op: 'delete', key: 'leader' }]);
   await clock.advance(5000);
-  assert.equal(leadership.current?.number, 7);
+  assert.equal(election.current?.number, 7);
   stop.abort();
 });
 
-test('mail that is none, or for an earlier process, is let be', async () => {
+test('malformed mailbox messages and responses to other requests or processes are ignored', async () => {
   const clock = new FakeClock();
-  const { ctx, store, state } = recordingNode(clock);
+  const { ctx, store, state } = createRecordingNode(clock);
   const stop = new AbortController();
   const texts: string[] = [];
-  const mail = new Mailbox(ctx, async (text) => texts.push(text));
-  void mail.run(stop.signal);
+  const mailbox = new Mailbox(ctx, async (text) => texts.push(text));
+  void mailbox.run(stop.signal);
   await settle();
-  const late = assert.rejects(mail.request('n-1', 'm-7', 'x', 1000), /not answered/);
+  const unanswered = assert.rejects(mailbox.request('n-1', 'm-7', 'x', 1000), /not answered/);
   await settle();
   seed(
     store,
@@ -330,10 +343,10 @@
     ['mail/n-0/n-1/m-9', '{"kind":"ask","n":"seven","from":"n-1","incarnation":null,"text":"t"}'],
   );
   await clock.advance(1000);
-  await late;
+  await unanswered;
   assert.deepEqual(texts, ['t']);
   assert.equal(
-    state.text('mail/n-1/n-0/m-9'),
+    state.lastText('mail/n-1/n-0/m-9'),
     '{"kind":"answer","n":"seven","incarnation":null,"value":1}',
   );
   stop.abort();
