--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly timeoutMs: number,
-    private readonly sockets: number,
+    private readonly maxConnections: number,
   ) {}
 
   /**
@@ -46,7 +46,7 @@
     signal: AbortSignal,
     isStillValid: () => boolean,
   ): Promise<CommandResult> {
-    const response = await this.client(address).request({
+    const response = await this.clientFor(address).request({
       method: 'POST',
       target: PATHS.commands,
       body: commandsBody(token, agentEpoch, commands),
@@ -88,12 +88,12 @@
   }
 
   /** The client of the address, now the most recently used. */
-  private client(address: string): HttpClient {
+  private clientFor(address: string): HttpClient {
     let client = this.clients.get(address);
     if (client) {
       this.clients.delete(address);
     } else {
-      if (this.clients.size >= this.sockets) this.evictLeastRecentlyUsed();
+      if (this.clients.size >= this.maxConnections) this.evictLeastRecentlyUsed();
       client = createClient(address);
     }
     this.clients.set(address, client);
@@ -117,5 +117,5 @@
 }
 
 function createClient(address: string): HttpClient {
-  return new HttpClient(parseAddress(address), { connections: 1, bodyLimit: MAX_BODY_BYTES });
+  return new HttpClient(parseAddress(address), { connections: 1, maxBodyBytes: MAX_BODY_BYTES });
 }
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -23,7 +23,7 @@
 const MAX_BODY_BYTES = 2 * 1024 * 1024;
 const CONNECTIONS = 4;
 /** As much of an unexpected answer as is kept in the error, in characters. */
-const MAX_ERROR_LENGTH = 200;
+const MAX_ERROR_BODY_CHARS = 200;
 
 /** The list of a large fleet has many pages, which must not hold up provisioning and termination. */
 const LIST_PRIORITY = RequestPriority.completions;
@@ -60,7 +60,7 @@
 
   constructor(private readonly options: CloudClientOptions) {
     const { address, requestsPerS, clock } = options;
-    this.http = new HttpClient(address, { connections: CONNECTIONS, bodyLimit: MAX_BODY_BYTES });
+    this.http = new HttpClient(address, { connections: CONNECTIONS, maxBodyBytes: MAX_BODY_BYTES });
     this.budget = new RequestBudget(requestsPerS, requestsPerS, clock.now());
   }
 
@@ -98,10 +98,10 @@
       isStillValid,
     });
     if (response.status === 200) return parseProvisioned(response.body);
-    const text = JSON.stringify(response.body);
-    if (response.status === 503 && text.includes('no capacity')) return null;
+    const bodyText = JSON.stringify(response.body);
+    if (response.status === 503 && bodyText.includes('no capacity')) return null;
     throw new NoResponseError(
-      `cloud answered ${response.status}: ${text.slice(0, MAX_ERROR_LENGTH)}`,
+      `cloud answered ${response.status}: ${bodyText.slice(0, MAX_ERROR_BODY_CHARS)}`,
     );
   }
 
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -62,7 +62,7 @@
 /** When to come back after the service has refused: it does not say when. */
 const REFUSED_RETRY_MS = 1000;
 /** Statuses that are answers; what 404 and 409 mean depends on the request. */
-const ANSWERED = [200, 400, 404, 409];
+const USABLE_STATUSES = [200, 400, 404, 409];
 
 /**
  * The state service over HTTP. A refusal (429, 503) and a request that the
@@ -77,7 +77,7 @@
   private readonly requestBudget: RequestBudget;
   private readonly changeBudget: RequestBudget;
   /** Requests that wait for the budget. */
-  private queued = 0;
+  private queuedRequests = 0;
   /** Since when no request has been served; null while the last one was. */
   failingSince: number | null = null;
   /** Since when requests have had no answer of any kind, not even a refusal. */
@@ -88,9 +88,9 @@
   constructor(private readonly options: StateClientOptions) {
     const { address, requestsPerS, changesPerS, clock } = options;
     const connections = Math.ceil(requestsPerS * CONNECTIONS_PER_REQUEST_PER_S);
-    this.http = createHttp(address, connections);
-    this.leadershipHttp = createHttp(address, connections);
-    this.watchHttp = createHttp(address, WATCH_CONNECTIONS);
+    this.http = createHttpClient(address, connections);
+    this.leadershipHttp = createHttpClient(address, connections);
+    this.watchHttp = createHttpClient(address, WATCH_CONNECTIONS);
     this.requestBudget = new RequestBudget(requestsPerS, requestsPerS, clock.now());
     this.changeBudget = new RequestBudget(changesPerS, changesPerS, clock.now());
   }
@@ -180,7 +180,7 @@
         signal,
       });
       if (response.status === 410) return null;
-      return parseEvents(this.check(response, 0).body);
+      return parseEvents(this.checkStatus(response, 0).body);
     } catch (error) {
       // Its length has no bound, and the same request would have the same answer: lists come in pages.
       if (error instanceof ResponseTooLargeError) return null;
@@ -202,7 +202,7 @@
     this.lastAttemptAt = clock.now();
     const client = priority === RequestPriority.leadership ? this.leadershipHttp : this.http;
     try {
-      const response = this.check(
+      const response = this.checkStatus(
         await client.request({ method, target, body, timeoutMs, signal }),
         changes,
       );
@@ -211,12 +211,12 @@
       return response;
     } catch (error) {
       // What we ended ourselves says nothing of the service.
-      if (!signal?.aborted) this.noteFailure(error);
+      if (!signal?.aborted) this.recordFailure(error);
       throw error;
     }
   }
 
-  private noteFailure(error: unknown): void {
+  private recordFailure(error: unknown): void {
     const now = this.options.clock.now();
     this.failingSince ??= now;
     if (error instanceof RequestRefusedError) this.unansweredSince = null;
@@ -240,29 +240,30 @@
       if (waitMs === 0 && changes > 0)
         waitMs = this.changeBudget.take(changes, priority, clock.now());
       if (waitMs === 0) return;
-      if (clock.now() + waitMs > deadline || this.queued > requestsPerS)
+      if (clock.now() + waitMs > deadline || this.queuedRequests > requestsPerS)
         throw new RequestRefusedError(waitMs);
-      this.queued++;
+      this.queuedRequests++;
       try {
         await clock.sleep(waitMs, signal);
       } finally {
-        this.queued--;
+        this.queuedRequests--;
       }
     }
   }
 
   /** The response when it is an answer; throws the error that its status stands for. */
-  private check(response: HttpResponse, changes: number): HttpResponse {
+  private checkStatus(response: HttpResponse, changes: number): HttpResponse {
     const { status, body } = response;
-    if (status === 429) this.noteRateLimit(changes);
+    if (status === 429) this.recordRateLimit(changes);
     if (status === 429 || status === 503) throw new RequestRefusedError(REFUSED_RETRY_MS);
-    if (!ANSWERED.includes(status)) throw new NoResponseError(`state service answered ${status}`);
+    if (!USABLE_STATUSES.includes(status))
+      throw new NoResponseError(`state service answered ${status}`);
     if (status === 400)
       throw new RequestRejectedError(`state service answered 400: ${JSON.stringify(body)}`);
     return response;
   }
 
-  private noteRateLimit(changes: number): void {
+  private recordRateLimit(changes: number): void {
     const now = this.options.clock.now();
     this.requestBudget.recordRefusal(now);
     if (changes === 0) return;
@@ -272,6 +273,6 @@
   }
 }
 
-function createHttp(address: Address, connections: number): HttpClient {
-  return new HttpClient(address, { connections, bodyLimit: MAX_BODY_BYTES });
+function createHttpClient(address: Address, connections: number): HttpClient {
+  return new HttpClient(address, { connections, maxBodyBytes: MAX_BODY_BYTES });
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -47,7 +47,7 @@
   async request(options: RequestOptions): Promise<HttpResponse> {
     const { pool } = this;
     const { signal, isStillValid } = options;
-    const text = this.encode(options);
+    const requestText = this.encode(options);
     const deadline = Date.now() + options.timeoutMs;
     for (;;) {
       const connection = await pool.acquire(deadline, signal);
@@ -59,11 +59,18 @@
       const bytesReadBefore = socket.bytesRead;
       const timeoutMs = Math.max(1, deadline - Date.now());
       try {
-        return await Exchange.run({ pool, connection, text, timeoutMs, signal });
+        return await Exchange.run({
+          pool,
+          connection,
+          requestText: requestText,
+          timeoutMs,
+          signal,
+        });
       } catch (error) {
         // A kept connection that the server had closed meanwhile carried nothing; only safe calls are sent again.
-        const wasKept = bytesReadBefore > 0;
-        const isStale = wasKept && socket.bytesRead === bytesReadBefore && options.method === 'GET';
+        const wasReused = bytesReadBefore > 0;
+        const isStale =
+          wasReused && socket.bytesRead === bytesReadBefore && options.method === 'GET';
         if (!isStale || signal?.aborted || Date.now() >= deadline) throw error;
       }
     }
--- a/src/http/connection-pool.ts
+++ b/src/http/connection-pool.ts
@@ -8,7 +8,7 @@
   /** Most connections at a time. */
   connections: number;
   /** Longest body of a response, in bytes. */
-  bodyLimit: number;
+  maxBodyBytes: number;
 }
 
 interface Waiter {
@@ -52,11 +52,11 @@
    * to connect, not the wait for a free connection.
    */
   acquire(deadline: number, signal?: AbortSignal): Promise<ClientConnection> {
-    const kept = this.takeIdle();
-    if (kept) return Promise.resolve(kept);
+    const idleConnection = this.popIdle();
+    if (idleConnection) return Promise.resolve(idleConnection);
     if (this.closed) return Promise.reject(new NotAttemptedError('closed'));
     if (this.openCount < this.options.connections) return this.connect(deadline, signal);
-    return this.waitForFree(deadline);
+    return this.waitForConnection(deadline);
   }
 
   /** Takes back a connection on which the next request may be sent. */
@@ -77,13 +77,13 @@
   }
 
   /** The connection used last, since the server is the least likely to have closed it. */
-  private takeIdle(): ClientConnection | null {
-    for (let kept = this.idle.pop(); kept; kept = this.idle.pop())
-      if (!kept.socket.destroyed) return kept;
+  private popIdle(): ClientConnection | null {
+    for (let connection = this.idle.pop(); connection; connection = this.idle.pop())
+      if (!connection.socket.destroyed) return connection;
     return null;
   }
 
-  private waitForFree(deadline: number): Promise<ClientConnection> {
+  private waitForConnection(deadline: number): Promise<ClientConnection> {
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
         this.waiters = this.waiters.filter((other) => other !== waiter);
@@ -107,15 +107,15 @@
     this.openCount++;
     return openConnection({
       address: this.address,
-      bodyLimit: this.options.bodyLimit,
+      maxBodyBytes: this.options.maxBodyBytes,
       timeoutMs: msUntil(deadline),
       signal,
-      onClose: (socket) => this.forget(socket),
+      onClose: (socket) => this.handleClose(socket),
     });
   }
 
   /** A socket has closed, for whatever reason. */
-  private forget(socket: net.Socket): void {
+  private handleClose(socket: net.Socket): void {
     this.openCount--;
     this.idle = this.idle.filter((connection) => connection.socket !== socket);
     this.connectForWaiter();
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -94,12 +94,12 @@
    * closing kept ones for them instead would in the end have every client
    * connect anew for each request.
    */
-  get isCrowded(): boolean {
+  get isSaturated(): boolean {
     const { maxConnections } = this.limits;
-    const transient = Math.floor(maxConnections * TRANSIENT_SHARE);
-    if (this.connections.size <= maxConnections - transient) return false;
-    const longest = this.longestIdle();
-    return longest === null || !this.mayEvict(longest, Date.now());
+    const reservedConnections = Math.floor(maxConnections * TRANSIENT_SHARE);
+    if (this.connections.size <= maxConnections - reservedConnections) return false;
+    const candidate = this.longestIdle();
+    return candidate === null || !this.mayEvict(candidate, Date.now());
   }
 
   /** Closes the connections whose time is over. */
@@ -116,10 +116,10 @@
 
   /** False: every connection is in use or was so a short time ago. */
   private evictLongestIdle(now: number): boolean {
-    const longest = this.longestIdle();
-    if (longest === null || !this.mayEvict(longest, now)) return false;
-    this.connections.delete(longest.socket);
-    longest.socket.destroy();
+    const candidate = this.longestIdle();
+    if (candidate === null || !this.mayEvict(candidate, now)) return false;
+    this.connections.delete(candidate.socket);
+    candidate.socket.destroy();
     return true;
   }
 
--- a/src/http/exchange.ts
+++ b/src/http/exchange.ts
@@ -17,7 +17,7 @@
   pool: ConnectionPool;
   connection: ClientConnection;
   /** The request as it is sent. */
-  text: string;
+  requestText: string;
   timeoutMs: number;
   signal: AbortSignal | undefined;
 }
@@ -43,7 +43,7 @@
   }
 
   private start(): void {
-    const { connection, text, timeoutMs, signal } = this.options;
+    const { connection, requestText, timeoutMs, signal } = this.options;
     const { socket } = connection;
     this.timer = setTimeout(this.onTimeout, timeoutMs);
     signal?.addEventListener('abort', this.onAbort, { once: true });
@@ -54,7 +54,7 @@
     } else {
       socket.on('data', this.onData);
       socket.once('close', this.onClose);
-      socket.write(text);
+      socket.write(requestText);
     }
   }
 
@@ -63,7 +63,7 @@
       const message = this.options.connection.parser.push(data)[0];
       if (message) this.finish(message);
     } catch (error) {
-      this.fail(unusableResponse(error as Error));
+      this.fail(toResponseError(error as Error));
     }
   };
 
@@ -80,7 +80,7 @@
   private finish(message: Message): void {
     const { pool, connection } = this.options;
     this.stopListening();
-    if (message.keepAlive && !connection.parser.busy) pool.release(connection);
+    if (message.keepAlive && !connection.parser.hasPartialMessage) pool.release(connection);
     else connection.socket.destroy();
     try {
       this.resolve({ status: message.status, body: parseBody(message.body) });
@@ -108,7 +108,7 @@
   return body.length === 0 ? {} : JSON.parse(body.toString());
 }
 
-function unusableResponse(error: Error): NoResponseError {
+function toResponseError(error: Error): NoResponseError {
   return error instanceof BodyTooLargeError
     ? new ResponseTooLargeError(error.message)
     : new NoResponseError(error.message);
--- a/src/http/open-connection.ts
+++ b/src/http/open-connection.ts
@@ -19,7 +19,7 @@
 export interface OpenOptions {
   address: Address;
   /** Longest body of a response, in bytes. */
-  bodyLimit: number;
+  maxBodyBytes: number;
   timeoutMs: number;
   signal: AbortSignal | undefined;
   /** Called once when the socket has closed, whether or not it was ever connected. */
@@ -34,15 +34,15 @@
  * `NotSentError` when it can't be opened; the socket is then destroyed.
  */
 export function openConnection(options: OpenOptions): Promise<ClientConnection> {
-  const { address, bodyLimit, timeoutMs, signal, onClose } = options;
+  const { address, maxBodyBytes, timeoutMs, signal, onClose } = options;
   return new Promise((resolve, reject) => {
     const socket = net.connect({ ...address, noDelay: true });
-    const stopWaiting = () => {
+    const cleanUp = () => {
       clearTimeout(timer);
       signal?.removeEventListener('abort', onAbort);
     };
     const fail = (message: string) => {
-      stopWaiting();
+      cleanUp();
       socket.destroy();
       reject(new NotSentError(message));
     };
@@ -52,14 +52,18 @@
     socket.once('error', (error) => fail(error.message));
     socket.once('close', () => onClose(socket));
     socket.once('connect', () => {
-      stopWaiting();
+      cleanUp();
       socket.removeAllListeners('error');
       socket.on('error', () => socket.destroy());
-      resolve({ socket, parser: createParser(bodyLimit) });
+      resolve({ socket, parser: createParser(maxBodyBytes) });
     });
   });
 }
 
-function createParser(bodyLimit: number): Parser {
-  return new Parser('response', { line: MAX_LINE_BYTES, headers: MAX_HEADERS, body: bodyLimit });
+function createParser(maxBodyBytes: number): Parser {
+  return new Parser('response', {
+    maxLineBytes: MAX_LINE_BYTES,
+    maxHeaderLines: MAX_HEADERS,
+    maxBodyBytes: maxBodyBytes,
+  });
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -16,15 +16,19 @@
 /** What a sender may make this side keep in memory. */
 export interface ParserLimits {
   /** Longest start or header line, in bytes. */
-  line: number;
+  maxLineBytes: number;
   /** Number of header lines, and of trailer lines. */
-  headers: number;
+  maxHeaderLines: number;
   /** Longest body, in bytes, without the frame of its chunks. */
-  body: number;
+  maxBodyBytes: number;
 }
 
 /** Limits of requests that are served here. */
-export const REQUEST_LIMITS: ParserLimits = { line: 8 * 1024, headers: 64, body: 64 * 1024 };
+export const REQUEST_LIMITS: ParserLimits = {
+  maxLineBytes: 8 * 1024,
+  maxHeaderLines: 64,
+  maxBodyBytes: 64 * 1024,
+};
 
 /** The line that comes next. */
 type LineStage = 'startLine' | 'header' | 'chunkSize' | 'chunkEnd' | 'trailer';
@@ -45,11 +49,11 @@
   private message: Message = emptyMessage();
   private headerCount = 0;
   /** Bytes of the body or chunk that have not arrived. */
-  private remaining = 0;
+  private remainingBytes = 0;
   private bodyParts: Buffer[] = [];
-  private bodySize = 0;
+  private bodyBytes = 0;
   /** A response without a length: its body ends with the connection. */
-  private bodyEndsWithConnection = false;
+  private isCloseDelimited = false;
 
   constructor(
     private readonly kind: 'request' | 'response',
@@ -57,7 +61,7 @@
   ) {}
 
   /** True while a message has begun and is not complete. */
-  get busy(): boolean {
+  get hasPartialMessage(): boolean {
     return this.stage !== 'startLine' || this.partialLine.length > 0;
   }
 
@@ -68,32 +72,32 @@
     this.partialLine = EMPTY;
     for (;;) {
       const { stage } = this;
-      const taken =
+      const consumed =
         stage === 'body' || stage === 'chunkData'
-          ? this.takeBody(stage, rest, completed)
-          : this.takeLine(stage, rest, completed);
-      if (taken === 0) return completed;
-      rest = rest.subarray(taken);
+          ? this.consumeBody(stage, rest, completed)
+          : this.consumeLine(stage, rest, completed);
+      if (consumed === 0) return completed;
+      rest = rest.subarray(consumed);
     }
   }
 
   /** The other side closed: a response without a length ends here. */
   close(): Message | null {
-    return this.bodyEndsWithConnection ? this.finishMessage() : null;
+    return this.isCloseDelimited ? this.finishMessage() : null;
   }
 
   /** Takes what belongs to the body off the front; returns how many bytes that are. */
-  private takeBody(stage: BodyStage, data: Buffer, completed: Message[]): number {
-    const size = this.bodyEndsWithConnection ? data.length : Math.min(this.remaining, data.length);
+  private consumeBody(stage: BodyStage, data: Buffer, completed: Message[]): number {
+    const size = this.isCloseDelimited ? data.length : Math.min(this.remainingBytes, data.length);
     if (size > 0 && this.readBody(stage, data.subarray(0, size)))
       completed.push(this.finishMessage());
     return size;
   }
 
   /** Takes a line off the front; returns its bytes, or 0 while its end is missing. */
-  private takeLine(stage: LineStage, data: Buffer, completed: Message[]): number {
+  private consumeLine(stage: LineStage, data: Buffer, completed: Message[]): number {
     const end = data.indexOf(LINE_FEED);
-    if ((end < 0 ? data.length : end) > this.limits.line) throw lineTooLong(stage);
+    if ((end < 0 ? data.length : end) > this.limits.maxLineBytes) throw lineTooLongError(stage);
     if (end < 0) {
       // A copy: the bytes may sit in a large shared read buffer.
       this.partialLine = Buffer.from(data);
@@ -107,13 +111,13 @@
 
   /** Reads a part of the body; true when it completes the message. */
   private readBody(stage: BodyStage, part: Buffer): boolean {
-    this.bodySize += part.length;
-    if (this.bodySize > this.limits.body) throw new BodyTooLargeError();
+    this.bodyBytes += part.length;
+    if (this.bodyBytes > this.limits.maxBodyBytes) throw new BodyTooLargeError();
     // A copy: see takeLine.
     this.bodyParts.push(Buffer.from(part));
-    if (this.bodyEndsWithConnection) return false;
-    this.remaining -= part.length;
-    if (this.remaining > 0) return false;
+    if (this.isCloseDelimited) return false;
+    this.remainingBytes -= part.length;
+    if (this.remainingBytes > 0) return false;
     if (stage === 'body') return true;
     this.stage = 'chunkEnd';
     return false;
@@ -154,7 +158,8 @@
   }
 
   private readHeaderLine(line: string): void {
-    if (++this.headerCount > this.limits.headers) throw new HttpParseError(431, 'too many headers');
+    if (++this.headerCount > this.limits.maxHeaderLines)
+      throw new HttpParseError(431, 'too many headers');
     readHeader(line, this.message);
   }
 
@@ -182,9 +187,9 @@
   private expectBody(contentLength: string): boolean {
     if (!CONTENT_LENGTH.test(contentLength)) throw new HttpParseError(400, 'bad content length');
     const length = Number(contentLength);
-    if (length > this.limits.body) throw new BodyTooLargeError();
+    if (length > this.limits.maxBodyBytes) throw new BodyTooLargeError();
     if (length === 0) return true;
-    this.remaining = length;
+    this.remainingBytes = length;
     this.stage = 'body';
     return false;
   }
@@ -193,7 +198,7 @@
   private expectBodyUntilClose(): boolean {
     const { message } = this;
     if (message.status === 204 || message.status === 304) return true;
-    this.bodyEndsWithConnection = true;
+    this.isCloseDelimited = true;
     message.keepAlive = false;
     this.stage = 'body';
     return false;
@@ -202,14 +207,15 @@
   private readChunkSize(line: string): void {
     const size = (line.split(';', 1)[0] ?? '').trim();
     if (!CHUNK_SIZE.test(size)) throw new HttpParseError(400, 'bad chunk size');
-    this.remaining = Number.parseInt(size, 16);
-    if (this.bodySize + this.remaining > this.limits.body) throw new BodyTooLargeError();
+    this.remainingBytes = Number.parseInt(size, 16);
+    if (this.bodyBytes + this.remainingBytes > this.limits.maxBodyBytes)
+      throw new BodyTooLargeError();
     this.headerCount = 0;
-    this.stage = this.remaining === 0 ? 'trailer' : 'chunkData';
+    this.stage = this.remainingBytes === 0 ? 'trailer' : 'chunkData';
   }
 
   private skipTrailer(): void {
-    if (++this.headerCount > this.limits.headers)
+    if (++this.headerCount > this.limits.maxHeaderLines)
       throw new HttpParseError(431, 'too many trailer lines');
   }
 
@@ -219,16 +225,16 @@
     message.body = bodyParts.length === 1 ? (bodyParts[0] as Buffer) : Buffer.concat(bodyParts);
     this.message = emptyMessage();
     this.bodyParts = [];
-    this.bodySize = 0;
+    this.bodyBytes = 0;
     this.headerCount = 0;
-    this.remaining = 0;
-    this.bodyEndsWithConnection = false;
+    this.remainingBytes = 0;
+    this.isCloseDelimited = false;
     this.stage = 'startLine';
     return message;
   }
 }
 
-function lineTooLong(stage: LineStage): HttpParseError {
+function lineTooLongError(stage: LineStage): HttpParseError {
   return stage === 'startLine'
     ? new HttpParseError(414, 'start line too long')
     : new HttpParseError(431, 'header line too long');
--- a/src/http/server-connection.ts
+++ b/src/http/server-connection.ts
@@ -19,7 +19,7 @@
 }
 
 /** A peer that never reads must not make us keep more of its replies than this, in bytes. */
-const MAX_UNSENT_BYTES = REQUEST_LIMITS.body * 2;
+const MAX_UNSENT_BYTES = REQUEST_LIMITS.maxBodyBytes * 2;
 
 /** Serves the requests of one connection one at a time, in their order. */
 export class ServerConnection {
@@ -39,12 +39,12 @@
     // The connection broke; nothing is owed to it.
     socket.on('error', () => socket.destroy());
     socket.once('close', () => table.remove(socket));
-    let isArriving = false;
+    let isRequestPartial = false;
     for (let data = await reader.next(); data; data = await reader.next()) {
-      if (!isArriving) table.markTransferring(socket);
-      const requests = parse(parser, data);
+      if (!isRequestPartial) table.markTransferring(socket);
+      const requests = parseRequests(parser, data);
       if (!Array.isArray(requests)) return this.sendLast(requests);
-      isArriving = parser.busy;
+      isRequestPartial = parser.hasPartialMessage;
       for (const request of requests) {
         table.markBusy(socket);
         let reply: Reply;
@@ -67,7 +67,7 @@
     const { table } = this.options;
     const isFirst = !this.hasReplied;
     this.hasReplied = true;
-    if (!keepAlive || (isFirst && table.isCrowded)) {
+    if (!keepAlive || (isFirst && table.isSaturated)) {
       this.sendLast(reply);
       return false;
     }
@@ -87,7 +87,7 @@
 }
 
 /** The requests that the bytes complete, or the reply to bytes that are no request. */
-function parse(parser: Parser, data: Buffer): Message[] | Reply {
+function parseRequests(parser: Parser, data: Buffer): Message[] | Reply {
   try {
     return parser.push(data);
   } catch (error) {
--- a/src/http/socket-reader.ts
+++ b/src/http/socket-reader.ts
@@ -6,7 +6,7 @@
  * the same and cost more than all the rest of a heartbeat's handling.
  */
 export class SocketReader {
-  private readonly pieces: Buffer[] = [];
+  private readonly chunks: Buffer[] = [];
   /** Waits in `next`. */
   private pendingRead: ((piece: Buffer | null) => void) | null = null;
   private ended = false;
@@ -24,8 +24,8 @@
 
   /** The next piece, once it is there; null once nothing more comes. One call at a time. */
   next(): Promise<Buffer | null> {
-    const piece = this.pieces.shift();
-    if (piece) return Promise.resolve(piece);
+    const chunk = this.chunks.shift();
+    if (chunk) return Promise.resolve(chunk);
     if (this.ended) return Promise.resolve(null);
     if (this.socket.isPaused()) this.socket.resume();
     return new Promise((resolve) => {
@@ -33,13 +33,13 @@
     });
   }
 
-  private receive(piece: Buffer): void {
+  private receive(chunk: Buffer): void {
     if (this.pendingRead) {
-      this.completeRead(piece);
+      this.completeRead(chunk);
       return;
     }
     // Nobody reads before the reply has left, so no more is taken from the network either.
-    this.pieces.push(piece);
+    this.chunks.push(chunk);
     this.socket.pause();
   }
 
@@ -48,9 +48,9 @@
     this.completeRead(null);
   }
 
-  private completeRead(piece: Buffer | null): void {
+  private completeRead(chunk: Buffer | null): void {
     const { pendingRead } = this;
     this.pendingRead = null;
-    pendingRead?.(piece);
+    pendingRead?.(chunk);
   }
 }
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -5,7 +5,7 @@
 const MAX_FRAME_BYTES = 1024 * 1024;
 
 /** Bytes of the length before each value. */
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 
 /** A frame announces more bytes than any peer sends: the stream is not one of frames, or out of step. */
 export class FrameTooLargeError extends Error {
@@ -17,9 +17,9 @@
 /** The bytes of one frame with this value. */
 export function packFrame(value: unknown): Buffer {
   const body = encode(value);
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
+  const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
-  body.copy(frame, LENGTH_BYTES);
+  body.copy(frame, LENGTH_PREFIX_BYTES);
   return frame;
 }
 
@@ -38,12 +38,12 @@
   push(data: Buffer): unknown[] {
     const values: unknown[] = [];
     let bytes = this.pending.length > 0 ? Buffer.concat([this.pending, data]) : data;
-    while (bytes.length >= LENGTH_BYTES) {
+    while (bytes.length >= LENGTH_PREFIX_BYTES) {
       const size = bytes.readUInt32BE(0);
       if (size > MAX_FRAME_BYTES) throw new FrameTooLargeError(size);
-      const end = LENGTH_BYTES + size;
+      const end = LENGTH_PREFIX_BYTES + size;
       if (bytes.length < end) break;
-      values.push(decode(bytes.subarray(LENGTH_BYTES, end)));
+      values.push(decode(bytes.subarray(LENGTH_PREFIX_BYTES, end)));
       bytes = bytes.subarray(end);
     }
     this.pending = Buffer.from(bytes);
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -4,7 +4,7 @@
 import { packFrame } from './frames.js';
 
 /** A peer that stops reading must not make this node buffer its frames without bound. */
-const MAX_BACKLOG_BYTES = 1024 * 1024;
+const MAX_UNSENT_BYTES = 1024 * 1024;
 
 /** A request got no response: the peer is not connected, the connection broke or the time is over. */
 export class PeerUnavailableError extends Error {
@@ -23,7 +23,7 @@
 
 /** Sends a frame, or closes the connection if the peer does not take what was sent before. */
 export function sendBytes(socket: net.Socket, bytes: Buffer): void {
-  if (socket.writableLength > MAX_BACKLOG_BYTES) socket.destroy();
+  if (socket.writableLength > MAX_UNSENT_BYTES) socket.destroy();
   else socket.write(bytes);
 }
 
@@ -35,7 +35,7 @@
  */
 export class PeerLink {
   /** By the request's number. */
-  private readonly waiting = new Map<number, (payload: unknown) => void>();
+  private readonly pendingRequests = new Map<number, (payload: unknown) => void>();
 
   constructor(
     private readonly node: string,
@@ -52,32 +52,32 @@
    *
    * @throws PeerUnavailableError without a response in time.
    */
-  request(number: number, operation: string, payload: unknown, timeoutMs: number) {
+  request(requestNumber: number, operation: string, payload: unknown, timeoutMs: number) {
     return new Promise<unknown>((resolve, reject) => {
-      const finish = () => {
+      const cleanUp = () => {
         clearTimeout(timer);
-        this.waiting.delete(number);
-        this.socket.off('close', closed);
+        this.pendingRequests.delete(requestNumber);
+        this.socket.off('close', onClose);
       };
-      const closed = () => {
-        finish();
+      const onClose = () => {
+        cleanUp();
         reject(new PeerUnavailableError(this.node, 'closed the connection'));
       };
       const timer = setTimeout(() => {
-        finish();
+        cleanUp();
         reject(new PeerUnavailableError(this.node, 'timed out'));
       }, timeoutMs);
-      this.waiting.set(number, (response) => {
-        finish();
+      this.pendingRequests.set(requestNumber, (response) => {
+        cleanUp();
         resolve(response);
       });
-      this.socket.once('close', closed);
-      this.send(frameBytes({ kind: 'ask', n: number, op: operation, payload }));
+      this.socket.once('close', onClose);
+      this.send(frameBytes({ kind: 'ask', n: requestNumber, op: operation, payload }));
     });
   }
 
   /** Takes what the peer sent on this connection; a response that nobody waits for any more is dropped. */
   receive(frame: PeerFrame | null): void {
-    if (frame?.kind === 'answer') this.waiting.get(frame.n)?.(frame.payload);
+    if (frame?.kind === 'answer') this.pendingRequests.get(frame.n)?.(frame.payload);
   }
 }
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -11,10 +11,10 @@
 const SPARE_CONNECTIONS = 4;
 
 /** How long connecting may take, in pauses between attempts. */
-const CONNECT_RETRIES = 2;
+const CONNECT_TIMEOUT_DELAYS = 2;
 
 /** A connection on which nothing arrives for this many such pauses is closed: statuses come far more often. */
-const SILENT_RETRIES = 30;
+const IDLE_TIMEOUT_DELAYS = 30;
 
 /** A peer that is connected to. */
 export interface PeerAddress {
@@ -47,7 +47,7 @@
 export class PeerNetwork {
   /** Connections that this node opened and that are established, by peer. */
   private readonly links = new Map<string, PeerLink>();
-  private requestCount = 0;
+  private lastRequestNumber = 0;
 
   constructor(private readonly options: PeerNetworkOptions) {}
 
@@ -82,7 +82,7 @@
   request(node: string, operation: string, payload: unknown, timeoutMs: number): Promise<unknown> {
     const link = this.links.get(node);
     if (!link) return Promise.reject(new PeerUnavailableError(node, 'is not connected'));
-    return link.request(++this.requestCount, operation, payload, timeoutMs);
+    return link.request(++this.lastRequestNumber, operation, payload, timeoutMs);
   }
 
   private async keepConnected(peer: PeerAddress, signal: AbortSignal): Promise<void> {
@@ -101,7 +101,7 @@
       socket.setMaxListeners(0);
       const link = new PeerLink(node, socket);
       const close = () => socket.destroy();
-      const timer = setTimeout(close, this.options.retryMs * CONNECT_RETRIES);
+      const timer = setTimeout(close, this.options.retryMs * CONNECT_TIMEOUT_DELAYS);
       signal.addEventListener('abort', close, { once: true });
       socket.on('connect', () => {
         clearTimeout(timer);
@@ -123,7 +123,7 @@
   private accept(socket: net.Socket, signal: AbortSignal): void {
     const close = () => socket.destroy();
     signal.addEventListener('abort', close, { once: true });
-    socket.setTimeout(this.options.retryMs * SILENT_RETRIES, close);
+    socket.setTimeout(this.options.retryMs * IDLE_TIMEOUT_DELAYS, close);
     socket.on('error', close);
     socket.once('close', () => signal.removeEventListener('abort', close));
     readFrames(
@@ -143,14 +143,14 @@
 
   private async respond(
     socket: net.Socket,
-    number: number,
+    requestNumber: number,
     operation: string,
     payload: unknown,
   ): Promise<void> {
     try {
       const response = await this.options.onRequest(operation, payload);
       if (!socket.destroyed)
-        sendBytes(socket, frameBytes({ kind: 'answer', n: number, payload: response }));
+        sendBytes(socket, frameBytes({ kind: 'answer', n: requestNumber, payload: response }));
     } catch (error) {
       // No response is sent: the peer's request times out.
       this.options.onError(error);
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -54,13 +54,13 @@
 }
 
 /** How late a timer may be that does not count as lagging, in steps. */
-const LAG_STEPS = 0.5;
+const LAG_TOLERANCE_STEPS = 0.5;
 
 /** How long a timer that measures the lag is set to, in steps. */
 const PROBE_STEPS = 0.1;
 
 /** A wait for the lag to pass, in multiples of the lag that was measured. */
-const LAG_WAIT = 2;
+const LAG_WAIT_FACTOR = 2;
 
 /**
  * Waits until the event loop keeps up again, that is until a timer fires less
@@ -78,12 +78,12 @@
   maxMs: number,
   signal: AbortSignal,
 ): Promise<void> {
-  const until = clock.now() + maxMs;
+  const deadline = clock.now() + maxMs;
   for (;;) {
     const dueAt = clock.now() + stepMs * PROBE_STEPS;
     await clock.sleep(stepMs * PROBE_STEPS, signal);
     const lagMs = clock.now() - dueAt;
-    if (lagMs < stepMs * LAG_STEPS || clock.now() >= until) return;
-    await clock.sleep(Math.min(lagMs * LAG_WAIT, until - clock.now()), signal);
+    if (lagMs < stepMs * LAG_TOLERANCE_STEPS || clock.now() >= deadline) return;
+    await clock.sleep(Math.min(lagMs * LAG_WAIT_FACTOR, deadline - clock.now()), signal);
   }
 }
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -23,11 +23,11 @@
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
 /** The share of the burst that each step of priority leaves to the higher ones, and the largest such reserve. */
-const RESERVE_PER_PRIORITY = 0.15;
-const MAX_RESERVE = 0.5;
+const RESERVE_SHARE_PER_PRIORITY = 0.15;
+const MAX_RESERVE_SHARE = 0.5;
 
 /** Added to a wait, so that the tokens are there when it ends in spite of rounding. */
-const ROUNDING_MS = 1;
+const ROUNDING_MARGIN_MS = 1;
 
 /**
  * A token bucket that also remembers refusals: a 429 empties it. Lower
@@ -41,7 +41,7 @@
 
   /** A full bucket of `burst` tokens that refills by `perSecond`. */
   constructor(
-    private perSecond: number,
+    private tokensPerS: number,
     private burst: number,
     now: number,
   ) {
@@ -56,8 +56,8 @@
   take(count: number, priority: RequestPriority, now: number): number {
     this.refill(now);
     const reserve = Math.min(
-      this.burst * MAX_RESERVE,
-      this.burst * RESERVE_PER_PRIORITY * priority,
+      this.burst * MAX_RESERVE_SHARE,
+      this.burst * RESERVE_SHARE_PER_PRIORITY * priority,
     );
     // A transaction larger than the burst could never pass; it runs the bucket into debt instead.
     const needed = Math.min(count, this.burst - reserve) + reserve;
@@ -65,14 +65,14 @@
       this.tokens -= count;
       return 0;
     }
-    return ((needed - this.tokens) / this.perSecond) * 1000 + ROUNDING_MS;
+    return ((needed - this.tokens) / this.tokensPerS) * 1000 + ROUNDING_MARGIN_MS;
   }
 
   /** From now on no more than this rate, nor a larger burst; the reserves shrink with it. Never raises either. */
-  lowerRate(perSecond: number, now: number): void {
+  lowerRate(tokensPerS: number, now: number): void {
     this.refill(now);
-    this.burst = Math.min(this.burst, perSecond);
-    this.perSecond = Math.min(this.perSecond, perSecond);
+    this.burst = Math.min(this.burst, tokensPerS);
+    this.tokensPerS = Math.min(this.tokensPerS, tokensPerS);
     this.tokens = Math.min(this.tokens, this.burst);
   }
 
@@ -85,7 +85,7 @@
   private refill(now: number): void {
     this.tokens = Math.min(
       this.burst,
-      this.tokens + (Math.max(0, now - this.refilledAt) * this.perSecond) / 1000,
+      this.tokens + (Math.max(0, now - this.refilledAt) * this.tokensPerS) / 1000,
     );
     this.refilledAt = now;
   }
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -19,7 +19,10 @@
   server.listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
-  const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
+  const client = new HttpClient(
+    { host: '127.0.0.1', port },
+    { connections: 1, maxBodyBytes: 1000 },
+  );
   mock.timers.enable({ apis: ['setTimeout', 'Date'] });
   try {
     const broken = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 });
@@ -50,7 +53,7 @@
     async (port) => {
       const client = new HttpClient(
         { host: '127.0.0.1', port },
-        { connections: 1, bodyLimit: 1000 },
+        { connections: 1, maxBodyBytes: 1000 },
       );
       for (const n of [1, 2, 3]) {
         const response = await client.request({
@@ -72,7 +75,10 @@
   await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
   await new Promise((resolve) => server.close(resolve));
-  const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
+  const client = new HttpClient(
+    { host: '127.0.0.1', port },
+    { connections: 1, maxBodyBytes: 1000 },
+  );
   await assert.rejects(
     client.request({ method: 'GET', target: '/', timeoutMs: 5000 }),
     NotSentError,
@@ -88,7 +94,10 @@
     return { status: 200, body: {} };
   };
   await serving(handler, async (port) => {
-    const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
+    const client = new HttpClient(
+      { host: '127.0.0.1', port },
+      { connections: 1, maxBodyBytes: 1000 },
+    );
     const isStillValid = () => entitled;
     const first = client.request({
       method: 'POST',
@@ -138,7 +147,10 @@
   server.listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
-  const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
+  const client = new HttpClient(
+    { host: '127.0.0.1', port },
+    { connections: 1, maxBodyBytes: 1000 },
+  );
   for (let i = 0; i < 3; i++)
     await assert.rejects(
       client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 }),
@@ -164,7 +176,10 @@
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
-  const client = new HttpClient({ host: '127.0.0.1', port }, { connections: 1, bodyLimit: 1000 });
+  const client = new HttpClient(
+    { host: '127.0.0.1', port },
+    { connections: 1, maxBodyBytes: 1000 },
+  );
   const get = () => client.request({ method: 'GET', target: '/', timeoutMs: 60_000 });
   const post = () => client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 60_000 });
   try {
--- a/test/http-parser.test.ts
+++ b/test/http-parser.test.ts
@@ -33,7 +33,7 @@
       assert.equal(got.length, 1);
       assert.equal(got[0]?.body.length, 5);
       assert.equal(got[0]?.target, '/v1/jobs');
-      assert.equal(parser.busy, false);
+      assert.equal(parser.hasPartialMessage, false);
     }
   }
 });
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -5,7 +5,7 @@
 import { mock, test } from 'node:test';
 import { type Handler, serve } from '../src/http/server.js';
 import { settle } from './support/clock.js';
-import { serving, talk } from './support/http.js';
+import { sendRaw, serving } from './support/http.js';
 
 test('a connection is given up when nothing comes for too long or a request takes too long to arrive', async () => {
   mock.timers.enable({ apis: ['setInterval', 'Date'] });
@@ -38,14 +38,14 @@
       await new Promise((resolve) => socket.once('connect', resolve));
       if (text) await new Promise<void>((resolve) => socket.write(text, () => resolve()));
       // A reply to somebody else comes only after all this has been read.
-      await talk(port, 'GET /x HTTP/1.1\r\nConnection: close\r\n\r\n');
+      await sendRaw(port, 'GET /x HTTP/1.1\r\nConnection: close\r\n\r\n');
       return over;
     };
     const slow = connect('slow', 'POST /x HTTP/1.1\r\nContent-Le');
     await settle();
     const idle = connect('idle', '');
     const used = connect('used', 'GET /x HTTP/1.1\r\n\r\n');
-    await talk(port, 'GET /x HTTP/1.1\r\nConnection: close\r\n\r\n');
+    await sendRaw(port, 'GET /x HTTP/1.1\r\nConnection: close\r\n\r\n');
     await settle();
     mock.timers.tick(1250);
     await slow;
@@ -92,15 +92,15 @@
     },
     async (port) => {
       assert.match(
-        await talk(port, 'GET / HTTP/1.1\r\nConnection: close\r\n\r\n'),
+        await sendRaw(port, 'GET / HTTP/1.1\r\nConnection: close\r\n\r\n'),
         /^HTTP\/1\.1 500 /,
       );
       assert.match(
-        await talk(port, 'nonsense\r\n\r\n'),
+        await sendRaw(port, 'nonsense\r\n\r\n'),
         /^HTTP\/1\.1 400 [\s\S]*Connection: close/,
       );
       assert.match(
-        await talk(port, 'GET / HTTP/1.1\r\nConnection: close\r\n\r\n'),
+        await sendRaw(port, 'GET / HTTP/1.1\r\nConnection: close\r\n\r\n'),
         /^HTTP\/1\.1 500 /,
       );
     },
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -31,14 +31,14 @@
 }
 
 /** Sends the text over a connection of its own; resolves with all that comes back until it closes. */
-export function talk(port: number, text: string): Promise<string> {
+export function sendRaw(port: number, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
-    let got = '';
+    let received = '';
     const socket = net.connect(port, '127.0.0.1', () => socket.write(text));
-    socket.on('data', (d) => {
-      got += d;
+    socket.on('data', (chunk) => {
+      received += chunk;
     });
-    socket.on('close', () => resolve(got));
+    socket.on('close', () => resolve(received));
     socket.on('error', reject);
   });
 }
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -24,7 +24,7 @@
   revision = 1;
   private leases = new Map<number, { ttl: number; ends: number }>();
   private lastLease = 0;
-  private log: StoreEvent[] = [];
+  private events: StoreEvent[] = [];
   private watchers: (() => void)[] = [];
 
   /** What a transaction may hold; larger ones are refused and remembered. */
@@ -32,22 +32,23 @@
   readonly oversize: string[] = [];
 
   /** Nobody is served, and no lease ends. */
-  private down = false;
+  private isDown = false;
 
   constructor(readonly clock: FakeClock) {}
 
   get outage(): boolean {
-    return this.down;
+    return this.isDown;
   }
 
   /** Begins or ends an outage; after it all leases have their full time again. */
   set outage(down: boolean) {
-    if (this.down && !down) for (const l of this.leases.values()) l.ends = this.clock.now() + l.ttl;
-    this.down = down;
+    if (this.isDown && !down)
+      for (const l of this.leases.values()) l.ends = this.clock.now() + l.ttl;
+    this.isDown = down;
   }
 
   expire(): void {
-    if (this.down) return;
+    if (this.isDown) return;
     for (const [id, l] of this.leases) if (l.ends <= this.clock.now()) this.end(id);
   }
 
@@ -85,12 +86,12 @@
 
   private checkSize(conditions: Condition[], changes: Change[]): void {
     if (!this.limits) return;
-    const { valueBytes, changes: most } = this.limits;
+    const { valueBytes, changes: maxChanges } = this.limits;
     const large = changes.filter(
       (change) =>
         change.op === 'put' && Buffer.byteLength(JSON.stringify(change.value)) > valueBytes,
     );
-    if (changes.length > most || conditions.length > most * 4) large.push(...changes);
+    if (changes.length > maxChanges || conditions.length > maxChanges * 4) large.push(...changes);
     if (large.length === 0) return;
     this.oversize.push(...large.map((change) => change.key));
     throw new RequestRejectedError(
@@ -104,7 +105,7 @@
       const version = this.revision;
       if (change.op === 'delete') {
         this.entries.delete(change.key);
-        this.log.push({ op: 'delete', key: change.key, version });
+        this.events.push({ op: 'delete', key: change.key, version });
       } else {
         const value = JSON.parse(JSON.stringify(change.value));
         const entry = { key: change.key, value, version };
@@ -112,7 +113,7 @@
           change.key,
           change.lease === undefined ? entry : { ...entry, lease: change.lease },
         );
-        this.log.push({ op: 'put', key: change.key, value, version });
+        this.events.push({ op: 'put', key: change.key, value, version });
       }
     }
     const waiting = this.watchers;
@@ -121,7 +122,7 @@
   }
 
   since(prefix: string, after: number): StoreEvent[] {
-    return this.log.filter((event) => event.version > after && event.key.startsWith(prefix));
+    return this.events.filter((event) => event.version > after && event.key.startsWith(prefix));
   }
 
   onChange(wake: () => void): void {
