--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -1,4 +1,4 @@
-/** Direct commands to agents, and direct reads of their heartbeats. */
+/** Client of the agents: sends commands and reads heartbeats. */
 import { parseAddress } from '../config/settings.js';
 import { HttpClient } from '../http/client.js';
 import { NotAttemptedError } from '../http/errors.js';
@@ -7,9 +7,12 @@
 import { commandsBody, parseHeartbeat } from '../protocol/agent-protocol.js';
 import { PATHS } from '../protocol/paths.js';
 
-/** An agent's answer to commands. */
+/** An agent's response to commands. */
 export interface CommandResult {
-  /** False: nothing was executed, since the agent knows a higher fencing token or is in another agent epoch. */
+  /**
+   * Whether the commands were executed. When false, none was, because the agent
+   * has received a higher fencing token or is in another agent epoch.
+   */
   executed: boolean;
   /** The agent's state after the commands. */
   heartbeat: Heartbeat;
@@ -18,12 +21,13 @@
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 
 /**
- * Sends commands directly to agents, over one kept connection each within a
- * bound: every agent has a connection to this controller already, and without
- * the bound the two together left no sockets for the state service.
+ * Sends commands to agents over persistent connections: one for each agent, and
+ * a bounded number in total. Every agent also has a connection to this
+ * controller, and without the bound the two together would leave no sockets for
+ * the state service.
  */
 export class AgentClient {
-  /** By address, the least recently used first. */
+  /** Clients by address, the least recently used first. */
   private readonly clients = new Map<string, HttpClient>();
 
   constructor(
@@ -32,11 +36,16 @@
   ) {}
 
   /**
-   * Sends commands under a fencing token to an agent in a given epoch. Rejects
-   * with `NotAttemptedError` (none was executed, and the agent was not even
-   * asked), `NotSentError` (none was executed) or `NoResponseError` (all, some
-   * or none may have been executed, or may yet be: only a later heartbeat can
-   * tell), and with `MalformedMessageError` when the answer is no heartbeat.
+   * Sends commands with a fencing token to an agent in the given epoch, if
+   * `isStillValid` returns true when a connection is available. Rejects with:
+   *
+   * - `NotAttemptedError`: no command was executed; nothing was sent, for a
+   *   local reason.
+   * - `NotSentError`: no command was executed; no connection to the agent could
+   *   be established.
+   * - `NoResponseError`: all, some or none of the commands may have been
+   *   executed, or may still be. Only a later heartbeat shows which.
+   * - `MalformedMessageError`: the response is not a heartbeat.
    */
   async command(
     address: string,
@@ -58,9 +67,9 @@
   }
 
   /**
-   * The present heartbeat of a machine, read from its agent: no late copy of an
-   * earlier heartbeat can be taken for the answer to one's own request. Rejects
-   * like `command`.
+   * Reads the current heartbeat of a machine from its agent. As the response to
+   * a request on a new connection, it cannot be a delayed copy of an earlier
+   * heartbeat. Rejects like `command`.
    */
   static async fetchHeartbeat(address: string, timeoutMs: number): Promise<Heartbeat> {
     const client = createClient(address);
@@ -76,18 +85,18 @@
     }
   }
 
-  /** Closes the connections to all agents but those at these addresses. */
+  /** Closes the connections to all agents except those at the given addresses. */
   retainOnly(addresses: Set<string>): void {
     for (const address of this.clients.keys())
       if (!addresses.has(address)) this.closeClient(address);
   }
 
-  /** Closes all connections; requests that wait for one are rejected. */
+  /** Closes idle connections and rejects the requests that wait for one. Requests in progress continue. */
   close(): void {
     for (const address of this.clients.keys()) this.closeClient(address);
   }
 
-  /** The client of the address, now the most recently used. */
+  /** Returns the client of an address and marks it as the most recently used. */
   private clientFor(address: string): HttpClient {
     let client = this.clients.get(address);
     if (client) {
@@ -100,14 +109,18 @@
     return client;
   }
 
-  /** Never one with a request under way: whether its commands were executed would stay unknown. */
+  /**
+   * Closes the least recently used client that is idle. A client with a request
+   * in progress is kept, so that the outcome of its commands does not become
+   * unknown.
+   */
   private evictLeastRecentlyUsed(): void {
     for (const [address, client] of this.clients) {
       if (!client.isIdle) continue;
       this.closeClient(address);
       return;
     }
-    throw new NotAttemptedError('every socket for commands is in use');
+    throw new NotAttemptedError('all connections to agents are in use');
   }
 
   private closeClient(address: string): void {
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud within its limit on requests a second: machine types, machine list, provisioning, termination. */
+/** Client of the cloud API, within its rate limit: machine types, machine list, provisioning and termination. */
 import { type Address, HttpClient, type HttpResponse } from '../http/client.js';
 import { NoResponseError } from '../http/errors.js';
 import type { MachineType } from '../model/machine.js';
@@ -16,23 +16,23 @@
 import type { Clock } from '../runtime/clock.js';
 import { RequestBudget, RequestPriority } from '../runtime/request-budget.js';
 
-/** The protocol's bound on machines in one termination. */
+/** Maximum number of machines in one termination request, set by the protocol. */
 export const MAX_MACHINES_PER_TERMINATION = 100;
-/** The protocol's bound on machines in one page of the list. */
+/** Maximum number of machines in one page of the machine list, set by the protocol. */
 const MAX_PAGE_MACHINES = 500;
 const MAX_BODY_BYTES = 2 * 1024 * 1024;
 const CONNECTIONS = 4;
-/** As much of an unexpected answer as is kept in the error, in characters. */
+/** Maximum length of the part of an unexpected response body that is quoted in an error message. */
 const MAX_ERROR_BODY_CHARS = 200;
 
-/** The list of a large fleet has many pages, which must not hold up provisioning and termination. */
+/** Lower than provisioning and termination, which the many pages of a large fleet must not delay. */
 const LIST_PRIORITY = RequestPriority.completions;
 
-/** Where the cloud is, and the part of its limit that this client may use. */
+/** Address of the cloud API, and the share of its rate limit that this client may use. */
 export interface CloudClientOptions {
   address: Address;
   requestsPerS: number;
-  /** For each request, after its wait for the budget. */
+  /** Time-out of each request, without its wait for the budget. */
   timeoutMs: number;
   clock: Clock;
 }
@@ -41,18 +41,22 @@
   method: 'GET' | 'POST';
   target: string;
   body?: unknown;
-  /** The one of users when absent. */
+  /** Defaults to `submissions`. */
   priority?: RequestPriority;
   signal: AbortSignal | undefined;
-  /** Asked when the request would leave. */
+  /** See `RequestOptions`. */
   isStillValid?: () => boolean;
 }
 
 /**
- * Every method rejects with `NotAttemptedError` or `NotSentError` when the
- * request was not carried out, with `NoResponseError` when it may have been
- * (an unexpected status included), and with `AbortedError` when the signal ends
- * the wait for the budget.
+ * Every method rejects with:
+ *
+ * - `NotAttemptedError` or `NotSentError` when the request was not carried out.
+ * - `NoResponseError` when the outcome is unknown, including after an
+ *   unexpected status.
+ * - `MalformedMessageError` when the response is invalid; the outcome is unknown.
+ * - `AbortedError` when the signal is aborted during the wait for the budget;
+ *   the request was not carried out.
  */
 export class CloudClient {
   private readonly http: HttpClient;
@@ -64,14 +68,14 @@
     this.budget = new RequestBudget(requestsPerS, requestsPerS, clock.now());
   }
 
-  /** The machine types on offer. */
+  /** Returns the machine types that the cloud offers. */
   async types(signal?: AbortSignal): Promise<MachineType[]> {
     return parseMachineTypes(
       await this.call({ method: 'GET', target: PATHS.machineTypes, signal }),
     );
   }
 
-  /** One page of the machine list: machines with ids after the given one. */
+  /** Returns one page of the machine list, with the machines whose ids sort after the given one. */
   async list(after: string | null, signal?: AbortSignal): Promise<MachineListPage> {
     const target = machineListTarget(after, MAX_PAGE_MACHINES);
     const priority = LIST_PRIORITY;
@@ -79,9 +83,10 @@
   }
 
   /**
-   * The ids of the machines provisioned; null when the cloud has no capacity.
-   * The request is idempotent by its name: unanswered, it is sent again under
-   * the same name, since under another one the machines might come twice.
+   * Provisions machines and returns their ids, or null when the cloud has no
+   * capacity. The name of the request makes it idempotent: after a
+   * `NoResponseError` it must be repeated under the same name, since under
+   * another name the machines could be provisioned twice.
    */
   async provision(
     request: ProvisionRequest,
@@ -101,14 +106,15 @@
     const bodyText = JSON.stringify(response.body);
     if (response.status === 503 && bodyText.includes('no capacity')) return null;
     throw new NoResponseError(
-      `cloud answered ${response.status}: ${bodyText.slice(0, MAX_ERROR_BODY_CHARS)}`,
+      `provisioning failed: cloud responded with status ${response.status}: ${bodyText.slice(0, MAX_ERROR_BODY_CHARS)}`,
     );
   }
 
   /**
-   * Resolves only when the cloud has confirmed that the machines, at most
-   * `MAX_MACHINES_PER_TERMINATION`, are terminated. Unanswered, they may or may
-   * not be: only a repeated request or the machine list can tell.
+   * Terminates up to `MAX_MACHINES_PER_TERMINATION` machines. Resolves only when
+   * the cloud has confirmed the termination. After a `NoResponseError` the
+   * machines may or may not be terminated; only a repeated request or the
+   * machine list shows which.
    */
   async terminate(
     machines: string[],
@@ -124,12 +130,12 @@
     });
   }
 
-  /** Closes the connections; requests that wait for one are rejected. */
+  /** Closes idle connections and rejects the requests that wait for one. Requests in progress continue. */
   close(): void {
     this.http.close();
   }
 
-  /** The body of a 200; any other status is no usable answer. */
+  /** Returns the body of a 200 response; rejects with `NoResponseError` on any other status. */
   private async call({
     priority = RequestPriority.submissions,
     ...request
@@ -137,7 +143,8 @@
     await this.awaitBudget(priority, request.signal);
     const { timeoutMs } = this.options;
     const response: HttpResponse = await this.http.request({ ...request, timeoutMs });
-    if (response.status !== 200) throw new NoResponseError(`cloud answered ${response.status}`);
+    if (response.status !== 200)
+      throw new NoResponseError(`cloud responded with status ${response.status}`);
     return response.body;
   }
 
--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -1,12 +1,12 @@
-/** Reading of many keys of the state service: all under a prefix, or a chosen set. */
+/** Reads many keys of the state service: all under a prefix, or a given set. */
 import type { Entry, EntryPage } from '../protocol/key-value-protocol.js';
 import type { RequestPriority } from '../runtime/request-budget.js';
 import type { KeyValueStore } from './key-value-store.js';
 
-/** Up to this many keys are read one by one, at the same time; more of them in ranges. */
+/** Up to this many keys are read by one concurrent request each; more are read in pages. */
 export const SINGLE_READS = 8;
 
-/** All entries under the prefix, in the order of keys; what changes meanwhile may or may not show. */
+/** Returns all entries under the prefix, in key order. Changes made during the read may or may not be included. */
 export async function readPrefix(
   state: Pick<KeyValueStore, 'listPage'>,
   prefix: string,
@@ -25,9 +25,9 @@
 }
 
 /**
- * Entries by key, of those keys that exist; all of them have the prefix. Many
- * are read in pages of the range that they lie in, which takes a request for
- * each page instead of one for each key.
+ * Returns the entries of those keys that exist, by key. All keys must have the
+ * prefix. More than `SINGLE_READS` keys are read in pages of the key range that
+ * contains them, which takes one request for each page instead of each key.
  */
 export async function readKeys(
   state: Pick<KeyValueStore, 'get' | 'listPage'>,
@@ -58,14 +58,14 @@
   return found;
 }
 
-/** The key after which a page has to begin to show this one, and nothing up to `after` again. */
+/** Returns the key after which a page must begin to include `key` but no entry up to `after`. */
 function pageStart(key: string, after: string): string {
   // A key without its last character sorts before the key itself, and few others lie between the two.
   const before = key.slice(0, -1);
   return before > after ? before : after;
 }
 
-/** The index, from `from` on, of the first of the sorted keys that comes after the given one. */
+/** Returns the index, at or beyond `from`, of the first key that sorts after `after`, or the array's length. */
 function indexAfter(sorted: readonly string[], from: number, after: string): number {
   let next = from;
   while (next < sorted.length && (sorted[next] as string) <= after) next++;
--- a/src/clients/key-value-store.ts
+++ b/src/clients/key-value-store.ts
@@ -1,7 +1,6 @@
 /**
- * The state service as the routines of a controller use it: a
- * consensus-backed key-value store with versions, transactions, leases and
- * watches. Tests put a scripted one in its place.
+ * Interface of the state service: a consensus-backed key-value store with
+ * versions, transactions, leases and watches. Tests substitute a scripted store.
  */
 import { NoResponseError } from '../http/errors.js';
 import type {
@@ -13,45 +12,50 @@
 } from '../protocol/key-value-protocol.js';
 import type { RequestPriority } from '../runtime/request-budget.js';
 
-/** What a transaction came to. */
+/** Outcome of a transaction. */
 export interface TransactionResult {
-  /** All conditions held, and every change was made. Otherwise none was. */
+  /** Whether all conditions held and all changes were made; otherwise none was made. */
   ok: boolean;
-  /** Revision of the store at the transaction. */
+  /** Revision of the store after the transaction. */
   revision: number;
   /** Keys whose conditions did not hold. */
   failed: string[];
 }
 
 /**
- * The state service did not serve the request, or the budget left no room to
- * send it: it was not carried out and may be sent again after `retryMs`.
+ * The state service refused the request, or the request budget did not allow it
+ * in time. It was not carried out and may be repeated after `retryMs`.
  */
 export class RequestRefusedError extends Error {
   constructor(readonly retryMs: number) {
-    super('state service refused');
+    super('request refused by the state service or by the request budget');
   }
 }
 
 /**
- * The request can't be carried out as it stands, and was not: it is malformed,
- * larger than the service accepts, or names a lease that has ended. Sent again
- * unchanged, it would be refused again.
+ * The state service rejected the request and did not carry it out: it is
+ * malformed, larger than the service accepts, or names a lease that has ended.
+ * Repeated unchanged, it would be rejected again.
  */
 export class RequestRejectedError extends NoResponseError {}
 
 /**
- * Every method rejects with `RequestRefusedError` (not carried out, try
- * later), `RequestRejectedError` (not carried out, must not be repeated
- * unchanged) or `NoResponseError` (a change may or may not have been carried
- * out, or may yet be: only a later read can tell), and with `AbortedError` when
- * the signal ends the wait for the budget.
+ * Every method rejects with:
+ *
+ * - `RequestRefusedError`: not carried out; it may be repeated later.
+ * - `RequestRejectedError`: not carried out; it must not be repeated unchanged.
+ * - `NoResponseError`: a change may have been carried out, or may still be. Only
+ *   a later read shows whether it was.
+ * - `MalformedMessageError`: the response is invalid; the outcome of a change is
+ *   unknown.
+ * - `AbortedError`: not carried out; the signal was aborted during the wait for
+ *   the budget.
  */
 export interface KeyValueStore {
-  /** The entry of one key; null when the key does not exist. */
+  /** Returns the entry of a key, or null when the key does not exist. */
   get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null>;
 
-  /** Entries under the prefix with keys after the given one, in the order of keys. */
+  /** Returns one page of the entries under the prefix whose keys sort after the given one, in key order. */
   listPage(
     prefix: string,
     after: string | null,
@@ -59,7 +63,7 @@
     priority?: RequestPriority,
   ): Promise<EntryPage>;
 
-  /** Compare and swap: makes all changes when all conditions hold, otherwise none. */
+  /** Makes all changes when all conditions hold, otherwise none (compare and swap). */
   transact(
     conditions: Condition[],
     changes: Change[],
@@ -67,19 +71,20 @@
     signal?: AbortSignal,
   ): Promise<TransactionResult>;
 
-  /** The id of a new lease that ends after `ttlMs` without a renewal. */
+  /** Creates a lease that ends after `ttlMs` without a renewal; returns its id. */
   grant(ttlMs: number, signal?: AbortSignal): Promise<number>;
 
-  /** Renews a lease for its full time; false when it has ended. */
+  /** Renews a lease for its full time to live; returns false when the lease has ended. */
   touch(lease: number, signal?: AbortSignal): Promise<boolean>;
 
-  /** Ends a lease, which deletes its keys. */
+  /** Ends a lease, which deletes the keys attached to it. */
   revoke(lease: number, signal?: AbortSignal): Promise<void>;
 
   /**
-   * Changes under the prefix after the revision, as soon as there are any; none
-   * after `waitMs`. Null: the revision is too old, or too much has changed
-   * since. Read the keys again.
+   * Returns the changes under the prefix after the given revision as soon as
+   * there are any, or an empty batch after `waitMs`. Returns null when the
+   * revision is too old or too much has changed since; the caller must then
+   * read the keys again.
    */
   watch(
     prefix: string,
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -1,4 +1,4 @@
-/** Client of the state service within its limits on requests and changes a second. */
+/** HTTP client of the state service, within its rate limits for requests and changes. */
 import { type Address, HttpClient, type HttpResponse } from '../http/client.js';
 import { NoResponseError, ResponseTooLargeError } from '../http/errors.js';
 import {
@@ -30,59 +30,60 @@
   type TransactionResult,
 } from './key-value-store.js';
 
-/** Where the state service is, and the part of its limits that this client may use. */
+/** Address of the state service, and the share of its rate limits that this client may use. */
 export interface StateClientOptions {
   address: Address;
   requestsPerS: number;
   changesPerS: number;
-  /** The changes a second that are left once a limit that is announced is in force. */
+  /** Rate for changes once the limits that the settings announce are in force. */
   loweredChangesPerS: number;
-  /** For the wait for the budget, and again for the response; watches may take longer. */
+  /** Time-out of the wait for the budget, and again of the request. Watches may take longer. */
   timeoutMs: number;
   clock: Clock;
 }
 
-/** One request but for a watch. */
+/** A request other than a watch. */
 interface Call {
   method: 'GET' | 'POST' | 'DELETE';
   target: string;
   body?: unknown;
   priority: RequestPriority;
-  /** Changes that it makes, which have a budget of their own; none when absent. */
+  /** Number of changes, which count against a separate budget; defaults to 0. */
   changes?: number;
   signal: AbortSignal | undefined;
 }
 
-/** The largest page that a list answers, with room for its frame. */
+/** Maximum number of entries in a list page, set by the state service. */
 const MAX_PAGE_ENTRIES = 500;
+/** Maximum length of a response body: the largest list page with its JSON framing. */
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
-/** Connections for each request a second: enough while answers take up to this many seconds. */
+/** Connections for each request per second: sufficient while responses take up to this many seconds. */
 const CONNECTIONS_PER_REQUEST_PER_S = 0.3;
 const WATCH_CONNECTIONS = 4;
-/** When to come back after the service has refused: it does not say when. */
+/** Delay before a refused request may be repeated; the service does not announce one. */
 const REFUSED_RETRY_MS = 1000;
-/** Statuses that are answers; what 404 and 409 mean depends on the request. */
+/** Statuses of usable responses; the meaning of 404 and 409 depends on the request. */
 const USABLE_STATUSES = [200, 400, 404, 409];
 
 /**
- * The state service over HTTP. A refusal (429, 503) and a request that the
- * budget left no room for were not carried out; any other status that is no
- * answer, and no response at all, leave that open.
+ * The state service over HTTP. A request that is refused with 429 or 503, or for
+ * lack of budget, was not carried out. After any other unexpected status, or
+ * without a response, the outcome is unknown.
  */
 export class StateClient implements KeyValueStore {
   private readonly http: HttpClient;
-  /** For the leader's own requests: they must not queue behind users for a connection while the service is slow. */
+  /** For requests of the leadership priority, which must not queue behind users' requests while the service is slow. */
   private readonly leadershipHttp: HttpClient;
   private readonly watchHttp: HttpClient;
   private readonly requestBudget: RequestBudget;
   private readonly changeBudget: RequestBudget;
-  /** Requests that wait for the budget. */
+  /** Number of requests that wait for the budget. */
   private queuedRequests = 0;
-  /** Since when no request has been served; null while the last one was. */
+  /** Time of the first failure since the last usable response, by the clock's `now`; null after a usable response. */
   failingSince: number | null = null;
-  /** Since when requests have had no answer of any kind, not even a refusal. */
+  /** Like `failingSince`, but a refusal by the service also resets it to null. */
   unansweredSince: number | null = null;
-  /** When a request last left. */
+  /** Time at which a request was last sent, by the clock's `now`. */
   lastAttemptAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: StateClientOptions) {
@@ -164,7 +165,7 @@
     await this.call({ method: 'DELETE', target, priority: RequestPriority.leadership, signal });
   }
 
-  /** See `KeyValueStore`. What becomes of it counts for neither `failingSince` nor `lastAttemptAt`. */
+  /** See `KeyValueStore`. A watch updates neither `failingSince` and `unansweredSince` nor `lastAttemptAt`. */
   async watch(
     prefix: string,
     after: number,
@@ -182,13 +183,13 @@
       if (response.status === 410) return null;
       return parseEvents(this.checkStatus(response, 0).body);
     } catch (error) {
-      // Its length has no bound, and the same request would have the same answer: lists come in pages.
+      // A batch has no length limit, and a repeated request would get the same response; lists are paged.
       if (error instanceof ResponseTooLargeError) return null;
       throw error;
     }
   }
 
-  /** Closes the connections; requests that wait for one are rejected. */
+  /** Closes idle connections and rejects the requests that wait for one. Requests in progress continue. */
   close(): void {
     this.http.close();
     this.leadershipHttp.close();
@@ -210,7 +211,7 @@
       this.unansweredSince = null;
       return response;
     } catch (error) {
-      // What we ended ourselves says nothing of the service.
+      // A request that its caller aborted does not show whether the service is available.
       if (!signal?.aborted) this.recordFailure(error);
       throw error;
     }
@@ -224,9 +225,9 @@
   }
 
   /**
-   * Waits for the budget, within the time that an answer could still be of use.
-   * Rejects with `RequestRefusedError` when it would take longer, or when too
-   * many wait already.
+   * Waits for the budget, for at most `timeoutMs`. Rejects with
+   * `RequestRefusedError` when the wait would take longer or too many requests
+   * are waiting, and with `AbortedError` when the signal is aborted.
    */
   private async awaitBudget(
     priority: RequestPriority,
@@ -251,15 +252,17 @@
     }
   }
 
-  /** The response when it is an answer; throws the error that its status stands for. */
+  /** Returns a response with a usable status; throws the error for any other status. */
   private checkStatus(response: HttpResponse, changes: number): HttpResponse {
     const { status, body } = response;
     if (status === 429) this.recordRateLimit(changes);
     if (status === 429 || status === 503) throw new RequestRefusedError(REFUSED_RETRY_MS);
     if (!USABLE_STATUSES.includes(status))
-      throw new NoResponseError(`state service answered ${status}`);
+      throw new NoResponseError(`state service responded with unexpected status ${status}`);
     if (status === 400)
-      throw new RequestRejectedError(`state service answered 400: ${JSON.stringify(body)}`);
+      throw new RequestRejectedError(
+        `state service rejected the request with status 400: ${JSON.stringify(body)}`,
+      );
     return response;
   }
 
@@ -267,7 +270,7 @@
     const now = this.options.clock.now();
     this.requestBudget.recordRefusal(now);
     if (changes === 0) return;
-    // Which of the two limits it was is not said; the announced one may be in force from now on.
+    // The response does not say which limit was exceeded; a limit that the settings announce may now be in force.
     this.changeBudget.recordRefusal(now);
     this.changeBudget.lowerRate(this.options.loweredChangesPerS, now);
   }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,4 +1,4 @@
-/** An HTTP/1.1 client for JSON requests to one address. */
+/** HTTP/1.1 client for JSON requests to one address. */
 import { ConnectionPool, type PoolOptions } from './connection-pool.js';
 import { NotAttemptedError } from './errors.js';
 import { Exchange, type HttpResponse } from './exchange.js';
@@ -10,24 +10,25 @@
 /** One request. */
 export interface RequestOptions {
   method: 'GET' | 'POST' | 'DELETE';
-  /** Path and query. */
+  /** Request target: path and query. */
   target: string;
-  /** Sent as JSON; undefined: no body. */
+  /** Sent as JSON. When undefined, the request has no body. */
   body?: unknown;
-  /** For everything: the wait for a connection, opening one, and the response. */
+  /** Covers the whole request: waiting for a connection, connecting, and receiving the response. */
   timeoutMs: number;
+  /** Aborts connecting and the exchange, but not the wait for a free connection. */
   signal?: AbortSignal | undefined;
   /**
-   * Asked at the moment when the request would leave: what waited for its turn
-   * or connection, or slept while the process was suspended, may rest on an
-   * entitlement that has ended.
+   * Called immediately before the request is sent; when it returns false, the
+   * request is not sent. The right to send it may have ended while the request
+   * waited for a connection or the process was suspended.
    */
   isStillValid?: (() => boolean) | undefined;
 }
 
 /**
- * Keeps a bounded number of connections. A connection is used by one request
- * at a time and dropped after any fault.
+ * Sends requests over a bounded number of persistent connections. A connection
+ * carries one request at a time and is closed after any error.
  */
 export class HttpClient {
   private readonly pool: ConnectionPool;
@@ -40,9 +41,9 @@
   }
 
   /**
-   * The response, whatever its status. Rejects with `NotAttemptedError` or
-   * `NotSentError` when the request was not carried out, and with
-   * `NoResponseError` when it may have been.
+   * Resolves to the response, whatever its status. Rejects with
+   * `NotAttemptedError` or `NotSentError` when the request was not carried out,
+   * and with `NoResponseError` when the outcome is unknown.
    */
   async request(options: RequestOptions): Promise<HttpResponse> {
     const { pool } = this;
@@ -53,7 +54,7 @@
       const connection = await pool.acquire(deadline, signal);
       if (isStillValid && !isStillValid()) {
         pool.release(connection);
-        throw new NotAttemptedError('no longer fit to be sent');
+        throw new NotAttemptedError('request is no longer valid and was not sent');
       }
       const { socket } = connection;
       const bytesReadBefore = socket.bytesRead;
@@ -67,7 +68,8 @@
           signal,
         });
       } catch (error) {
-        // A kept connection that the server had closed meanwhile carried nothing; only safe calls are sent again.
+        // The server may have closed a reused connection before the request arrived. Only a GET is then
+        // retried: the server may have carried out the request, and a GET changes nothing.
         const wasReused = bytesReadBefore > 0;
         const isStale =
           wasReused && socket.bytesRead === bytesReadBefore && options.method === 'GET';
@@ -76,12 +78,15 @@
     }
   }
 
-  /** No request is under way or waits. */
+  /** Reports whether no request is in progress or waiting for a connection. */
   get isIdle(): boolean {
     return this.pool.isIdle;
   }
 
-  /** Requests that wait are rejected with `NotAttemptedError`; those under way go on. */
+  /**
+   * Closes idle connections and rejects requests that wait for a connection
+   * with `NotAttemptedError`. Requests in progress continue.
+   */
   close(): void {
     this.pool.close();
   }
--- a/src/http/connection-pool.ts
+++ b/src/http/connection-pool.ts
@@ -1,13 +1,13 @@
-/** Kept connections to one address: acquiring, waiting for a free one, releasing, closing. */
+/** Pool of persistent client connections to one address. */
 import type net from 'node:net';
 import { NotAttemptedError } from './errors.js';
 import { type Address, type ClientConnection, openConnection } from './open-connection.js';
 
-/** Bounds of a pool. */
+/** Limits of a pool. */
 export interface PoolOptions {
-  /** Most connections at a time. */
+  /** Maximum number of connections that are open or being opened. */
   connections: number;
-  /** Longest body of a response, in bytes. */
+  /** Maximum length of a response body. */
   maxBodyBytes: number;
 }
 
@@ -16,18 +16,22 @@
   reject: (error: Error) => void;
 }
 
-/** Connect time-out of a connection that is opened for whoever waits. */
+/** Connect time-out of a connection that replaces a closed one while requests wait. */
 const REPLACEMENT_TIMEOUT_MS = 1000;
 
-/** How long until the deadline; a timer of 0 or less would end before anything could happen. */
+/**
+ * Returns the time until the deadline, at least 1 ms: a timer of 0 ms could fire
+ * before any I/O is processed.
+ */
 function msUntil(deadline: number): number {
   return Math.max(1, deadline - Date.now());
 }
 
 /**
- * Invariant: `openCount` counts every socket from the attempt to connect to its
- * close. A connection is either idle here or out with one request; whoever
- * acquires it releases it or destroys its socket.
+ * Invariant: `openCount` counts every socket from the start of connecting until
+ * its 'close' event. An established connection is either in `idle` or owned by
+ * the caller that acquired it; that caller must release the connection or
+ * destroy its socket.
  */
 export class ConnectionPool {
   private idle: ClientConnection[] = [];
@@ -40,26 +44,30 @@
     private readonly options: PoolOptions,
   ) {}
 
-  /** No connection is in use and nobody waits for one. */
+  /** Reports whether no connection is in use or being opened and no request waits for one. */
   get isIdle(): boolean {
     return this.waiters.length === 0 && this.openCount === this.idle.length;
   }
 
   /**
-   * A connection, until the deadline (by `Date.now`). Rejects with
-   * `NotSentError` when it can't be opened and with `NotAttemptedError` when
-   * none becomes free in time or the pool is closed. The signal ends an attempt
-   * to connect, not the wait for a free connection.
+   * Resolves to an idle or new connection before the deadline (in `Date.now`
+   * time). Rejects with `NotSentError` when connecting fails, and with
+   * `NotAttemptedError` when no connection becomes free in time or the pool is
+   * closed. The signal aborts connecting, but not the wait for a free
+   * connection.
    */
   acquire(deadline: number, signal?: AbortSignal): Promise<ClientConnection> {
     const idleConnection = this.popIdle();
     if (idleConnection) return Promise.resolve(idleConnection);
-    if (this.closed) return Promise.reject(new NotAttemptedError('closed'));
+    if (this.closed) return Promise.reject(new NotAttemptedError('connection pool is closed'));
     if (this.openCount < this.options.connections) return this.connect(deadline, signal);
     return this.waitForConnection(deadline);
   }
 
-  /** Takes back a connection on which the next request may be sent. */
+  /**
+   * Returns a reusable connection to the pool, which passes it to the first
+   * waiting request, closes it (when the pool is closed) or keeps it idle.
+   */
   release(connection: ClientConnection): void {
     const waiter = this.waiters.shift();
     if (waiter) waiter.resolve(connection);
@@ -67,16 +75,23 @@
     else this.idle.push(connection);
   }
 
-  /** Closes what is idle and ends every wait; connections in use close when they are released. */
+  /**
+   * Closes idle connections and rejects waiting requests. Connections in use
+   * are closed when they are released.
+   */
   close(): void {
     this.closed = true;
     for (const { socket } of this.idle) socket.destroy();
     this.idle = [];
-    for (const waiter of this.waiters) waiter.reject(new NotAttemptedError('closed'));
+    for (const waiter of this.waiters)
+      waiter.reject(new NotAttemptedError('connection pool was closed'));
     this.waiters = [];
   }
 
-  /** The connection used last, since the server is the least likely to have closed it. */
+  /**
+   * Removes and returns the most recently used idle connection, which the
+   * server is least likely to have closed; null when there is none.
+   */
   private popIdle(): ClientConnection | null {
     for (let connection = this.idle.pop(); connection; connection = this.idle.pop())
       if (!connection.socket.destroyed) return connection;
@@ -87,7 +102,7 @@
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
         this.waiters = this.waiters.filter((other) => other !== waiter);
-        reject(new NotAttemptedError('no free connection'));
+        reject(new NotAttemptedError('no connection became free in time'));
       }, msUntil(deadline));
       const waiter: Waiter = {
         resolve: (connection) => {
@@ -114,7 +129,6 @@
     });
   }
 
-  /** A socket has closed, for whatever reason. */
   private handleClose(socket: net.Socket): void {
     this.openCount--;
     this.idle = this.idle.filter((connection) => connection.socket !== socket);
@@ -122,9 +136,10 @@
   }
 
   /**
-   * A slot came free by a close: whoever waits may open a new connection. By
-   * the time that it is open its waiter may have given up; a connection handed
-   * to nobody would be lost to the pool for good.
+   * Opens a new connection for a waiting request after another connection has
+   * closed. That request may time out before the connection is established, so
+   * the connection goes through `release`; a connection passed to nobody would
+   * occupy a slot of the pool forever.
    */
   private connectForWaiter(): void {
     const isFull = this.openCount >= this.options.connections;
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -1,54 +1,62 @@
 /**
- * The server's open connections: admission, idle time, time-outs and their
- * end. The process's sockets are limited, and its own calls to the state
+ * The server's open connections: admission, eviction and time-outs. The number
+ * of sockets of the process is limited, and its own requests to the state
  * service, the cloud and the agents need some of them.
  */
 import type net from 'node:net';
 
-/** Bounds on connections and their time-outs. */
+/** Limits and time-outs of the server's connections. */
 export interface ConnectionLimits {
   /**
-   * Beyond this many connections the one idle for longest is closed for a new
-   * one, so that sockets stay free for our own calls.
+   * Maximum number of open connections, which leaves sockets for the outgoing
+   * requests of this process. At the limit, the connection idle longest is
+   * closed to admit a new one.
    */
   maxConnections: number;
-  /** How long a request may take to arrive, and a reply to be taken. */
+  /** Time-out for receiving a request, and for sending the last reply of a connection. */
   requestMs: number;
-  /** How long a connection may stay idle. */
+  /** Time-out of a connection that receives no request. */
   idleMs: number;
-  /** A connection that was idle for less is not closed for a new one: the new one is refused. */
+  /**
+   * Minimum idle time after which a connection may be closed to admit a new
+   * one. When no connection qualifies, the new one is refused.
+   */
   spareMs: number;
 }
 
 interface OpenConnection {
   socket: net.Socket;
-  /** Null while a request is served. */
+  /** Start of the idle time, in `Date.now` time; null while a request is served. */
   idleSince: number | null;
-  /** When it is closed, unless something arrives or is taken before. */
+  /** Deadline of the current time-out, in `Date.now` time; infinite while a request is served. */
   closeAt: number;
 }
 
 /**
- * This part of the connections is left to those that end with their first
- * reply, while all others are in use.
+ * Share of `maxConnections` reserved, while all others are in use, for
+ * connections that are closed after their first reply.
  */
 const TRANSIENT_SHARE = 0.15;
 
 /**
- * The open connections. Agents that moved to another controller in a failover
- * and users that are done leave theirs behind; a full server that refused
- * whoever comes next would keep those and turn away its own machines.
+ * Tracks the open connections. Agents that moved to another controller in a
+ * failover and users that have finished leave idle connections behind. A full
+ * server that only refused new connections would keep these and refuse its own
+ * machines, so it closes the connection idle longest instead.
  *
- * Time-outs are deadlines that `closeExpired` looks at now and then: a timer
- * for each request cost more than reading it.
+ * Time-outs are deadlines that `closeExpired` checks periodically: a timer for
+ * each request would cost more than reading the request.
  */
 export class ConnectionTable {
-  /** Invariant: idle connections are in the order of the times since when they are idle. */
+  /** Invariant: idle connections are ordered by `idleSince`, the one idle longest first. */
   private readonly connections = new Map<net.Socket, OpenConnection>();
 
   constructor(private readonly limits: ConnectionLimits) {}
 
-  /** Takes in a new connection, as idle; false: it has to be refused. */
+  /**
+   * Adds a new connection as idle. Returns false when the table is full and no
+   * connection may be closed for it; the caller must then close the socket.
+   */
   admit(socket: net.Socket): boolean {
     const now = Date.now();
     const isFull = this.connections.size >= this.limits.maxConnections;
@@ -57,13 +65,13 @@
     return true;
   }
 
-  /** A request begins to arrive, or the last reply leaves: either may take `requestMs`. */
+  /** Starts the time-out `requestTimeoutMs` for receiving a request or for sending the last reply. */
   markTransferring(socket: net.Socket): void {
     const connection = this.connections.get(socket);
     if (connection) connection.closeAt = Date.now() + this.limits.requestMs;
   }
 
-  /** A request is served, which ends in its own time. */
+  /** Marks a connection whose request is being served; no time-out applies meanwhile. */
   markBusy(socket: net.Socket): void {
     const connection = this.connections.get(socket);
     if (!connection) return;
@@ -71,28 +79,28 @@
     connection.closeAt = Number.POSITIVE_INFINITY;
   }
 
-  /** A reply has been sent, and the connection is kept for the next request. */
+  /** Marks a connection as idle after a reply, waiting for the next request. */
   markIdle(socket: net.Socket): void {
     const connection = this.connections.get(socket);
     if (!connection) return;
     const now = Date.now();
     connection.idleSince = now;
     connection.closeAt = now + this.limits.idleMs;
-    // To the end, which keeps the order.
+    // Moves the connection to the end, which keeps the order by `idleSince`.
     this.connections.delete(socket);
     this.connections.set(socket, connection);
   }
 
-  /** The connection has closed. */
+  /** Removes a connection whose socket has closed. */
   remove(socket: net.Socket): void {
     this.connections.delete(socket);
   }
 
   /**
-   * More clients send requests than connections may be kept for. Those that
-   * come beyond that are served on connections that end with their reply:
-   * closing kept ones for them instead would in the end have every client
-   * connect anew for each request.
+   * Reports whether more clients are active than connections can be kept open.
+   * New connections are then closed after their first reply. Closing persistent
+   * connections for them instead would eventually make every client reconnect
+   * for each request.
    */
   get isSaturated(): boolean {
     const { maxConnections } = this.limits;
@@ -102,19 +110,19 @@
     return candidate === null || !this.mayEvict(candidate, Date.now());
   }
 
-  /** Closes the connections whose time is over. */
+  /** Closes the connections whose time-out has expired. */
   closeExpired(): void {
     const now = Date.now();
     for (const { socket, closeAt } of this.connections.values())
       if (closeAt <= now) socket.destroy();
   }
 
-  /** Closes all, whether or not a request is served. */
+  /** Closes all connections, including those with a request in progress. */
   closeAll(): void {
     for (const { socket } of this.connections.values()) socket.destroy();
   }
 
-  /** False: every connection is in use or was so a short time ago. */
+  /** Returns false when every connection is in use or was in use too recently to be closed. */
   private evictLongestIdle(now: number): boolean {
     const candidate = this.longestIdle();
     if (candidate === null || !this.mayEvict(candidate, now)) return false;
@@ -123,7 +131,7 @@
     return true;
   }
 
-  /** Null: a request is served on each. */
+  /** Returns null when a request is being served on every connection. */
   private longestIdle(): OpenConnection | null {
     for (const connection of this.connections.values())
       if (connection.idleSince !== null) return connection;
--- a/src/http/errors.ts
+++ b/src/http/errors.ts
@@ -1,38 +1,40 @@
 /**
- * Errors of HTTP messages, and of requests that brought no usable answer. The
- * class of the latter says what is proven about whether the request was carried
- * out: whoever repeats a change or drops a record decides by the class and
- * never by the text.
+ * Errors of HTTP parsing and of client requests. The class of a request error
+ * states what is known about the request. A caller that repeats a change or
+ * deletes a record decides by the class, never by the message.
  *
- *     NoResponseError          may have been carried out, or may yet be
- *       ResponseTooLargeError  was answered, hence received
- *       NotSentError           was not carried out: it never left
- *         NotAttemptedError    likewise, and says nothing of the other side
+ *     NoResponseError          outcome unknown: the server may have carried it out, or may still do so
+ *       ResponseTooLargeError  received by the server, which may have carried it out
+ *       NotSentError           not carried out: no connection could be established
+ *         NotAttemptedError    not carried out: rejected locally, the server's state is unknown
  */
 
 /**
- * No usable answer: the request may or may not have been carried out, or may
- * yet be, since it can still be on its way.
+ * There was no usable response. The server may have carried out the request, or
+ * may still do so, since the request can be delayed in the network.
  */
 export class NoResponseError extends Error {}
 
-/** It was answered, at a greater length than is accepted: it was received, and may have been carried out. */
+/**
+ * The response exceeded the client's limit. The server received the request and
+ * may have carried it out.
+ */
 export class ResponseTooLargeError extends NoResponseError {}
 
-/** It never left, since no connection was established: it was not carried out. */
+/** The request was not sent, and so not carried out, because no connection could be established. */
 export class NotSentError extends NoResponseError {}
 
 /**
- * It was not even tried, for a reason on this side (no free connection, closed,
- * no longer valid): it was not carried out, and nothing was learnt about
- * whether the other side is reachable.
+ * The request was not sent, and so not carried out, for a local reason: no
+ * connection was free, the client is closed, or the request is no longer valid.
+ * The error does not show whether the server is reachable.
  */
 export class NotAttemptedError extends NotSentError {}
 
-/** The bytes are no HTTP message that is accepted here. */
+/** The received bytes are not an HTTP message that this implementation accepts. */
 export class HttpParseError extends Error {
   constructor(
-    /** Status of the answer, when the bytes were to be a request. */
+    /** Status with which a server rejects the request; clients ignore it. */
     readonly status: number,
     message: string,
   ) {
@@ -40,7 +42,7 @@
   }
 }
 
-/** The body is larger than this side accepts. */
+/** The body of a message exceeds the parser's limit. */
 export class BodyTooLargeError extends HttpParseError {
   constructor() {
     super(400, 'body too large');
--- a/src/http/exchange.ts
+++ b/src/http/exchange.ts
@@ -1,32 +1,32 @@
-/** One request and its response on a connection. */
+/** Exchange of one request and its response on a connection. */
 import type { ConnectionPool } from './connection-pool.js';
 import { BodyTooLargeError, NoResponseError, ResponseTooLargeError } from './errors.js';
 import type { Message } from './message.js';
 import type { ClientConnection } from './open-connection.js';
 
-/** The answer to a request. */
+/** The response to a request. */
 export interface HttpResponse {
   status: number;
-  /** The JSON of the body; `{}` when it is empty. */
+  /** The parsed JSON body; `{}` when the body is empty. */
   body: unknown;
 }
 
-/** What an exchange needs. */
+/** Parameters of an exchange. */
 export interface ExchangeOptions {
-  /** Takes the connection back as soon as the response is complete. */
+  /** Receives the connection back when the response is complete and the connection is reusable. */
   pool: ConnectionPool;
   connection: ClientConnection;
-  /** The request as it is sent. */
+  /** The encoded request: head and body. */
   requestText: string;
   timeoutMs: number;
   signal: AbortSignal | undefined;
 }
 
 /**
- * Invariant: it settles once, by a response, a fault, the time-out, the close
- * of the connection or the signal, and then listens to nothing any more. After
- * any fault the connection is destroyed: a late response must not be taken for
- * the answer to the next request.
+ * Invariant: an exchange settles once, on a response, an error, the time-out,
+ * the close of the connection or an abort, and then removes its listeners. On
+ * any error it destroys the socket, so that a late response cannot be taken for
+ * the response to the next request.
  */
 export class Exchange {
   private timer: NodeJS.Timeout | undefined;
@@ -37,7 +37,11 @@
     private readonly reject: (error: NoResponseError) => void,
   ) {}
 
-  /** Rejects with `NoResponseError`, or `ResponseTooLargeError`. */
+  /**
+   * Runs an exchange, which owns the connection until it settles: the
+   * connection is then back in the pool or its socket is destroyed. Rejects with
+   * `NoResponseError`, or with its subclass `ResponseTooLargeError`.
+   */
   static run(options: ExchangeOptions): Promise<HttpResponse> {
     return new Promise((resolve, reject) => new Exchange(options, resolve, reject).start());
   }
@@ -50,7 +54,7 @@
     if (signal?.aborted) {
       this.onAbort();
     } else if (socket.destroyed) {
-      this.fail(new NoResponseError('connection closed'));
+      this.fail(new NoResponseError('connection closed before the request was sent'));
     } else {
       socket.on('data', this.onData);
       socket.once('close', this.onClose);
@@ -70,12 +74,12 @@
   private readonly onClose = () => {
     const message = this.options.connection.parser.close();
     if (message) this.finish(message);
-    else this.fail(new NoResponseError('connection closed'));
+    else this.fail(new NoResponseError('connection closed before the response was complete'));
   };
 
-  private readonly onAbort = () => this.fail(new NoResponseError('aborted'));
+  private readonly onAbort = () => this.fail(new NoResponseError('request aborted'));
 
-  private readonly onTimeout = () => this.fail(new NoResponseError('timed out'));
+  private readonly onTimeout = () => this.fail(new NoResponseError('request timed out'));
 
   private finish(message: Message): void {
     const { pool, connection } = this.options;
@@ -85,7 +89,7 @@
     try {
       this.resolve({ status: message.status, body: parseBody(message.body) });
     } catch (error) {
-      this.reject(new NoResponseError('answer is not JSON', { cause: error }));
+      this.reject(new NoResponseError('response body is not JSON', { cause: error }));
     }
   }
 
--- a/src/http/message.ts
+++ b/src/http/message.ts
@@ -1,29 +1,29 @@
-/** An HTTP/1.1 message and its head: the start line and the headers, one line at a time. */
+/** HTTP/1.1 messages and the parsing of their start lines and headers, one line at a time. */
 import { HttpParseError } from './errors.js';
 
-/** A request or a response with its whole body. */
+/** A request or response with its complete body. */
 export interface Message {
-  /** Of a request; empty in a response. */
+  /** Method of a request; empty in a response. */
   method: string;
-  /** Of a request, with its query; empty in a response. */
+  /** Path and query of a request; empty in a response. */
   target: string;
-  /** Of a response; 0 in a request. */
+  /** Status of a response; 0 in a request. */
   status: number;
-  /** By lower-case name; the values of a repeated header are joined by commas. */
+  /** Header values by lower-case name; the values of a repeated header are joined by commas. */
   headers: Map<string, string>;
   body: Buffer;
-  /** Whether the sender goes on using the connection. */
+  /** Whether the sender keeps the connection open after this message. */
   keepAlive: boolean;
 }
 
-/** Names of methods and headers, as the HTTP standard defines a token. */
+/** Syntax of method and header names: a token as defined by the HTTP standard (RFC 9110). */
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 const STATUS_LINE = /^(HTTP\/\d\.\d) (\d{3})(?: |$)/;
 const ANY_VERSION = /^HTTP\/\d+(\.\d+)?$/;
 
 const NO_BODY = Buffer.alloc(0);
 
-/** A message of which nothing has been read. */
+/** Returns a message before any of its lines is parsed. */
 export function emptyMessage(): Message {
   return {
     method: '',
@@ -35,7 +35,7 @@
   };
 }
 
-/** Reads `METHOD target HTTP/x.y`. Throws `HttpParseError`. */
+/** Parses `METHOD target HTTP/x.y` into the message. Throws `HttpParseError`. */
 export function readRequestLine(line: string, message: Message): void {
   const parts = line.split(' ');
   const [method, target, version] = parts;
@@ -46,7 +46,7 @@
   message.target = target;
 }
 
-/** Reads `HTTP/x.y 200 reason`. Throws `HttpParseError`. */
+/** Parses `HTTP/x.y 200 reason` into the message. Throws `HttpParseError`. */
 export function readStatusLine(line: string, message: Message): void {
   const match = STATUS_LINE.exec(line);
   if (!match?.[1]) throw new HttpParseError(400, 'bad status line');
@@ -54,7 +54,7 @@
   message.status = Number(match[2]);
 }
 
-/** Connections persist by default from HTTP/1.1 on. */
+/** Sets the default of the version: connections persist from HTTP/1.1 on. */
 function readVersion(version: string, message: Message): void {
   if (version === 'HTTP/1.1') message.keepAlive = true;
   else if (version === 'HTTP/1.0') message.keepAlive = false;
@@ -62,11 +62,11 @@
   else throw new HttpParseError(400, 'bad version');
 }
 
-/** Reads `Name: value`. Throws `HttpParseError`. */
+/** Parses `Name: value` into the message. Throws `HttpParseError`. */
 export function readHeader(line: string, message: Message): void {
   const colon = line.indexOf(':');
   const name = line.slice(0, colon).toLowerCase();
-  // Folded lines and blanks before the colon are refused: they let two readers disagree.
+  // Folded lines and whitespace before the colon are rejected, since parsers interpret them differently.
   if (colon <= 0 || !TOKEN.test(name)) throw new HttpParseError(400, 'bad header');
   const value = line.slice(colon + 1).trim();
   const earlier = message.headers.get(name);
@@ -74,7 +74,7 @@
     message.headers.set(name, earlier === undefined ? value : `${earlier}, ${value}`);
     return;
   }
-  // Two lengths would let two readers disagree about where the next message begins.
+  // With two lengths, parsers could disagree about where the next message begins (request smuggling).
   if (earlier !== undefined && earlier !== value) throw new HttpParseError(400, 'two lengths');
   message.headers.set(name, value);
 }
--- a/src/http/open-connection.ts
+++ b/src/http/open-connection.ts
@@ -1,28 +1,30 @@
-/** Opening of a client's connection, within a time-out and until a signal. */
+/** Opens client connections, with a connect time-out and an abort signal. */
 import net from 'node:net';
 import { NotSentError } from './errors.js';
 import { Parser } from './parser.js';
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export interface Address {
   host: string;
   port: number;
 }
 
-/** A client's connection with the parser of its responses. It serves one request at a time. */
+/** A client connection and the parser of its responses. It carries one request at a time. */
 export interface ClientConnection {
   socket: net.Socket;
   parser: Parser;
 }
 
-/** What to open, and until when. */
+/** Parameters for opening a connection. */
 export interface OpenOptions {
   address: Address;
-  /** Longest body of a response, in bytes. */
+  /** Maximum length of a response body. */
   maxBodyBytes: number;
+  /** Connect time-out. */
   timeoutMs: number;
+  /** Aborts connecting; without effect on an established connection. */
   signal: AbortSignal | undefined;
-  /** Called once when the socket has closed, whether or not it was ever connected. */
+  /** Called once when the socket has closed, even if it was never connected. */
   onClose: (socket: net.Socket) => void;
 }
 
@@ -30,8 +32,9 @@
 const MAX_HEADERS = 64;
 
 /**
- * A connection, whose socket is destroyed by its first error. Rejects with
- * `NotSentError` when it can't be opened; the socket is then destroyed.
+ * Opens a connection. Rejects with `NotSentError` when connecting fails, times
+ * out or is aborted; the socket is then destroyed. Otherwise the caller owns
+ * the socket, which is destroyed on its first error.
  */
 export function openConnection(options: OpenOptions): Promise<ClientConnection> {
   const { address, maxBodyBytes, timeoutMs, signal, onClose } = options;
@@ -46,7 +49,7 @@
       socket.destroy();
       reject(new NotSentError(message));
     };
-    const onAbort = () => fail('aborted');
+    const onAbort = () => fail('connect aborted');
     const timer = setTimeout(() => fail('connect timed out'), timeoutMs);
     signal?.addEventListener('abort', onAbort, { once: true });
     socket.once('error', (error) => fail(error.message));
@@ -64,6 +67,6 @@
   return new Parser('response', {
     maxLineBytes: MAX_LINE_BYTES,
     maxHeaderLines: MAX_HEADERS,
-    maxBodyBytes: maxBodyBytes,
+    maxBodyBytes,
   });
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,6 +1,6 @@
 /**
- * Incremental HTTP/1.1 message parser for both directions. Bytes may be split
- * anywhere: state lives between pushes and nothing is decided on a boundary.
+ * Incremental HTTP/1.1 parser for requests and responses. The input may be
+ * split at any byte, since the parser keeps its state between calls to `push`.
  */
 import { assertNever } from '../runtime/assert-never.js';
 import { BodyTooLargeError, HttpParseError } from './errors.js';
@@ -13,26 +13,26 @@
   readStatusLine,
 } from './message.js';
 
-/** What a sender may make this side keep in memory. */
+/** Limits on the memory that one message can occupy. */
 export interface ParserLimits {
-  /** Longest start or header line, in bytes. */
+  /** Maximum length of a start line, header line or other line. */
   maxLineBytes: number;
-  /** Number of header lines, and of trailer lines. */
+  /** Maximum number of header lines, and separately of trailer lines. */
   maxHeaderLines: number;
-  /** Longest body, in bytes, without the frame of its chunks. */
+  /** Maximum length of a body, without its chunk framing. */
   maxBodyBytes: number;
 }
 
-/** Limits of requests that are served here. */
+/** Limits of requests to the server. */
 export const REQUEST_LIMITS: ParserLimits = {
   maxLineBytes: 8 * 1024,
   maxHeaderLines: 64,
   maxBodyBytes: 64 * 1024,
 };
 
-/** The line that comes next. */
+/** Stages in which a line is expected next. */
 type LineStage = 'startLine' | 'header' | 'chunkSize' | 'chunkEnd' | 'trailer';
-/** Bytes of the body that come next. */
+/** Stages in which body bytes are expected next. */
 type BodyStage = 'body' | 'chunkData';
 
 const CHUNK_SIZE = /^[0-9a-fA-F]{1,8}$/;
@@ -41,18 +41,18 @@
 const CARRIAGE_RETURN = 13;
 const EMPTY = Buffer.alloc(0);
 
-/** The messages of one direction of one connection, in their order. */
+/** Parses the messages of one direction of a connection. */
 export class Parser {
   private stage: LineStage | BodyStage = 'startLine';
-  /** The bytes of a line whose end has not arrived. */
+  /** The received part of an incomplete line. */
   private partialLine: Buffer = EMPTY;
   private message: Message = emptyMessage();
   private headerCount = 0;
-  /** Bytes of the body or chunk that have not arrived. */
+  /** Bytes of the body or chunk that are still to be received. */
   private remainingBytes = 0;
   private bodyParts: Buffer[] = [];
   private bodyBytes = 0;
-  /** A response without a length: its body ends with the connection. */
+  /** Whether the message is a response without a length, whose body ends when the connection closes. */
   private isCloseDelimited = false;
 
   constructor(
@@ -60,12 +60,12 @@
     private readonly limits: ParserLimits,
   ) {}
 
-  /** True while a message has begun and is not complete. */
+  /** Reports whether a message has been received in part. */
   get hasPartialMessage(): boolean {
     return this.stage !== 'startLine' || this.partialLine.length > 0;
   }
 
-  /** Feeds bytes; returns every message that they complete. Throws `HttpParseError`. */
+  /** Parses further input and returns the messages that it completes. Throws `HttpParseError`. */
   push(data: Buffer): Message[] {
     const completed: Message[] = [];
     let rest = this.partialLine.length > 0 ? Buffer.concat([this.partialLine, data]) : data;
@@ -81,12 +81,15 @@
     }
   }
 
-  /** The other side closed: a response without a length ends here. */
+  /**
+   * Ends the input. Returns the response whose body ends with the connection,
+   * or null when there is none.
+   */
   close(): Message | null {
     return this.isCloseDelimited ? this.finishMessage() : null;
   }
 
-  /** Takes what belongs to the body off the front; returns how many bytes that are. */
+  /** Consumes the body bytes at the start of `data`; returns their number. */
   private consumeBody(stage: BodyStage, data: Buffer, completed: Message[]): number {
     const size = this.isCloseDelimited ? data.length : Math.min(this.remainingBytes, data.length);
     if (size > 0 && this.readBody(stage, data.subarray(0, size)))
@@ -94,12 +97,12 @@
     return size;
   }
 
-  /** Takes a line off the front; returns its bytes, or 0 while its end is missing. */
+  /** Consumes a line at the start of `data`; returns its length, or 0 while the line is incomplete. */
   private consumeLine(stage: LineStage, data: Buffer, completed: Message[]): number {
     const end = data.indexOf(LINE_FEED);
     if ((end < 0 ? data.length : end) > this.limits.maxLineBytes) throw lineTooLongError(stage);
     if (end < 0) {
-      // A copy: the bytes may sit in a large shared read buffer.
+      // Copied, since a slice could keep a large shared read buffer in memory.
       this.partialLine = Buffer.from(data);
       return 0;
     }
@@ -109,11 +112,11 @@
     return end + 1;
   }
 
-  /** Reads a part of the body; true when it completes the message. */
+  /** Reads a part of the body; returns true when it completes the message. */
   private readBody(stage: BodyStage, part: Buffer): boolean {
     this.bodyBytes += part.length;
     if (this.bodyBytes > this.limits.maxBodyBytes) throw new BodyTooLargeError();
-    // A copy: see takeLine.
+    // Copied for the same reason as in consumeLine.
     this.bodyParts.push(Buffer.from(part));
     if (this.isCloseDelimited) return false;
     this.remainingBytes -= part.length;
@@ -123,7 +126,7 @@
     return false;
   }
 
-  /** Reads one line; true when it completes the message. */
+  /** Reads one line; returns true when it completes the message. */
   private readLine(stage: LineStage, line: string): boolean {
     switch (stage) {
       case 'startLine':
@@ -150,7 +153,7 @@
   }
 
   private readStartLine(line: string): void {
-    // Blank lines before a message are tolerated, as the HTTP standard advises.
+    // Blank lines before a message are ignored, as the HTTP standard recommends.
     if (line === '') return;
     if (this.kind === 'request') readRequestLine(line, this.message);
     else readStatusLine(line, this.message);
@@ -163,14 +166,14 @@
     readHeader(line, this.message);
   }
 
-  /** Decides by the headers how the body is framed; true when there is none. */
+  /** Determines the framing of the body from the headers; returns true when there is no body. */
   private finishHeaders(): boolean {
     const { message } = this;
     readConnectionHeader(message);
     const coding = message.headers.get('transfer-encoding');
     const length = message.headers.get('content-length');
     if (coding !== undefined) {
-      // Both at once would let two readers disagree about where the body ends.
+      // With both headers, parsers could disagree about where the body ends (request smuggling).
       if (coding.toLowerCase() !== 'chunked' || length !== undefined)
         throw new HttpParseError(400, 'bad transfer coding');
       this.stage = 'chunkSize';
@@ -183,7 +186,7 @@
     return true;
   }
 
-  /** A body of a given length; true when it is 0. */
+  /** Prepares for a body of the given length; returns true when the length is 0. */
   private expectBody(contentLength: string): boolean {
     if (!CONTENT_LENGTH.test(contentLength)) throw new HttpParseError(400, 'bad content length');
     const length = Number(contentLength);
@@ -194,7 +197,7 @@
     return false;
   }
 
-  /** A response without a length; true when its status rules out a body. */
+  /** Prepares for a response body without a length; returns true when the status allows no body. */
   private expectBodyUntilClose(): boolean {
     const { message } = this;
     if (message.status === 204 || message.status === 304) return true;
@@ -219,7 +222,7 @@
       throw new HttpParseError(431, 'too many trailer lines');
   }
 
-  /** Hands out the message and begins the next one. */
+  /** Returns the complete message and resets the parser for the next one. */
   private finishMessage(): Message {
     const { message, bodyParts } = this;
     message.body = bodyParts.length === 1 ? (bodyParts[0] as Buffer) : Buffer.concat(bodyParts);
--- a/src/http/reply.ts
+++ b/src/http/reply.ts
@@ -1,11 +1,11 @@
-/** What a handler answers, and its bytes. */
+/** Replies of request handlers and their encoding. */
 
-/** An answer with a JSON body. */
+/** A response with a JSON body. */
 export interface Reply {
   status: number;
-  /** Sent as JSON; undefined and null as `{}`. */
+  /** Sent as JSON; undefined and null are sent as `{}`. */
   body: unknown;
-  /** Seconds after which the caller may come back. */
+  /** Value of the `Retry-After` header, rounded up to whole seconds; no header when absent. */
   retryAfterS?: number;
 }
 
@@ -25,7 +25,7 @@
   505: 'HTTP Version Not Supported',
 };
 
-/** The reply as an HTTP/1.1 response; `keepAlive`: the connection stays open after it. */
+/** Encodes a reply as an HTTP/1.1 response. Without `keepAlive`, it announces the close of the connection. */
 export function encodeReply(reply: Reply, keepAlive: boolean): string {
   const body = JSON.stringify(reply.body ?? {});
   let head = `HTTP/1.1 ${reply.status} ${REASON_PHRASES[reply.status] ?? 'Status'}\r\nContent-Type: application/json\r\nContent-Length: ${Buffer.byteLength(body)}\r\n`;
--- a/src/http/server-connection.ts
+++ b/src/http/server-connection.ts
@@ -1,4 +1,4 @@
-/** One connection of the server, from its first request to its end. */
+/** A connection of the server, from its first request until it closes. */
 import type net from 'node:net';
 import type { ConnectionTable } from './connection-table.js';
 import { HttpParseError } from './errors.js';
@@ -7,21 +7,21 @@
 import { encodeReply, type Reply } from './reply.js';
 import { SocketReader } from './socket-reader.js';
 
-/** Answers a request. What it throws is answered with 500. */
+/** Handles a request. When it throws or rejects, the client receives a 500. */
 export type Handler = (request: Message) => Promise<Reply> | Reply;
 
-/** What a connection needs of its server. */
+/** Dependencies of a connection, shared by all connections of a server. */
 export interface ServerConnectionOptions {
   table: ConnectionTable;
   handler: Handler;
-  /** Takes what a handler has thrown. */
+  /** Called with each error of the handler. */
   onError: (error: unknown) => void;
 }
 
-/** A peer that never reads must not make us keep more of its replies than this, in bytes. */
+/** Maximum length of the replies buffered for a client that does not read them. */
 const MAX_UNSENT_BYTES = REQUEST_LIMITS.maxBodyBytes * 2;
 
-/** Serves the requests of one connection one at a time, in their order. */
+/** Serves the requests of one connection in order, one at a time. */
 export class ServerConnection {
   private readonly parser = new Parser('request', REQUEST_LIMITS);
   private hasReplied = false;
@@ -31,12 +31,16 @@
     private readonly options: ServerConnectionOptions,
   ) {}
 
-  /** Resolves when no more requests are read. The socket closes with the last reply or by its time-out. */
+  /**
+   * Serves requests until the client ends its side, the connection closes or
+   * the last reply is written. Once it resolves, no more requests are read; the
+   * socket closes after its last reply or on its time-out.
+   */
   async run(): Promise<void> {
     const { socket, parser } = this;
     const { table, handler, onError } = this.options;
     const reader = SocketReader.attach(socket);
-    // The connection broke; nothing is owed to it.
+    // After a socket error no reply can be delivered.
     socket.on('error', () => socket.destroy());
     socket.once('close', () => table.remove(socket));
     let isRequestPartial = false;
@@ -61,7 +65,7 @@
     table.markTransferring(socket);
   }
 
-  /** Sends a reply; false: the connection ends with it. */
+  /** Sends a reply; returns false when it is the last one of the connection. */
   private send(reply: Reply, keepAlive: boolean): boolean {
     const { socket } = this;
     const { table } = this.options;
@@ -86,7 +90,7 @@
   }
 }
 
-/** The requests that the bytes complete, or the reply to bytes that are no request. */
+/** Returns the requests that the data completes, or the reply to malformed data. */
 function parseRequests(parser: Parser, data: Buffer): Message[] | Reply {
   try {
     return parser.push(data);
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,4 +1,4 @@
-/** An HTTP/1.1 server for small JSON requests, on kept connections of a bounded number. */
+/** HTTP/1.1 server for small JSON requests over a bounded number of persistent connections. */
 import net from 'node:net';
 import { type ConnectionLimits, ConnectionTable } from './connection-table.js';
 import { type Handler, ServerConnection } from './server-connection.js';
@@ -6,30 +6,31 @@
 export type { Reply } from './reply.js';
 export type { Handler } from './server-connection.js';
 
-/** Where and how a server listens. */
+/** Options of a server. */
 export interface ServerOptions extends ConnectionLimits {
   host: string;
-  /** 0: any free port. */
+  /** Port to listen on; 0 selects a free one. */
   port: number;
   handler: Handler;
-  /** Takes what a handler has thrown, and faults of the listening socket. */
+  /** Called with each error of the handler and of the listening socket. */
   onError: (error: unknown) => void;
 }
 
-/** Connections that wait to be accepted. */
+/** Maximum number of connections that wait to be accepted. */
 const LISTEN_BACKLOG = 511;
 
-/** How often time-outs are looked at during the shortest of them. */
+/** Number of checks for expired connections during the shortest time-out. */
 const CHECKS_PER_TIMEOUT = 4;
 
 /**
- * Serves until the signal ends it, which closes all connections at once.
- * Resolves once listening; rejects when the address can't be listened on.
+ * Starts a server, which runs until the signal is aborted; this closes all
+ * connections immediately. Resolves when the server listens, and rejects when
+ * it cannot listen on the address.
  */
 export function serve(options: ServerOptions, signal: AbortSignal): Promise<net.Server> {
   const table = new ConnectionTable(options);
   const { handler, onError } = options;
-  // Who has sent a request and ends its side still gets the reply.
+  // With allowHalfOpen, a client that ends its side after a request still receives the reply.
   const server = net.createServer({ noDelay: true, allowHalfOpen: true }, (socket) => {
     if (table.admit(socket)) void new ServerConnection(socket, { table, handler, onError }).run();
     else socket.destroy();
@@ -38,7 +39,7 @@
     () => table.closeExpired(),
     Math.min(options.requestMs, options.idleMs) / CHECKS_PER_TIMEOUT,
   );
-  // One listener for the server, not one for each connection: hundreds of them on one signal look like a leak.
+  // A single listener for all connections: one for each would look like a listener leak on the signal.
   const stop = () => {
     clearInterval(timer);
     server.close();
--- a/src/http/socket-reader.ts
+++ b/src/http/socket-reader.ts
@@ -1,19 +1,20 @@
-/** Reading of a socket with backpressure. */
+/** Reads a socket with backpressure. */
 import type net from 'node:net';
 
 /**
- * What arrives on a socket, a piece at a time. The stream's own iterator does
- * the same and cost more than all the rest of a heartbeat's handling.
+ * Reads the data of a socket chunk by chunk. It replaces the stream's own async
+ * iterator, which costs more CPU time than the rest of the handling of a
+ * heartbeat.
  */
 export class SocketReader {
   private readonly chunks: Buffer[] = [];
-  /** Waits in `next`. */
+  /** Resolves the pending call of `next`; null when there is none. */
   private pendingRead: ((piece: Buffer | null) => void) | null = null;
   private ended = false;
 
   private constructor(private readonly socket: net.Socket) {}
 
-  /** Begins to read the socket. Its errors stay with the caller. */
+  /** Starts reading the socket. Socket errors are left to the caller. */
   static attach(socket: net.Socket): SocketReader {
     const reader = new SocketReader(socket);
     socket.on('data', (piece) => reader.receive(piece));
@@ -22,7 +23,7 @@
     return reader;
   }
 
-  /** The next piece, once it is there; null once nothing more comes. One call at a time. */
+  /** Resolves to the next chunk, or to null after the end of the data. Only one call may be pending. */
   next(): Promise<Buffer | null> {
     const chunk = this.chunks.shift();
     if (chunk) return Promise.resolve(chunk);
@@ -38,7 +39,7 @@
       this.completeRead(chunk);
       return;
     }
-    // Nobody reads before the reply has left, so no more is taken from the network either.
+    // No call of `next` is pending while a request is handled; the pause stops reading from the network.
     this.chunks.push(chunk);
     this.socket.pause();
   }
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,20 +1,20 @@
-/** Frames between controllers: a four-byte length, big-endian, then one CBOR value. */
+/** Frames between controllers: a four-byte big-endian length followed by one CBOR value. */
 import { decode, encode } from 'cbor-x/encode';
 
-/** A heartbeat with all of a machine's tasks fits well; anything larger is a fault. */
+/** Maximum length of a value. A heartbeat with all tasks of a machine is far shorter, so more indicates a fault. */
 const MAX_FRAME_BYTES = 1024 * 1024;
 
-/** Bytes of the length before each value. */
+/** Size of the length that precedes each value. */
 const LENGTH_PREFIX_BYTES = 4;
 
-/** A frame announces more bytes than any peer sends: the stream is not one of frames, or out of step. */
+/** A frame announces more bytes than a peer may send: the stream has no frames, or is out of sync. */
 export class FrameTooLargeError extends Error {
   constructor(readonly bytes: number) {
     super(`frame too large: ${bytes} bytes`);
   }
 }
 
-/** The bytes of one frame with this value. */
+/** Encodes a value as one frame. */
 export function packFrame(value: unknown): Buffer {
   const body = encode(value);
   const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + body.length);
@@ -23,17 +23,18 @@
   return frame;
 }
 
-/** Collects the bytes of one connection into values. */
+/** Decodes the frames that arrive on one connection. */
 export class FrameReader {
-  /** The beginning of a frame whose rest has not arrived. */
+  /** The received part of an incomplete frame. */
   private pending: Buffer = Buffer.alloc(0);
 
   /**
-   * Takes bytes as they arrive and returns the values of all frames that are
-   * complete with them.
+   * Appends received bytes and returns the values of the frames that they
+   * complete.
    *
    * @throws FrameTooLargeError, or the decoder's error when a frame is not
-   * CBOR. The connection is of no use after that.
+   * CBOR. The reader cannot continue after an error; the connection must be
+   * closed.
    */
   push(data: Buffer): unknown[] {
     const values: unknown[] = [];
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -1,12 +1,15 @@
-/** An established connection to a peer, with the requests that wait for a response on it. */
+/** A connection to a peer and the requests on it that wait for a response. */
 import type net from 'node:net';
 import { encodeFrame, type PeerFrame } from '../records/peer-frames.js';
 import { packFrame } from './frames.js';
 
-/** A peer that stops reading must not make this node buffer its frames without bound. */
+/** Limit on the frames buffered for a peer that stops reading; beyond it, the connection is closed. */
 const MAX_UNSENT_BYTES = 1024 * 1024;
 
-/** A request got no response: the peer is not connected, the connection broke or the time is over. */
+/**
+ * A request received no response. Without a connection it was not sent; after a
+ * close or a time-out the peer may have handled it.
+ */
 export class PeerUnavailableError extends Error {
   constructor(
     readonly node: string,
@@ -16,25 +19,25 @@
   }
 }
 
-/** The bytes of a frame, as they are sent. */
+/** Encodes a frame for sending. */
 export function frameBytes(frame: PeerFrame): Buffer {
   return packFrame(encodeFrame(frame));
 }
 
-/** Sends a frame, or closes the connection if the peer does not take what was sent before. */
+/** Sends an encoded frame, or closes the connection when the peer has not read earlier frames. */
 export function sendBytes(socket: net.Socket, bytes: Buffer): void {
   if (socket.writableLength > MAX_UNSENT_BYTES) socket.destroy();
   else socket.write(bytes);
 }
 
 /**
- * The connection that this node opened to a peer. Requests leave on it and
- * their responses arrive on it; the peer's own requests come on another one.
- * Invariant: a request waits no longer than its time-out or the connection's
- * end, whichever is first.
+ * The connection that this node opened to a peer. It carries this node's
+ * requests and their responses; the peer sends its own requests on another
+ * connection. Invariant: a request is pending at most until its time-out or the
+ * close of the connection, whichever comes first.
  */
 export class PeerLink {
-  /** By the request's number. */
+  /** Callbacks that resolve the pending requests, by request number. */
   private readonly pendingRequests = new Map<number, (payload: unknown) => void>();
 
   constructor(
@@ -42,15 +45,17 @@
     private readonly socket: net.Socket,
   ) {}
 
-  /** Sends bytes that need no response. */
+  /** Sends an encoded frame without waiting for a response. */
   send(bytes: Buffer): void {
     sendBytes(this.socket, bytes);
   }
 
   /**
-   * Sends a request; `number` is unique on this connection.
+   * Sends a request and resolves to the payload of its response. The request
+   * number must be unique on this connection.
    *
-   * @throws PeerUnavailableError without a response in time.
+   * @throws PeerUnavailableError when the connection closes or no response
+   * arrives within `timeoutMs`.
    */
   request(requestNumber: number, operation: string, payload: unknown, timeoutMs: number) {
     return new Promise<unknown>((resolve, reject) => {
@@ -76,7 +81,7 @@
     });
   }
 
-  /** Takes what the peer sent on this connection; a response that nobody waits for any more is dropped. */
+  /** Handles a frame from the peer. A response whose request is no longer pending is dropped. */
   receive(frame: PeerFrame | null): void {
     if (frame?.kind === 'answer') this.pendingRequests.get(frame.n)?.(frame.payload);
   }
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -6,52 +6,59 @@
 import { FrameReader } from './frames.js';
 import { frameBytes, PeerLink, PeerUnavailableError, sendBytes } from './peer-link.js';
 
-/** Connections accepted for each peer, and beyond: a new one gets in before an old one is seen to be dead. */
+/**
+ * Limit on incoming connections: a number for each peer and a number of spare
+ * ones. A peer may reconnect before its old connection is detected as dead.
+ */
 const CONNECTIONS_PER_PEER = 4;
 const SPARE_CONNECTIONS = 4;
 
-/** How long connecting may take, in pauses between attempts. */
+/** Connect time-out, in multiples of `reconnectDelayMs`. */
 const CONNECT_TIMEOUT_DELAYS = 2;
 
-/** A connection on which nothing arrives for this many such pauses is closed: statuses come far more often. */
+/** Idle time-out of an incoming connection, in multiples of `reconnectDelayMs`; peers send their status far more often. */
 const IDLE_TIMEOUT_DELAYS = 30;
 
-/** A peer that is connected to. */
+/** Name and address of a peer. */
 export interface PeerAddress {
   node: string;
   address: Address;
 }
 
-/** What a network needs, and whom it calls. */
+/** Dependencies and callbacks of a `PeerNetwork`. */
 export interface PeerNetworkOptions {
-  /** The address to listen on. */
+  /** Host to listen on for connections of the peers. */
   host: string;
   port: number;
   peers: PeerAddress[];
   clock: Clock;
-  /** The pause between attempts to connect. */
+  /** Delay between attempts to connect to a peer. */
   retryMs: number;
-  /** A peer sent its status. The fields have not been checked. */
+  /** Called with each status that a peer sends. Its fields have not been validated. */
   onStatus: (status: PeerStatus) => void;
-  /** A peer sent a request; resolves to the payload of the response. Without one the peer's request times out. */
+  /**
+   * Handles a request of a peer and resolves to the payload of the response.
+   * When it rejects, no response is sent and the peer's request times out.
+   */
   onRequest: (operation: string, payload: unknown) => Promise<unknown>;
-  /** A connection or a request failed. Never fatal. */
+  /** Called with errors of the listening socket, of received frames and of `onRequest`; none is fatal. */
   onError: (error: unknown) => void;
 }
 
 /**
- * Each node connects to every other one and sends its own requests and status
- * there; responses come back on the same connection. So between two nodes
- * there are two connections, and a partition may break one of them alone.
+ * Connects this node to all of its peers. Each node opens a connection to every
+ * other node and sends its requests and status on it; responses arrive on the
+ * same connection. Two nodes therefore have two connections between them, and a
+ * partition may break only one of these.
  */
 export class PeerNetwork {
-  /** Connections that this node opened and that are established, by peer. */
+  /** Established connections that this node opened, by the name of the peer. */
   private readonly links = new Map<string, PeerLink>();
   private lastRequestNumber = 0;
 
   constructor(private readonly options: PeerNetworkOptions) {}
 
-  /** Listens, and keeps connecting to each peer, until the signal is aborted. */
+  /** Listens for peers and keeps connected to each of them until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { host, port, peers, onError } = this.options;
     const server = net.createServer({ noDelay: true }, (socket) => this.accept(socket, signal));
@@ -62,12 +69,12 @@
     await Promise.all(peers.map((peer) => this.keepConnected(peer, signal)));
   }
 
-  /** Whether this node's own connection to the peer is established. */
+  /** Reports whether the connection that this node opens to the peer is established. */
   isConnected(node: string): boolean {
     return this.links.has(node);
   }
 
-  /** Sends the status to every peer that is connected. */
+  /** Sends the status to every connected peer. */
   broadcast(status: PeerStatus): void {
     const bytes = frameBytes({ kind: 'status', status });
     for (const link of this.links.values()) link.send(bytes);
@@ -77,7 +84,7 @@
    * Sends a request and resolves to the payload of its response.
    *
    * @throws PeerUnavailableError when the peer is not connected, the
-   * connection breaks or the time is over.
+   * connection closes or no response arrives within `timeoutMs`.
    */
   request(node: string, operation: string, payload: unknown, timeoutMs: number): Promise<unknown> {
     const link = this.links.get(node);
@@ -93,11 +100,11 @@
     }
   }
 
-  /** One outgoing connection; resolves when it has ended, whether it was ever established or not. */
+  /** Opens a connection to a peer. Resolves when it has closed, even if it was never established. */
   private connect({ node, address }: PeerAddress, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const socket = net.connect({ ...address, noDelay: true });
-      // Each request that waits listens for the end of the connection.
+      // Each pending request adds a 'close' listener, so their number has no limit.
       socket.setMaxListeners(0);
       const link = new PeerLink(node, socket);
       const close = () => socket.destroy();
@@ -107,7 +114,7 @@
         clearTimeout(timer);
         this.links.set(node, link);
       });
-      // What a peer sends here that is no frame closes the connection; it is opened anew.
+      // An invalid frame closes the connection; `keepConnected` opens a new one.
       readFrames(socket, (frame) => link.receive(frame), close);
       socket.on('error', close);
       socket.once('close', () => {
@@ -119,7 +126,7 @@
     });
   }
 
-  /** One incoming connection, on which a peer sends its status and requests. */
+  /** Accepts a connection on which a peer sends its status and requests. */
   private accept(socket: net.Socket, signal: AbortSignal): void {
     const close = () => socket.destroy();
     signal.addEventListener('abort', close, { once: true });
@@ -152,15 +159,16 @@
       if (!socket.destroyed)
         sendBytes(socket, frameBytes({ kind: 'answer', n: requestNumber, payload: response }));
     } catch (error) {
-      // No response is sent: the peer's request times out.
+      // No response is sent, so the peer's request times out.
       this.options.onError(error);
     }
   }
 }
 
 /**
- * Calls `onFrame` for each frame that arrives; null stands for one that this
- * version does not know. `onError` gets what reading or handling one throws.
+ * Calls `onFrame` with each frame that arrives, or with null for a frame of a
+ * kind that this version does not know. Calls `onError` with errors of decoding
+ * or handling a frame.
  */
 function readFrames(
   socket: net.Socket,
--- a/src/runtime/assert-never.ts
+++ b/src/runtime/assert-never.ts
@@ -1,6 +1,6 @@
 /** Exhaustiveness checks of `switch` statements over unions. */
 
-/** Ends a `switch` whose cases cover the whole union: a member without a case fails the type check. */
+/** Marks the default of a `switch` over a union: the type check fails when a member has no case. */
 export function assertNever(value: never): never {
   throw new Error(`unexpected value: ${JSON.stringify(value)}`);
 }
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,20 +1,20 @@
 /** Time and waiting, with cancellation by AbortSignal. */
 
-/** Time as the controller's routines see it; tests and the decision trace put a simulated one in its place. */
+/** Source of time for the controller's routines. Tests and the decision trace substitute a simulated clock. */
 export interface Clock {
-  /** Steady time in milliseconds, for intervals and deadlines. Its zero means nothing. */
+  /** Monotonic time in milliseconds from an arbitrary origin, for intervals and deadlines. */
   now(): number;
-  /** Time of day in milliseconds since the epoch, for what is stored or sent. It may jump. */
+  /** Wall-clock time in milliseconds since the Unix epoch, for times that are stored or sent. It may jump. */
   wall(): number;
   /**
-   * Resolves after `ms`, later if the event loop lags.
+   * Resolves after `ms`, or later when the event loop lags.
    *
-   * @throws AbortedError as soon as the signal is aborted, and at once if it already is.
+   * @throws AbortedError when the signal is aborted or already was.
    */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** A wait or call ended because its signal was aborted: the routine is to end, nothing failed. */
+/** A wait or call ended because its signal was aborted. It is not a failure; the calling routine must end. */
 export class AbortedError extends Error {}
 
 /** The clock of the process. */
@@ -38,8 +38,8 @@
 };
 
 /**
- * Waits like `clock.sleep`, but resolves when the signal is aborted: for loops
- * that check the signal after each wait.
+ * Waits like `clock.sleep`, but resolves instead of throwing when the signal is
+ * aborted. It is meant for loops that check the signal after each wait.
  */
 export async function sleepUntilAborted(
   clock: Clock,
@@ -53,24 +53,25 @@
   }
 }
 
-/** How late a timer may be that does not count as lagging, in steps. */
+/** Delay of a timer up to which the event loop does not count as lagging, as a share of `stepMs`. */
 const LAG_TOLERANCE_STEPS = 0.5;
 
-/** How long a timer that measures the lag is set to, in steps. */
+/** Duration of the timer that measures the lag, as a share of `stepMs`. */
 const PROBE_STEPS = 0.1;
 
-/** A wait for the lag to pass, in multiples of the lag that was measured. */
+/** Wait before the lag is measured again, as a multiple of the last measurement. */
 const LAG_WAIT_FACTOR = 2;
 
 /**
- * Waits until the event loop keeps up again, that is until a timer fires less
- * than half of `stepMs` late. After a failover hundreds of agents send their
- * heartbeats at once, and each has to be answered before its lease runs out:
- * while a small processor lags behind with them, work that the controller
- * could as well do later (commands, scaling) would only make agents time out
- * and come back. That work is delayed by `maxMs` at most.
+ * Waits until the event loop no longer lags: until a timer fires less than half
+ * of `stepMs` late, but for about `maxMs` at most.
  *
- * @throws AbortedError once the signal is aborted.
+ * It delays work that is not urgent, such as commands and scaling. After a
+ * failover hundreds of agents send their heartbeats at once, and each must
+ * receive its response before its lease expires. On a small processor other
+ * work would make agents time out and reconnect.
+ *
+ * @throws AbortedError when the signal is aborted.
  */
 export async function waitWhileLagging(
   clock: Clock,
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -1,16 +1,20 @@
-/** Client-side rate limits, shared by requests of different urgency. */
+/** Client-side rate limits, shared by requests of different priorities. */
 
 /**
- * What a request is for; a smaller number goes first when the budget is short.
+ * Priority of a request. Smaller numbers take precedence when the budget is
+ * short.
  *
- * - `lead`: election, lease renewal, failover and the watch of jobs. Before
- *   everything: users who repeat their requests because nobody leads must not
- *   be what keeps anybody from leading.
- * - `users`: submissions and cancellations; calls to the cloud.
- * - `ends`: what makes the ends of jobs and tasks durable or known, and mailbox messages.
- * - `questions`: users' queries. After the ends of jobs, which are what stops
- *   users from asking about them.
- * - `progress`: what may come late, such as the demand forecast and clean-up.
+ * - `leadership`: election, lease renewal, failover and the watch of jobs. It
+ *   has the highest priority, so that users who repeat their requests while
+ *   there is no leader cannot prevent an election.
+ * - `submissions`: users' submissions and cancellations, and requests to the
+ *   cloud.
+ * - `completions`: writes that make the ends of jobs and tasks durable or known,
+ *   and mailbox messages.
+ * - `queries`: users' queries. They rank after completions, since users stop
+ *   asking about a job once its end is known.
+ * - `progress`: work that can be delayed, such as the demand forecast and
+ *   clean-up.
  */
 export const RequestPriority = {
   leadership: 0,
@@ -19,27 +23,27 @@
   queries: 3,
   progress: 4,
 } as const;
-/** One of the priorities. */
+/** One of the values of `RequestPriority`. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
-/** The share of the burst that each step of priority leaves to the higher ones, and the largest such reserve. */
+/** Share of the burst that is reserved for higher priorities: its increase with each priority, and its maximum. */
 const RESERVE_SHARE_PER_PRIORITY = 0.15;
 const MAX_RESERVE_SHARE = 0.5;
 
-/** Added to a wait, so that the tokens are there when it ends in spite of rounding. */
+/** Added to each wait, so that rounding does not end it before the tokens are available. */
 const ROUNDING_MARGIN_MS = 1;
 
 /**
- * A token bucket that also remembers refusals: a 429 empties it. Lower
- * priorities leave a reserve of tokens for higher ones, and `lead` never waits
- * (it may take the bucket into debt). Times are of the steady clock, in
+ * A token bucket that a refusal by the service (429) empties. Lower priorities
+ * leave a reserve of tokens for higher ones. The `leadership` priority never
+ * waits; it may make the number of tokens negative. All times are monotonic, in
  * milliseconds.
  */
 export class RequestBudget {
   private tokens: number;
   private refilledAt: number;
 
-  /** A full bucket of `burst` tokens that refills by `perSecond`. */
+  /** Creates a full bucket of `burst` tokens that refills at `tokensPerS`. */
   constructor(
     private tokensPerS: number,
     private burst: number,
@@ -50,8 +54,8 @@
   }
 
   /**
-   * Spends `count` tokens and returns 0, or spends none and returns the
-   * milliseconds to wait before trying again.
+   * Acquires `count` tokens and returns 0, or acquires none and returns the time
+   * to wait before trying again, in milliseconds.
    */
   take(count: number, priority: RequestPriority, now: number): number {
     this.refill(now);
@@ -59,7 +63,7 @@
       this.burst * MAX_RESERVE_SHARE,
       this.burst * RESERVE_SHARE_PER_PRIORITY * priority,
     );
-    // A transaction larger than the burst could never pass; it runs the bucket into debt instead.
+    // More tokens than the burst would never be available; such a request makes the number of tokens negative.
     const needed = Math.min(count, this.burst - reserve) + reserve;
     if (this.tokens >= needed || priority === RequestPriority.leadership) {
       this.tokens -= count;
@@ -68,7 +72,7 @@
     return ((needed - this.tokens) / this.tokensPerS) * 1000 + ROUNDING_MARGIN_MS;
   }
 
-  /** From now on no more than this rate, nor a larger burst; the reserves shrink with it. Never raises either. */
+  /** Lowers the rate, and the burst with its reserves, to at most `tokensPerS`. Never raises either. */
   lowerRate(tokensPerS: number, now: number): void {
     this.refill(now);
     this.burst = Math.min(this.burst, tokensPerS);
@@ -76,7 +80,7 @@
     this.tokens = Math.min(this.tokens, this.burst);
   }
 
-  /** The service refused a request for its rate: what it counts is used up, whatever was counted here. */
+  /** Empties the bucket after the service refused a request for its rate: its own count is exhausted. */
   recordRefusal(now: number): void {
     this.refill(now);
     this.tokens = Math.min(this.tokens, 0);
