--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -68,8 +68,8 @@
 
   /**
    * Reads the current heartbeat of a machine from its agent. As the response to
-   * a request on a new connection, it cannot be a delayed copy of an earlier
-   * heartbeat. Rejects like `command`.
+   * this request, it cannot be a delayed copy of an earlier heartbeat. Rejects
+   * like `command`.
    */
   static async fetchHeartbeat(address: string, timeoutMs: number): Promise<Heartbeat> {
     const client = createClient(address);
@@ -112,7 +112,7 @@
   /**
    * Closes the least recently used client that is idle. A client with a request
    * in progress is kept, so that the outcome of its commands does not become
-   * unknown.
+   * unknown. Throws `NotAttemptedError` when no client is idle.
    */
   private evictLeastRecentlyUsed(): void {
     for (const [address, client] of this.clients) {
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -25,7 +25,7 @@
 /** Maximum length of the part of an unexpected response body that is quoted in an error message. */
 const MAX_ERROR_BODY_CHARS = 200;
 
-/** Lower than provisioning and termination, which the many pages of a large fleet must not delay. */
+/** Priority of the machine list: the many pages of a large fleet must not delay provisioning and termination. */
 const LIST_PRIORITY = RequestPriority.completions;
 
 /** Address of the cloud API, and the share of its rate limit that this client may use. */
--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -3,7 +3,7 @@
 import type { RequestPriority } from '../runtime/request-budget.js';
 import type { KeyValueStore } from './key-value-store.js';
 
-/** Up to this many keys are read by one concurrent request each; more are read in pages. */
+/** Up to this many keys are read concurrently with one request for each key; more are read in pages. */
 export const SINGLE_READS = 8;
 
 /** Returns all entries under the prefix, in key order. Changes made during the read may or may not be included. */
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -62,8 +62,8 @@
 const WATCH_CONNECTIONS = 4;
 /** Delay before a refused request may be repeated; the service does not announce one. */
 const REFUSED_RETRY_MS = 1000;
-/** Statuses of usable responses; the meaning of 404 and 409 depends on the request. */
-const USABLE_STATUSES = [200, 400, 404, 409];
+/** Statuses with a known outcome; the meaning of 404 and 409 depends on the request. */
+const EXPECTED_STATUSES = [200, 400, 404, 409];
 
 /**
  * The state service over HTTP. A request that is refused with 429 or 503, or for
@@ -79,7 +79,7 @@
   private readonly changeBudget: RequestBudget;
   /** Number of requests that wait for the budget. */
   private queuedRequests = 0;
-  /** Time of the first failure since the last usable response, by the clock's `now`; null after a usable response. */
+  /** Time of the first request that failed since one last succeeded, by the clock's `now`; null after a success. */
   failingSince: number | null = null;
   /** Like `failingSince`, but a refusal by the service also resets it to null. */
   unansweredSince: number | null = null;
@@ -165,7 +165,7 @@
     await this.call({ method: 'DELETE', target, priority: RequestPriority.leadership, signal });
   }
 
-  /** See `KeyValueStore`. A watch updates neither `failingSince` and `unansweredSince` nor `lastAttemptAt`. */
+  /** See `KeyValueStore`. A watch does not update `failingSince`, `unansweredSince` or `lastAttemptAt`. */
   async watch(
     prefix: string,
     after: number,
@@ -183,7 +183,8 @@
       if (response.status === 410) return null;
       return parseEvents(this.checkStatus(response, 0).body);
     } catch (error) {
-      // A batch has no length limit, and a repeated request would get the same response; lists are paged.
+      // The length of a batch is not limited, and a repeated watch would return the same batch. On null,
+      // the caller reads the keys in pages.
       if (error instanceof ResponseTooLargeError) return null;
       throw error;
     }
@@ -226,8 +227,9 @@
 
   /**
    * Waits for the budget, for at most `timeoutMs`. Rejects with
-   * `RequestRefusedError` when the wait would take longer or too many requests
-   * are waiting, and with `AbortedError` when the signal is aborted.
+   * `RequestRefusedError` when the wait would take longer or more than
+   * `requestsPerS` requests are waiting, and with `AbortedError` when the signal
+   * is aborted.
    */
   private async awaitBudget(
     priority: RequestPriority,
@@ -252,12 +254,12 @@
     }
   }
 
-  /** Returns a response with a usable status; throws the error for any other status. */
+  /** Returns a response whose status is 200, 404 or 409; throws the error for any other status. */
   private checkStatus(response: HttpResponse, changes: number): HttpResponse {
     const { status, body } = response;
     if (status === 429) this.recordRateLimit(changes);
     if (status === 429 || status === 503) throw new RequestRefusedError(REFUSED_RETRY_MS);
-    if (!USABLE_STATUSES.includes(status))
+    if (!EXPECTED_STATUSES.includes(status))
       throw new NoResponseError(`state service responded with unexpected status ${status}`);
     if (status === 400)
       throw new RequestRejectedError(
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -14,9 +14,12 @@
   target: string;
   /** Sent as JSON. When undefined, the request has no body. */
   body?: unknown;
-  /** Covers the whole request: waiting for a connection, connecting, and receiving the response. */
+  /** Time-out of the whole request: waiting for a connection, connecting, and receiving the response. */
   timeoutMs: number;
-  /** Aborts connecting and the exchange, but not the wait for a free connection. */
+  /**
+   * Aborts connecting (`NotSentError`) and the exchange (`NoResponseError`), but
+   * not the wait for a free connection.
+   */
   signal?: AbortSignal | undefined;
   /**
    * Called immediately before the request is sent; when it returns false, the
@@ -60,20 +63,14 @@
       const bytesReadBefore = socket.bytesRead;
       const timeoutMs = Math.max(1, deadline - Date.now());
       try {
-        return await Exchange.run({
-          pool,
-          connection,
-          requestText: requestText,
-          timeoutMs,
-          signal,
-        });
+        return await Exchange.run({ pool, connection, requestText, timeoutMs, signal });
       } catch (error) {
-        // The server may have closed a reused connection before the request arrived. Only a GET is then
-        // retried: the server may have carried out the request, and a GET changes nothing.
+        // The server may close a reused connection before the request arrives. Without any response bytes,
+        // a GET is retried, since it changes nothing; another request may have been carried out.
         const wasReused = bytesReadBefore > 0;
-        const isStale =
+        const mayRetry =
           wasReused && socket.bytesRead === bytesReadBefore && options.method === 'GET';
-        if (!isStale || signal?.aborted || Date.now() >= deadline) throw error;
+        if (!mayRetry || signal?.aborted || Date.now() >= deadline) throw error;
       }
     }
   }
@@ -84,8 +81,8 @@
   }
 
   /**
-   * Closes idle connections and rejects requests that wait for a connection
-   * with `NotAttemptedError`. Requests in progress continue.
+   * Closes idle connections and rejects waiting requests with
+   * `NotAttemptedError`. Requests in progress continue.
    */
   close(): void {
     this.pool.close();
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -15,7 +15,7 @@
   maxConnections: number;
   /** Time-out for receiving a request, and for sending the last reply of a connection. */
   requestMs: number;
-  /** Time-out of a connection that receives no request. */
+  /** Time-out of an idle connection. */
   idleMs: number;
   /**
    * Minimum idle time after which a connection may be closed to admit a new
--- a/src/http/errors.ts
+++ b/src/http/errors.ts
@@ -1,12 +1,12 @@
 /**
  * Errors of HTTP parsing and of client requests. The class of a request error
  * states what is known about the request. A caller that repeats a change or
- * deletes a record decides by the class, never by the message.
+ * deletes a record must decide by the class, never by the message.
  *
- *     NoResponseError          outcome unknown: the server may have carried it out, or may still do so
+ *     NoResponseError          outcome unknown: the server may have carried out the request, or may still do so
  *       ResponseTooLargeError  received by the server, which may have carried it out
  *       NotSentError           not carried out: no connection could be established
- *         NotAttemptedError    not carried out: rejected locally, the server's state is unknown
+ *         NotAttemptedError    not carried out: rejected locally, which says nothing about the server
  */
 
 /**
--- a/src/http/open-connection.ts
+++ b/src/http/open-connection.ts
@@ -29,7 +29,7 @@
 }
 
 const MAX_LINE_BYTES = 8 * 1024;
-const MAX_HEADERS = 64;
+const MAX_HEADER_LINES = 64;
 
 /**
  * Opens a connection. Rejects with `NotSentError` when connecting fails, times
@@ -66,7 +66,7 @@
 function createParser(maxBodyBytes: number): Parser {
   return new Parser('response', {
     maxLineBytes: MAX_LINE_BYTES,
-    maxHeaderLines: MAX_HEADERS,
+    maxHeaderLines: MAX_HEADER_LINES,
     maxBodyBytes,
   });
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -15,7 +15,7 @@
 
 /** Limits on the memory that one message can occupy. */
 export interface ParserLimits {
-  /** Maximum length of a start line, header line or other line. */
+  /** Maximum length of any line, such as a start line or header line. */
   maxLineBytes: number;
   /** Maximum number of header lines, and separately of trailer lines. */
   maxHeaderLines: number;
@@ -65,7 +65,10 @@
     return this.stage !== 'startLine' || this.partialLine.length > 0;
   }
 
-  /** Parses further input and returns the messages that it completes. Throws `HttpParseError`. */
+  /**
+   * Parses further input and returns the messages that it completes. Throws
+   * `HttpParseError`, after which the parser cannot continue.
+   */
   push(data: Buffer): Message[] {
     const completed: Message[] = [];
     let rest = this.partialLine.length > 0 ? Buffer.concat([this.partialLine, data]) : data;
--- a/src/http/reply.ts
+++ b/src/http/reply.ts
@@ -25,7 +25,7 @@
   505: 'HTTP Version Not Supported',
 };
 
-/** Encodes a reply as an HTTP/1.1 response. Without `keepAlive`, it announces the close of the connection. */
+/** Encodes a reply as an HTTP/1.1 response. When `keepAlive` is false, it has the header `Connection: close`. */
 export function encodeReply(reply: Reply, keepAlive: boolean): string {
   const body = JSON.stringify(reply.body ?? {});
   let head = `HTTP/1.1 ${reply.status} ${REASON_PHRASES[reply.status] ?? 'Status'}\r\nContent-Type: application/json\r\nContent-Length: ${Buffer.byteLength(body)}\r\n`;
--- a/src/http/server-connection.ts
+++ b/src/http/server-connection.ts
@@ -18,7 +18,7 @@
   onError: (error: unknown) => void;
 }
 
-/** Maximum length of the replies buffered for a client that does not read them. */
+/** Limit on the replies buffered for a client that does not read them; beyond it, the connection is closed. */
 const MAX_UNSENT_BYTES = REQUEST_LIMITS.maxBodyBytes * 2;
 
 /** Serves the requests of one connection in order, one at a time. */
@@ -65,7 +65,7 @@
     table.markTransferring(socket);
   }
 
-  /** Sends a reply; returns false when it is the last one of the connection. */
+  /** Sends a reply; returns false when no further request of the connection is to be served. */
   private send(reply: Reply, keepAlive: boolean): boolean {
     const { socket } = this;
     const { table } = this.options;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -23,9 +23,9 @@
 const CHECKS_PER_TIMEOUT = 4;
 
 /**
- * Starts a server, which runs until the signal is aborted; this closes all
- * connections immediately. Resolves when the server listens, and rejects when
- * it cannot listen on the address.
+ * Starts a server that runs until the signal is aborted. The abort closes all
+ * connections immediately, including those with a request in progress. Resolves
+ * when the server is listening; rejects when it cannot listen on the address.
  */
 export function serve(options: ServerOptions, signal: AbortSignal): Promise<net.Server> {
   const table = new ConnectionTable(options);
--- a/src/http/socket-reader.ts
+++ b/src/http/socket-reader.ts
@@ -9,7 +9,7 @@
 export class SocketReader {
   private readonly chunks: Buffer[] = [];
   /** Resolves the pending call of `next`; null when there is none. */
-  private pendingRead: ((piece: Buffer | null) => void) | null = null;
+  private pendingRead: ((chunk: Buffer | null) => void) | null = null;
   private ended = false;
 
   private constructor(private readonly socket: net.Socket) {}
@@ -17,7 +17,7 @@
   /** Starts reading the socket. Socket errors are left to the caller. */
   static attach(socket: net.Socket): SocketReader {
     const reader = new SocketReader(socket);
-    socket.on('data', (piece) => reader.receive(piece));
+    socket.on('data', (chunk) => reader.receive(chunk));
     socket.once('end', () => reader.end());
     socket.once('close', () => reader.end());
     return reader;
@@ -39,7 +39,7 @@
       this.completeRead(chunk);
       return;
     }
-    // No call of `next` is pending while a request is handled; the pause stops reading from the network.
+    // No call of `next` is pending until the reply is written. Pausing the socket stops reading from the network.
     this.chunks.push(chunk);
     this.socket.pause();
   }
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,13 +1,16 @@
 /** Frames between controllers: a four-byte big-endian length followed by one CBOR value. */
 import { decode, encode } from 'cbor-x/encode';
 
-/** Maximum length of a value. A heartbeat with all tasks of a machine is far shorter, so more indicates a fault. */
+/** Maximum length of a value. A heartbeat with all tasks of a machine is far shorter; a longer value indicates a fault. */
 const MAX_FRAME_BYTES = 1024 * 1024;
 
 /** Size of the length that precedes each value. */
 const LENGTH_PREFIX_BYTES = 4;
 
-/** A frame announces more bytes than a peer may send: the stream has no frames, or is out of sync. */
+/**
+ * The length of a frame exceeds the maximum: the stream does not consist of
+ * frames, or the reader is out of sync.
+ */
 export class FrameTooLargeError extends Error {
   constructor(readonly bytes: number) {
     super(`frame too large: ${bytes} bytes`);
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -7,8 +7,8 @@
 const MAX_UNSENT_BYTES = 1024 * 1024;
 
 /**
- * A request received no response. Without a connection it was not sent; after a
- * close or a time-out the peer may have handled it.
+ * A request received no response. If the peer is not connected, the request was
+ * not sent; otherwise the peer may have handled it.
  */
 export class PeerUnavailableError extends Error {
   constructor(
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -7,8 +7,8 @@
 import { frameBytes, PeerLink, PeerUnavailableError, sendBytes } from './peer-link.js';
 
 /**
- * Limit on incoming connections: a number for each peer and a number of spare
- * ones. A peer may reconnect before its old connection is detected as dead.
+ * Incoming connections are limited to this many for each peer plus the spare
+ * ones, since a peer may reconnect before its old connection is detected as dead.
  */
 const CONNECTIONS_PER_PEER = 4;
 const SPARE_CONNECTIONS = 4;
@@ -16,7 +16,7 @@
 /** Connect time-out, in multiples of `reconnectDelayMs`. */
 const CONNECT_TIMEOUT_DELAYS = 2;
 
-/** Idle time-out of an incoming connection, in multiples of `reconnectDelayMs`; peers send their status far more often. */
+/** Idle time-out of incoming connections, in multiples of `reconnectDelayMs`. Peers send their status far more often. */
 const IDLE_TIMEOUT_DELAYS = 30;
 
 /** Name and address of a peer. */
@@ -27,7 +27,7 @@
 
 /** Dependencies and callbacks of a `PeerNetwork`. */
 export interface PeerNetworkOptions {
-  /** Host to listen on for connections of the peers. */
+  /** Host and port on which to listen for peers. */
   host: string;
   port: number;
   peers: PeerAddress[];
@@ -58,7 +58,7 @@
 
   constructor(private readonly options: PeerNetworkOptions) {}
 
-  /** Listens for peers and keeps connected to each of them until the signal is aborted. */
+  /** Listens for peers, and connects and reconnects to each of them, until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { host, port, peers, onError } = this.options;
     const server = net.createServer({ noDelay: true }, (socket) => this.accept(socket, signal));
@@ -104,7 +104,7 @@
   private connect({ node, address }: PeerAddress, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const socket = net.connect({ ...address, noDelay: true });
-      // Each pending request adds a 'close' listener, so their number has no limit.
+      // Each pending request adds a 'close' listener; 0 removes the limit on listeners.
       socket.setMaxListeners(0);
       const link = new PeerLink(node, socket);
       const close = () => socket.destroy();
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -9,7 +9,7 @@
  *   there is no leader cannot prevent an election.
  * - `submissions`: users' submissions and cancellations, and requests to the
  *   cloud.
- * - `completions`: writes that make the ends of jobs and tasks durable or known,
+ * - `completions`: requests that make the ends of jobs and tasks durable or known,
  *   and mailbox messages.
  * - `queries`: users' queries. They rank after completions, since users stop
  *   asking about a job once its end is known.
@@ -36,8 +36,7 @@
 /**
  * A token bucket that a refusal by the service (429) empties. Lower priorities
  * leave a reserve of tokens for higher ones. The `leadership` priority never
- * waits; it may make the number of tokens negative. All times are monotonic, in
- * milliseconds.
+ * waits and may overdraw the bucket. All times are monotonic, in milliseconds.
  */
 export class RequestBudget {
   private tokens: number;
@@ -63,7 +62,7 @@
       this.burst * MAX_RESERVE_SHARE,
       this.burst * RESERVE_SHARE_PER_PRIORITY * priority,
     );
-    // More tokens than the burst would never be available; such a request makes the number of tokens negative.
+    // More tokens than the burst are never available; such a request overdraws the bucket instead.
     const needed = Math.min(count, this.burst - reserve) + reserve;
     if (this.tokens >= needed || priority === RequestPriority.leadership) {
       this.tokens -= count;
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -8,8 +8,8 @@
 import type { Handler } from '../src/http/server.js';
 import { serving } from './support/http.js';
 
-// First, since the mocked timers would leave those of other tests' sockets running.
-test('a connection that stands after its waiter has given up is not lost to the pool', async () => {
+// This test runs first: mocked timers would leave the timers of other tests' sockets running.
+test('a connection that is established after its waiting request has timed out serves the next request', async () => {
   let first: net.Socket | null = null;
   const server = net.createServer((socket) => {
     if (first)
@@ -25,13 +25,13 @@
   );
   mock.timers.enable({ apis: ['setTimeout', 'Date'] });
   try {
-    const broken = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 });
-    const impatient = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 500 });
+    const interrupted = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 });
+    const waiting = client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 500 });
     server.once('connection', (socket) => socket.once('data', () => socket.destroy()));
-    await assert.rejects(broken);
-    // The next connection is on its way when the request that it was meant for gives up.
+    await assert.rejects(interrupted);
+    // The waiting request times out while the client opens a new connection for it.
     mock.timers.tick(500);
-    await assert.rejects(impatient, NotSentError);
+    await assert.rejects(waiting, NotSentError);
     assert.equal(
       (await client.request({ method: 'POST', target: '/', body: {}, timeoutMs: 5000 })).status,
       200,
@@ -43,12 +43,12 @@
   }
 });
 
-test('client and server keep one connection for several requests', async () => {
-  const ports = new Set<string>();
+test('client and server exchange several requests over one connection', async () => {
+  const hosts = new Set<string>();
   await serving(
-    (r) => {
-      ports.add(r.headers.get('host') ?? '');
-      return { status: 200, body: { got: r.body.toString() } };
+    (request) => {
+      hosts.add(request.headers.get('host') ?? '');
+      return { status: 200, body: { got: request.body.toString() } };
     },
     async (port) => {
       const client = new HttpClient(
@@ -65,12 +65,12 @@
         assert.deepEqual(response, { status: 200, body: { got: `{"n":${n}}` } });
       }
       client.close();
-      assert.equal(ports.size, 1);
+      assert.equal(hosts.size, 1);
     },
   );
 });
 
-test('a refused connection is known not to have carried the request', async () => {
+test('a request is rejected with NotSentError when the connection is refused', async () => {
   const server = net.createServer().listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
@@ -85,12 +85,12 @@
   );
 });
 
-test('what waited until its sender was no longer entitled does not leave', async () => {
+test('a request that is no longer valid when a connection becomes free is not sent', async () => {
   let served = 0;
-  let entitled = true;
+  let isValid = true;
   const handler: Handler = () => {
     served++;
-    entitled = false;
+    isValid = false;
     return { status: 200, body: {} };
   };
   await serving(handler, async (port) => {
@@ -98,7 +98,7 @@
       { host: '127.0.0.1', port },
       { connections: 1, maxBodyBytes: 1000 },
     );
-    const isStillValid = () => entitled;
+    const isStillValid = () => isValid;
     const first = client.request({
       method: 'POST',
       target: '/',
@@ -106,7 +106,7 @@
       timeoutMs: 5000,
       isStillValid,
     });
-    // Waits for the only connection while the process stands still and its proof runs out.
+    // Waits for the only connection; meanwhile the handler of the first request makes it invalid.
     const second = client.request({
       method: 'POST',
       target: '/',
@@ -117,7 +117,7 @@
     assert.equal((await first).status, 200);
     await assert.rejects(second, NotSentError);
     assert.equal(served, 1);
-    entitled = true;
+    isValid = true;
     assert.equal(
       (
         await client.request({
@@ -134,15 +134,15 @@
   });
 });
 
-test('an answer that is cut off or is not JSON is no answer', async () => {
+test('a request is rejected when the response is truncated, not JSON or not HTTP', async () => {
   const replies = [
     'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{"half":',
     'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{x}',
     'SMTP 200\r\n\r\n',
   ];
-  const server = net.createServer((s) => {
-    s.on('error', () => {});
-    s.once('data', () => s.end(replies.shift() ?? ''));
+  const server = net.createServer((socket) => {
+    socket.on('error', () => {});
+    socket.once('data', () => socket.end(replies.shift() ?? ''));
   });
   server.listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
@@ -160,16 +160,16 @@
   server.close();
 });
 
-test('a request on a kept connection that the server has closed is sent again only when it changes nothing', async () => {
-  /** How many requests a connection answers before it is closed at the next. */
-  const answered = 1;
+test('a request on a reused connection that the server closes is retried only when it is a GET', async () => {
+  /** The server closes a connection at the first request after this many. */
+  const requestsPerConnection = 1;
   let connections = 0;
   const server = net.createServer((socket) => {
     connections++;
     let requests = 0;
     socket.on('error', () => {});
     socket.on('data', () => {
-      if (requests++ >= answered) socket.destroy();
+      if (requests++ >= requestsPerConnection) socket.destroy();
       else socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}');
     });
   });
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -7,7 +7,7 @@
 import { settle } from './support/clock.js';
 import { sendRaw, serving } from './support/http.js';
 
-test('a connection is given up when nothing comes for too long or a request takes too long to arrive', async () => {
+test('a connection is closed when it stays idle or its request arrives too slowly', async () => {
   mock.timers.enable({ apis: ['setInterval', 'Date'] });
   const stop = new AbortController();
   try {
@@ -29,7 +29,7 @@
     const connect = async (name: string, text: string) => {
       const socket = net.connect(port, '127.0.0.1');
       socket.on('data', () => {});
-      const over = new Promise<void>((resolve) => {
+      const closeEvent = new Promise<void>((resolve) => {
         socket.on('close', () => {
           closed.push(name);
           resolve();
@@ -37,9 +37,9 @@
       });
       await new Promise((resolve) => socket.once('connect', resolve));
       if (text) await new Promise<void>((resolve) => socket.write(text, () => resolve()));
-      // A reply to somebody else comes only after all this has been read.
+      // The server has read all of this when it replies to a later connection.
       await sendRaw(port, 'GET /x HTTP/1.1\r\nConnection: close\r\n\r\n');
-      return over;
+      return closeEvent;
     };
     const slow = connect('slow', 'POST /x HTTP/1.1\r\nContent-Le');
     await settle();
@@ -59,33 +59,33 @@
   }
 });
 
-test('who ends its side after a request still gets the reply', async () => {
-  let answer: () => void = () => {};
-  const asked = new Promise<void>((resolve) => {
-    answer = resolve;
+test('a client that ends its side of the connection after a request still receives the reply', async () => {
+  let allowReply: () => void = () => {};
+  const replyAllowed = new Promise<void>((resolve) => {
+    allowReply = resolve;
   });
   await serving(
     async () => {
-      await asked;
+      await replyAllowed;
       return { status: 200, body: { late: true } };
     },
     async (port) => {
-      let got = '';
+      let received = '';
       const socket = net.connect({ port, host: '127.0.0.1', allowHalfOpen: true });
-      socket.on('data', (d) => {
-        got += d;
+      socket.on('data', (chunk) => {
+        received += chunk;
       });
       socket.end('GET /x HTTP/1.1\r\n\r\n');
       await new Promise((resolve) => socket.once('finish', resolve));
       for (let i = 0; i < 5; i++) await settle();
-      answer();
+      allowReply();
       await new Promise((resolve) => socket.once('close', resolve));
-      assert.match(got, /"late":true/);
+      assert.match(received, /"late":true/);
     },
   );
 });
 
-test('a handler that throws gives 500, a malformed request 400, and the server goes on', async () => {
+test('a handler error is answered with 500 and a malformed request with 400, and the server keeps serving', async () => {
   await serving(
     () => {
       throw new Error('boom');
@@ -107,18 +107,18 @@
   );
 });
 
-test('a full server gives up the connection that was idle for longest, never one that is served', async () => {
-  let held: (() => void) | null = null;
+test('a full server closes the connection idle longest, never one with a request in progress', async () => {
+  let finishSlowRequest: (() => void) | null = null;
   const handler: Handler = (request) =>
     request.target === '/slow'
       ? new Promise((resolve) => {
-          held = () => resolve({ status: 200, body: {} });
+          finishSlowRequest = () => resolve({ status: 200, body: {} });
         })
       : { status: 200, body: {} };
   await serving(
     handler,
     async (port) => {
-      const ask = (path: string) => {
+      const sendRequest = (path: string) => {
         const socket = net.connect(port, '127.0.0.1', () =>
           socket.write(`GET ${path} HTTP/1.1\r\nHost: x\r\n\r\n`),
         );
@@ -127,22 +127,22 @@
         const closed = new Promise((resolve) => socket.once('close', resolve));
         return { socket, answered, closed };
       };
-      const served = ask('/slow');
-      while (!held) await new Promise(setImmediate);
-      const idle = ask('/');
+      const busy = sendRequest('/slow');
+      while (!finishSlowRequest) await new Promise(setImmediate);
+      const idle = sendRequest('/');
       await idle.answered;
-      const next = ask('/');
+      const next = sendRequest('/');
       await Promise.all([next.answered, idle.closed]);
-      held();
-      assert.match(String(await served.answered), /200 OK/);
-      served.socket.destroy();
+      finishSlowRequest();
+      assert.match(String(await busy.answered), /200 OK/);
+      busy.socket.destroy();
       next.socket.destroy();
     },
     2,
   );
 });
 
-test('the end of a server closes every connection by one listener on the signal, also one that is served', async () => {
+test('stopping a server closes all connections, including a busy one, with one listener on the signal', async () => {
   const stop = new AbortController();
   let served = 0;
   const handler: Handler = (request) => {
@@ -176,13 +176,13 @@
   assert.equal(getEventListeners(stop.signal, 'abort').length, 1);
   stop.abort();
   for (let i = 0; i < 2000 && sockets.some((socket) => !socket.closed); i++) await settle();
-  const left = sockets.filter((socket) => !socket.closed);
-  for (const socket of left) socket.destroy();
-  assert.equal(left.length, 0);
+  const openSockets = sockets.filter((socket) => !socket.closed);
+  for (const socket of openSockets) socket.destroy();
+  assert.equal(openSockets.length, 0);
   assert.equal(server.listening, false);
 });
 
-test('a server keeps no replies for a client that never reads them', async () => {
+test('a server closes the connection of a client that does not read its replies', async () => {
   const large = 'x'.repeat(16 * 1024 * 1024);
   let served = 0;
   let serveAgain: () => void = () => {};
@@ -197,7 +197,7 @@
     const socket = net.connect({ port, host: '127.0.0.1' });
     socket.on('error', () => {});
     const closed = once(socket, 'close');
-    // Two at once: the second one is never served.
+    // Of two requests sent together, the second one must not be served.
     socket.write('GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n');
     while (served === 0) await settle();
     let received = 0;
--- a/test/peer-network.test.ts
+++ b/test/peer-network.test.ts
@@ -7,7 +7,7 @@
 import { PeerNetwork } from '../src/peer/peer-network.js';
 import { systemClock } from '../src/runtime/clock.js';
 
-test('frames survive any split of their bytes, and nonsense is refused', () => {
+test('frames are decoded at every split of their bytes, and other data is rejected', () => {
   const values = [
     { kind: 'status', counts: [['req-1', 2, 3]] },
     { kind: 'ask', n: 1 },
@@ -15,16 +15,16 @@
   const bytes = Buffer.concat(values.map(packFrame));
   for (let at = 0; at <= bytes.length; at++) {
     const reader = new FrameReader();
-    const got = [...reader.push(bytes.subarray(0, at)), ...reader.push(bytes.subarray(at))];
-    assert.deepEqual(got, values);
+    const decoded = [...reader.push(bytes.subarray(0, at)), ...reader.push(bytes.subarray(at))];
+    assert.deepEqual(decoded, values);
   }
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), /too large/);
 });
 
-test('a request ends when its time is over or the connection breaks, whichever is first', async () => {
+test('a request fails on its time-out or when the connection closes, whichever comes first', async () => {
   const stop = new AbortController();
   const accepted: net.Socket[] = [];
-  // It accepts and never answers.
+  // Accepts connections and never responds.
   const listener = net.createServer((socket) => {
     socket.on('error', () => {});
     accepted.push(socket.resume());
@@ -37,10 +37,10 @@
     port: 0,
     peers: [{ node: 'n-1', address }],
     clock: systemClock,
-    // Long enough for connecting on a busy machine.
+    // Long enough to connect on a busy machine.
     retryMs: 5000,
     onStatus: () => {},
-    onRequest: () => Promise.reject(new Error('not asked')),
+    onRequest: () => Promise.reject(new Error('unexpected request')),
     onError: () => {},
   });
   void network.run(stop.signal);
--- a/test/support/clock.ts
+++ b/test/support/clock.ts
@@ -5,13 +5,13 @@
   wake: () => void;
 }
 
-/** Time that moves only when the test says so. */
+/** Clock whose time advances only when a test calls `advance`. */
 export class FakeClock implements Clock {
   private time = 1000;
-  /** The first to wake comes first; among equals, the one that slept first. */
+  /** Pending sleeps in the order of their wake-up times; equal times in the order of the calls. */
   private readonly sleepers: Sleeper[] = [];
 
-  /** `turns` of the event loop are run after each sleeper: more than any chain of immediates is long. */
+  /** `turns` of the event loop run after each wake-up; it must exceed the longest chain of immediates. */
   constructor(private readonly turns = 20) {}
 
   now(): number {
@@ -44,7 +44,7 @@
     });
   }
 
-  /** Moves time on, waking sleepers in their order and letting each run before the next. */
+  /** Advances the time, waking sleepers in order and letting each run before the next one wakes. */
   async advance(ms: number): Promise<void> {
     const end = this.time + ms;
     await settle(this.turns);
@@ -61,7 +61,7 @@
   }
 }
 
-/** Lets all that is ready to run do so. */
+/** Runs pending work for `turns` turns of the event loop. */
 export async function settle(turns = 20): Promise<void> {
   for (let i = 0; i < turns; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -1,9 +1,9 @@
-/** Servers and raw connections on loopback, at ports that the system chooses. */
+/** Servers and raw connections on the loopback address, on ports chosen by the system. */
 import type { AddressInfo } from 'node:net';
 import net from 'node:net';
 import { type Handler, serve } from '../../src/http/server.js';
 
-/** Serves with the handler while `work` runs, then closes the server. */
+/** Runs a server with the handler for the duration of `work`. */
 export async function serving(
   handler: Handler,
   work: (port: number) => Promise<void>,
@@ -30,7 +30,7 @@
   }
 }
 
-/** Sends the text over a connection of its own; resolves with all that comes back until it closes. */
+/** Sends the text over a new connection; resolves to everything received until the connection closes. */
 export function sendRaw(port: number, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     let received = '';
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -15,23 +15,23 @@
 
 type Fault = 'refuse' | 'lose request' | 'lose answer' | 'dead' | null;
 
-/** Items that a page of a list holds. */
+/** Maximum number of entries in a list page. */
 export const PAGE_ENTRIES = 500;
 
-/** A state service in memory, with leases by the fake clock and faults by script. */
+/** An in-memory state service whose leases follow the fake clock. */
 export class FakeStore {
   readonly entries = new Map<string, Entry & { lease?: number }>();
   revision = 1;
-  private leases = new Map<number, { ttl: number; ends: number }>();
+  private leases = new Map<number, { ttlMs: number; expiresAt: number }>();
   private lastLease = 0;
   private events: StoreEvent[] = [];
   private watchers: (() => void)[] = [];
 
-  /** What a transaction may hold; larger ones are refused and remembered. */
+  /** Limits of a transaction: a larger one is rejected, and its keys are added to `oversizedKeys`. */
   limits: { valueBytes: number; changes: number } | null = null;
   readonly oversize: string[] = [];
 
-  /** Nobody is served, and no lease ends. */
+  /** During an outage all requests are refused and no lease expires. */
   private isDown = false;
 
   constructor(readonly clock: FakeClock) {}
@@ -40,33 +40,34 @@
     return this.isDown;
   }
 
-  /** Begins or ends an outage; after it all leases have their full time again. */
+  /** Starts or ends an outage. At its end all leases are renewed for their full time to live. */
   set outage(down: boolean) {
     if (this.isDown && !down)
-      for (const l of this.leases.values()) l.ends = this.clock.now() + l.ttl;
+      for (const lease of this.leases.values()) lease.expiresAt = this.clock.now() + lease.ttlMs;
     this.isDown = down;
   }
 
   expire(): void {
     if (this.isDown) return;
-    for (const [id, l] of this.leases) if (l.ends <= this.clock.now()) this.end(id);
+    for (const [id, lease] of this.leases) if (lease.expiresAt <= this.clock.now()) this.end(id);
   }
 
   end(id: number): void {
     if (!this.leases.delete(id)) return;
-    for (const [key, e] of this.entries) if (e.lease === id) this.change([{ op: 'delete', key }]);
+    for (const [key, entry] of this.entries)
+      if (entry.lease === id) this.change([{ op: 'delete', key }]);
   }
 
-  grant(ttl: number): number {
-    this.leases.set(++this.lastLease, { ttl, ends: this.clock.now() + ttl });
+  grant(ttlMs: number): number {
+    this.leases.set(++this.lastLease, { ttlMs, expiresAt: this.clock.now() + ttlMs });
     return this.lastLease;
   }
 
   touch(id: number): boolean {
     this.expire();
-    const l = this.leases.get(id);
-    if (!l) return false;
-    l.ends = this.clock.now() + l.ttl;
+    const lease = this.leases.get(id);
+    if (!lease) return false;
+    lease.expiresAt = this.clock.now() + lease.ttlMs;
     return true;
   }
 
@@ -118,7 +119,7 @@
     }
     const waiting = this.watchers;
     this.watchers = [];
-    for (const w of waiting) w();
+    for (const wake of waiting) wake();
   }
 
   since(prefix: string, after: number): StoreEvent[] {
@@ -130,17 +131,17 @@
   }
 }
 
-/** One node's way to the store. */
+/** One node's client of the store, with faults set by the test. */
 export class FakeStateService implements KeyValueStore {
-  /** What happens to requests from now on. */
+  /** Fault that affects all further requests; null for none. */
   fault: Fault = null;
-  /** Transactions held back: applied when the test says so. */
+  /** Delayed requests, which the test executes by calling them. */
   late: (() => void)[] = [];
-  /** Requests but for watches, leases and their renewals. */
+  /** Number of requests other than watches and lease requests. */
   requests = 0;
-  /** Told of each transaction before it is carried out. */
+  /** Called with the changes of each transaction before it is executed. */
   onTransact: (changes: Change[]) => void = () => {};
-  /** Whether the next transaction gets no answer and is held back. */
+  /** Reports whether the next transaction receives no response and is delayed. */
   holdsBack: () => boolean = () => false;
 
   constructor(private readonly store: FakeStore) {}
@@ -171,7 +172,7 @@
     this.requests++;
     return this.serve(() => {
       const entries = [...this.store.entries.values()]
-        .filter((e) => e.key.startsWith(prefix) && e.key > (after ?? ''))
+        .filter((entry) => entry.key.startsWith(prefix) && entry.key > (after ?? ''))
         .sort((a, b) => (a.key < b.key ? -1 : 1));
       return {
         entries: entries.slice(0, PAGE_ENTRIES),
@@ -216,21 +217,24 @@
     });
     if (ready().events.length > 0) return ready();
     const { clock } = this.store;
-    const until = clock.now() + waitMs;
+    const deadline = clock.now() + waitMs;
     for (;;) {
       const changed = new Promise<void>((resolve) => this.store.onChange(resolve));
-      const left = Math.max(0, until - clock.now());
-      // While its node is refused an open watch just waits, as in an outage.
-      const lost = new AbortController();
-      const signals = signal ? [signal, lost.signal] : [lost.signal];
-      const wait = clock.sleep(this.refused ? Math.max(left, 100) : left, AbortSignal.any(signals));
+      const remainingMs = Math.max(0, deadline - clock.now());
+      // While requests of the node are refused, an open watch keeps waiting, as in an outage.
+      const stopWaiting = new AbortController();
+      const signals = signal ? [signal, stopWaiting.signal] : [stopWaiting.signal];
+      const wait = clock.sleep(
+        this.refused ? Math.max(remainingMs, 100) : remainingMs,
+        AbortSignal.any(signals),
+      );
       await Promise.race([changed, wait]);
-      // A wait that a change has overtaken ends here: left to itself it keeps its place with the clock and the signal.
+      // When a change came first, the wait is aborted; otherwise it would stay registered with the clock and the signal.
       wait.catch(() => {});
-      lost.abort();
+      stopWaiting.abort();
       if (this.fault === 'dead') throw new NoResponseError('the process has ended');
       if (this.refused) continue;
-      if (ready().events.length > 0 || clock.now() >= until) return ready();
+      if (ready().events.length > 0 || clock.now() >= deadline) return ready();
     }
   }
 }
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -1,11 +1,16 @@
-/** Workers' messages in the wire's words. */
+/** Conversion of agent messages to and from their wire format. */
 import type { Heartbeat } from '../../src/model/heartbeat.js';
 import type { TaskCommand } from '../../src/model/task-command.js';
 import { fencingToken } from '../../src/protocol/agent-protocol.js';
 
-const STANDINGS = { fetching: 'pulling', running: 'running', saving: 'saving', exited: 'exited' };
+const WIRE_TASK_STATES = {
+  fetching: 'pulling',
+  running: 'running',
+  saving: 'saving',
+  exited: 'exited',
+};
 
-/** A report in the wire's words. */
+/** Encodes a heartbeat in the wire format. */
 export function onWire(heartbeat: Heartbeat): Buffer {
   return Buffer.from(
     JSON.stringify({
@@ -21,13 +26,14 @@
       hands: heartbeat.tasks.map((task) => ({
         hand: `${task.jobId}/${task.index}`,
         try: task.attempt,
-        standing: STANDINGS[task.state],
+        standing: WIRE_TASK_STATES[task.state],
         ...(task.cause ? { cause: task.cause === 'stopped' ? 'halted' : task.cause } : {}),
       })),
     }),
   );
 }
 
+/** A command in the wire format. */
 export interface WireOrder {
   verb: string;
   hand: string;
@@ -35,6 +41,7 @@
   windDownS?: number;
 }
 
+/** Decodes a command from the wire format. */
 export function fromWire(command: WireOrder): TaskCommand {
   const [jobId = '', index = ''] = command.hand.split('/');
   const base = { jobId, index: Number(index), attempt: command.try };
