--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -44,16 +44,16 @@
   }
   const wanted = new Set(keys);
   const sorted = [...wanted].sort();
-  let next = 0;
+  let nextIndex = 0;
   let after = '';
-  while (next < sorted.length) {
-    const from = pageStart(sorted[next] as string, after);
-    const page = await state.listPage(prefix, from, signal, priority);
+  while (nextIndex < sorted.length) {
+    const pageAfter = pageStart(sorted[nextIndex] as string, after);
+    const page = await state.listPage(prefix, pageAfter, signal, priority);
     for (const entry of page.entries) if (wanted.has(entry.key)) found.set(entry.key, entry);
     const last = page.entries.at(-1);
     if (!page.more || !last) return found;
     after = last.key;
-    next = indexAfter(sorted, next, after);
+    nextIndex = indexAfter(sorted, nextIndex, after);
   }
   return found;
 }
@@ -61,13 +61,13 @@
 /** Returns the key after which a page must begin to include `key` but no entry up to `after`. */
 function pageStart(key: string, after: string): string {
   // A key without its last character sorts before the key itself, and few others lie between the two.
-  const before = key.slice(0, -1);
-  return before > after ? before : after;
+  const keyBefore = key.slice(0, -1);
+  return keyBefore > after ? keyBefore : after;
 }
 
 /** Returns the index, at or beyond `from`, of the first key that sorts after `after`, or the array's length. */
 function indexAfter(sorted: readonly string[], from: number, after: string): number {
-  let next = from;
-  while (next < sorted.length && (sorted[next] as string) <= after) next++;
-  return next;
+  let index = from;
+  while (index < sorted.length && (sorted[index] as string) <= after) index++;
+  return index;
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -51,7 +51,7 @@
   async request(options: RequestOptions): Promise<HttpResponse> {
     const { pool } = this;
     const { signal, isStillValid } = options;
-    const requestText = this.encode(options);
+    const requestText = this.encodeRequest(options);
     const deadline = Date.now() + options.timeoutMs;
     for (;;) {
       const connection = await pool.acquire(deadline, signal);
@@ -88,7 +88,7 @@
     this.pool.close();
   }
 
-  private encode({ method, target, body }: RequestOptions): string {
+  private encodeRequest({ method, target, body }: RequestOptions): string {
     const head = `${method} ${target} HTTP/1.1\r\nHost: ${this.address.host}:${this.address.port}\r\n`;
     if (body === undefined) return `${head}\r\n`;
     const payload = JSON.stringify(body);
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -29,7 +29,7 @@
   /** Start of the idle time, in `Date.now` time; null while a request is served. */
   idleSince: number | null;
   /** Deadline of the current time-out, in `Date.now` time; infinite while a request is served. */
-  closeAt: number;
+  deadline: number;
 }
 
 /**
@@ -61,14 +61,14 @@
     const now = Date.now();
     const isFull = this.connections.size >= this.limits.maxConnections;
     if (isFull && !this.evictLongestIdle(now)) return false;
-    this.connections.set(socket, { socket, idleSince: now, closeAt: now + this.limits.idleMs });
+    this.connections.set(socket, { socket, idleSince: now, deadline: now + this.limits.idleMs });
     return true;
   }
 
   /** Starts the time-out `requestTimeoutMs` for receiving a request or for sending the last reply. */
   markTransferring(socket: net.Socket): void {
     const connection = this.connections.get(socket);
-    if (connection) connection.closeAt = Date.now() + this.limits.requestMs;
+    if (connection) connection.deadline = Date.now() + this.limits.requestMs;
   }
 
   /** Marks a connection whose request is being served; no time-out applies meanwhile. */
@@ -76,7 +76,7 @@
     const connection = this.connections.get(socket);
     if (!connection) return;
     connection.idleSince = null;
-    connection.closeAt = Number.POSITIVE_INFINITY;
+    connection.deadline = Number.POSITIVE_INFINITY;
   }
 
   /** Marks a connection as idle after a reply, waiting for the next request. */
@@ -85,7 +85,7 @@
     if (!connection) return;
     const now = Date.now();
     connection.idleSince = now;
-    connection.closeAt = now + this.limits.idleMs;
+    connection.deadline = now + this.limits.idleMs;
     // Moves the connection to the end, which keeps the order by `idleSince`.
     this.connections.delete(socket);
     this.connections.set(socket, connection);
@@ -113,8 +113,8 @@
   /** Closes the connections whose time-out has expired. */
   closeExpired(): void {
     const now = Date.now();
-    for (const { socket, closeAt } of this.connections.values())
-      if (closeAt <= now) socket.destroy();
+    for (const { socket, deadline } of this.connections.values())
+      if (deadline <= now) socket.destroy();
   }
 
   /** Closes all connections, including those with a request in progress. */
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -13,6 +13,14 @@
 } from '../../src/protocol/key-value-protocol.js';
 import type { FakeClock } from './clock.js';
 
+/**
+ * Faults of a node's requests:
+ *
+ * - `refuse`: the service refuses them.
+ * - `lose request`: they receive no response, and are delayed until the test executes them.
+ * - `lose answer`: they are executed but receive no response.
+ * - `dead`: the process of the node has ended.
+ */
 type Fault = 'refuse' | 'lose request' | 'lose answer' | 'dead' | null;
 
 /** Maximum number of entries in a list page. */
@@ -41,18 +49,19 @@
   }
 
   /** Starts or ends an outage. At its end all leases are renewed for their full time to live. */
-  set outage(down: boolean) {
-    if (this.isDown && !down)
+  set outage(isDown: boolean) {
+    if (this.isDown && !isDown)
       for (const lease of this.leases.values()) lease.expiresAt = this.clock.now() + lease.ttlMs;
-    this.isDown = down;
+    this.isDown = isDown;
   }
 
   expire(): void {
     if (this.isDown) return;
-    for (const [id, lease] of this.leases) if (lease.expiresAt <= this.clock.now()) this.end(id);
+    for (const [id, lease] of this.leases)
+      if (lease.expiresAt <= this.clock.now()) this.endLease(id);
   }
 
-  end(id: number): void {
+  endLease(id: number): void {
     if (!this.leases.delete(id)) return;
     for (const [key, entry] of this.entries)
       if (entry.lease === id) this.change([{ op: 'delete', key }]);
@@ -122,7 +131,7 @@
     for (const wake of waiting) wake();
   }
 
-  since(prefix: string, after: number): StoreEvent[] {
+  eventsSince(prefix: string, after: number): StoreEvent[] {
     return this.events.filter((event) => event.version > after && event.key.startsWith(prefix));
   }
 
@@ -201,7 +210,7 @@
   }
 
   revoke(lease: number): Promise<void> {
-    return this.serve(() => this.store.end(lease));
+    return this.serve(() => this.store.endLease(lease));
   }
 
   async watch(
@@ -212,7 +221,7 @@
   ): Promise<{ events: StoreEvent[]; revision: number } | null> {
     await this.serve(() => null);
     const ready = () => ({
-      events: this.store.since(prefix, after),
+      events: this.store.eventsSince(prefix, after),
       revision: this.store.revision,
     });
     if (ready().events.length > 0) return ready();
