--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -144,7 +144,7 @@
     const { timeoutMs } = this.options;
     const response: HttpResponse = await this.http.request({ ...request, timeoutMs });
     if (response.status !== 200)
-      throw new NoResponseError(`cloud responded with status ${response.status}`);
+      throw new NoResponseError(`cloud responded with unexpected status ${response.status}`);
     return response.body;
   }
 
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,7 +1,10 @@
 /** Frames between controllers: a four-byte big-endian length followed by one CBOR value. */
 import { decode, encode } from 'cbor-x/encode';
 
-/** Maximum length of a value. A heartbeat with all tasks of a machine is far shorter; a longer value indicates a fault. */
+/**
+ * Maximum length of a value. A heartbeat with all tasks of a machine is far
+ * shorter; a longer value indicates a fault.
+ */
 const MAX_FRAME_BYTES = 1024 * 1024;
 
 /** Size of the length that precedes each value. */
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -59,7 +59,7 @@
 /** Duration of the timer that measures the lag, as a share of `stepMs`. */
 const PROBE_STEPS = 0.1;
 
-/** Wait before the lag is measured again, as a multiple of the last measurement. */
+/** Wait before the next check, as a multiple of the current lag. */
 const LAG_WAIT_FACTOR = 2;
 
 /**
