--- a/src/clients/key-ranges.ts
+++ b/src/clients/key-ranges.ts
@@ -1,12 +1,12 @@
-/** Reading of many keys of the state service: all under a prefix, or a chosen set. */
+/** Reads many keys of the state service: all under a prefix, or a given set. */
 import type { Entry, EntryPage } from '../protocol/key-value-protocol.js';
 import type { RequestPriority } from '../runtime/request-budget.js';
 import type { KeyValueStore } from './key-value-store.js';
 
-/** Up to this many keys are read one by one, at the same time; more of them in ranges. */
+/** Up to this many keys are read concurrently with one request for each key; more are read in pages. */
 export const SINGLE_READS = 8;
 
-/** All entries under the prefix, in the order of keys; what changes meanwhile may or may not show. */
+/** Returns all entries under the prefix, in key order. Changes made during the read may or may not be included. */
 export async function readPrefix(
   state: Pick<KeyValueStore, 'listPage'>,
   prefix: string,
@@ -25,9 +25,9 @@
 }
 
 /**
- * Entries by key, of those keys that exist; all of them have the prefix. Many
- * are read in pages of the range that they lie in, which takes a request for
- * each page instead of one for each key.
+ * Returns the entries of those keys that exist, by key. All keys must have the
+ * prefix. More than `SINGLE_READS` keys are read in pages of the key range that
+ * contains them, which takes one request for each page instead of each key.
  */
 export async function readKeys(
   state: Pick<KeyValueStore, 'get' | 'listPage'>,
@@ -44,30 +44,30 @@
   }
   const wanted = new Set(keys);
   const sorted = [...wanted].sort();
-  let next = 0;
+  let nextIndex = 0;
   let after = '';
-  while (next < sorted.length) {
-    const from = pageStart(sorted[next] as string, after);
-    const page = await state.listPage(prefix, from, signal, priority);
+  while (nextIndex < sorted.length) {
+    const pageAfter = pageStart(sorted[nextIndex] as string, after);
+    const page = await state.listPage(prefix, pageAfter, signal, priority);
     for (const entry of page.entries) if (wanted.has(entry.key)) found.set(entry.key, entry);
     const last = page.entries.at(-1);
     if (!page.more || !last) return found;
     after = last.key;
-    next = indexAfter(sorted, next, after);
+    nextIndex = indexAfter(sorted, nextIndex, after);
   }
   return found;
 }
 
-/** The key after which a page has to begin to show this one, and nothing up to `after` again. */
+/** Returns the key after which a page must begin to include `key` but no entry up to `after`. */
 function pageStart(key: string, after: string): string {
   // A key without its last character sorts before the key itself, and few others lie between the two.
-  const before = key.slice(0, -1);
-  return before > after ? before : after;
+  const keyBefore = key.slice(0, -1);
+  return keyBefore > after ? keyBefore : after;
 }
 
-/** The index, from `from` on, of the first of the sorted keys that comes after the given one. */
+/** Returns the index, at or beyond `from`, of the first key that sorts after `after`, or the array's length. */
 function indexAfter(sorted: readonly string[], from: number, after: string): number {
-  let next = from;
-  while (next < sorted.length && (sorted[next] as string) <= after) next++;
-  return next;
+  let index = from;
+  while (index < sorted.length && (sorted[index] as string) <= after) index++;
+  return index;
 }
--- a/src/http/open-connection.ts
+++ b/src/http/open-connection.ts
@@ -1,65 +1,72 @@
-/** Opening of a client's connection, within a time-out and until a signal. */
+/** Opens client connections, with a connect time-out and an abort signal. */
 import net from 'node:net';
 import { NotSentError } from './errors.js';
 import { Parser } from './parser.js';
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export interface Address {
   host: string;
   port: number;
 }
 
-/** A client's connection with the parser of its responses. It serves one request at a time. */
+/** A client connection and the parser of its responses. It carries one request at a time. */
 export interface ClientConnection {
   socket: net.Socket;
   parser: Parser;
 }
 
-/** What to open, and until when. */
+/** Parameters for opening a connection. */
 export interface OpenOptions {
   address: Address;
-  /** Longest body of a response, in bytes. */
-  bodyLimit: number;
+  /** Maximum length of a response body. */
+  maxBodyBytes: number;
+  /** Connect time-out. */
   timeoutMs: number;
+  /** Aborts connecting; without effect on an established connection. */
   signal: AbortSignal | undefined;
-  /** Called once when the socket has closed, whether or not it was ever connected. */
+  /** Called once when the socket has closed, even if it was never connected. */
   onClose: (socket: net.Socket) => void;
 }
 
 const MAX_LINE_BYTES = 8 * 1024;
-const MAX_HEADERS = 64;
+const MAX_HEADER_LINES = 64;
 
 /**
- * A connection, whose socket is destroyed by its first error. Rejects with
- * `NotSentError` when it can't be opened; the socket is then destroyed.
+ * Opens a connection. Rejects with `NotSentError` when connecting fails, times
+ * out or is aborted; the socket is then destroyed. Otherwise the caller owns
+ * the socket, which is destroyed on its first error.
  */
 export function openConnection(options: OpenOptions): Promise<ClientConnection> {
-  const { address, bodyLimit, timeoutMs, signal, onClose } = options;
+  const { address, maxBodyBytes, timeoutMs, signal, onClose } = options;
   return new Promise((resolve, reject) => {
     const socket = net.connect({ ...address, noDelay: true });
-    const stopWaiting = () => {
+    const cleanUp = () => {
       clearTimeout(timer);
       signal?.removeEventListener('abort', onAbort);
     };
     const fail = (message: string) => {
-      stopWaiting();
+      cleanUp();
       socket.destroy();
       reject(new NotSentError(message));
     };
-    const onAbort = () => fail('aborted');
+    const onAbort = () => fail('connect aborted');
     const timer = setTimeout(() => fail('connect timed out'), timeoutMs);
     signal?.addEventListener('abort', onAbort, { once: true });
     socket.once('error', (error) => fail(error.message));
     socket.once('close', () => onClose(socket));
     socket.once('connect', () => {
-      stopWaiting();
+      cleanUp();
       socket.removeAllListeners('error');
       socket.on('error', () => socket.destroy());
-      resolve({ socket, parser: createParser(bodyLimit) });
+      resolve({ socket, parser: createParser(maxBodyBytes) });
     });
   });
 }
 
-function createParser(bodyLimit: number): Parser {
-  return new Parser('response', { line: MAX_LINE_BYTES, headers: MAX_HEADERS, body: bodyLimit });
+function createParser(maxBodyBytes: number): Parser {
+  return new Parser('response', {
+    maxLineBytes: MAX_LINE_BYTES,
+    maxHeaderLines: MAX_HEADER_LINES,
+    maxBodyBytes,
+  });
 }
--- a/src/http/socket-reader.ts
+++ b/src/http/socket-reader.ts
@@ -1,31 +1,32 @@
-/** Reading of a socket with backpressure. */
+/** Reads a socket with backpressure. */
 import type net from 'node:net';
 
 /**
- * What arrives on a socket, a piece at a time. The stream's own iterator does
- * the same and cost more than all the rest of a heartbeat's handling.
+ * Reads the data of a socket chunk by chunk. It replaces the stream's own async
+ * iterator, which costs more CPU time than the rest of the handling of a
+ * heartbeat.
  */
 export class SocketReader {
-  private readonly pieces: Buffer[] = [];
-  /** Waits in `next`. */
-  private pendingRead: ((piece: Buffer | null) => void) | null = null;
+  private readonly chunks: Buffer[] = [];
+  /** Resolves the pending call of `next`; null when there is none. */
+  private pendingRead: ((chunk: Buffer | null) => void) | null = null;
   private ended = false;
 
   private constructor(private readonly socket: net.Socket) {}
 
-  /** Begins to read the socket. Its errors stay with the caller. */
+  /** Starts reading the socket. Socket errors are left to the caller. */
   static attach(socket: net.Socket): SocketReader {
     const reader = new SocketReader(socket);
-    socket.on('data', (piece) => reader.receive(piece));
+    socket.on('data', (chunk) => reader.receive(chunk));
     socket.once('end', () => reader.end());
     socket.once('close', () => reader.end());
     return reader;
   }
 
-  /** The next piece, once it is there; null once nothing more comes. One call at a time. */
+  /** Resolves to the next chunk, or to null after the end of the data. Only one call may be pending. */
   next(): Promise<Buffer | null> {
-    const piece = this.pieces.shift();
-    if (piece) return Promise.resolve(piece);
+    const chunk = this.chunks.shift();
+    if (chunk) return Promise.resolve(chunk);
     if (this.ended) return Promise.resolve(null);
     if (this.socket.isPaused()) this.socket.resume();
     return new Promise((resolve) => {
@@ -33,13 +34,13 @@
     });
   }
 
-  private receive(piece: Buffer): void {
+  private receive(chunk: Buffer): void {
     if (this.pendingRead) {
-      this.completeRead(piece);
+      this.completeRead(chunk);
       return;
     }
-    // Nobody reads before the reply has left, so no more is taken from the network either.
-    this.pieces.push(piece);
+    // No call of `next` is pending until the reply is written. Pausing the socket stops reading from the network.
+    this.chunks.push(chunk);
     this.socket.pause();
   }
 
@@ -48,9 +49,9 @@
     this.completeRead(null);
   }
 
-  private completeRead(piece: Buffer | null): void {
+  private completeRead(chunk: Buffer | null): void {
     const { pendingRead } = this;
     this.pendingRead = null;
-    pendingRead?.(piece);
+    pendingRead?.(chunk);
   }
 }
