--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -151,7 +151,7 @@
   private async awaitBudget(priority: RequestPriority, signal?: AbortSignal): Promise<void> {
     const { clock } = this.options;
     for (;;) {
-      const waitMs = this.budget.take(1, priority, clock.now());
+      const waitMs = this.budget.tryAcquire(1, priority, clock.now());
       if (waitMs === 0) return;
       await clock.sleep(waitMs, signal);
     }
--- a/src/clients/key-value-store.ts
+++ b/src/clients/key-value-store.ts
@@ -72,13 +72,13 @@
   ): Promise<TransactionResult>;
 
   /** Creates a lease that ends after `ttlMs` without a renewal; returns its id. */
-  grant(ttlMs: number, signal?: AbortSignal): Promise<number>;
+  grantLease(ttlMs: number, signal?: AbortSignal): Promise<number>;
 
   /** Renews a lease for its full time to live; returns false when the lease has ended. */
-  touch(lease: number, signal?: AbortSignal): Promise<boolean>;
+  renewLease(lease: number, signal?: AbortSignal): Promise<boolean>;
 
   /** Ends a lease, which deletes the keys attached to it. */
-  revoke(lease: number, signal?: AbortSignal): Promise<void>;
+  revokeLease(lease: number, signal?: AbortSignal): Promise<void>;
 
   /**
    * Returns the changes under the prefix after the given revision as soon as
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -13,8 +13,8 @@
   listTarget,
   parseEntry,
   parseEvents,
-  parseFailed,
-  parseLease,
+  parseFailedKeys,
+  parseLeaseId,
   parsePage,
   parseRevision,
   transactionBody,
@@ -131,12 +131,12 @@
     return {
       ok: response.status === 200,
       revision: parseRevision(response.body),
-      failed: response.status === 409 ? parseFailed(response.body) : [],
+      failed: response.status === 409 ? parseFailedKeys(response.body) : [],
     };
   }
 
   /** See `KeyValueStore`. */
-  async grant(ttlMs: number, signal?: AbortSignal): Promise<number> {
+  async grantLease(ttlMs: number, signal?: AbortSignal): Promise<number> {
     const response = await this.call({
       method: 'POST',
       target: PATHS.leases,
@@ -144,11 +144,11 @@
       priority: RequestPriority.leadership,
       signal,
     });
-    return parseLease(response.body);
+    return parseLeaseId(response.body);
   }
 
   /** See `KeyValueStore`. */
-  async touch(lease: number, signal?: AbortSignal): Promise<boolean> {
+  async renewLease(lease: number, signal?: AbortSignal): Promise<boolean> {
     const response = await this.call({
       method: 'POST',
       target: leaseTarget(lease, true),
@@ -160,7 +160,7 @@
   }
 
   /** See `KeyValueStore`. */
-  async revoke(lease: number, signal?: AbortSignal): Promise<void> {
+  async revokeLease(lease: number, signal?: AbortSignal): Promise<void> {
     const target = leaseTarget(lease, false);
     await this.call({ method: 'DELETE', target, priority: RequestPriority.leadership, signal });
   }
@@ -239,9 +239,9 @@
     const { clock, timeoutMs, requestsPerS } = this.options;
     const deadline = clock.now() + timeoutMs;
     for (;;) {
-      let waitMs = this.requestBudget.take(1, priority, clock.now());
+      let waitMs = this.requestBudget.tryAcquire(1, priority, clock.now());
       if (waitMs === 0 && changes > 0)
-        waitMs = this.changeBudget.take(changes, priority, clock.now());
+        waitMs = this.changeBudget.tryAcquire(changes, priority, clock.now());
       if (waitMs === 0) return;
       if (clock.now() + waitMs > deadline || this.queuedRequests > requestsPerS)
         throw new RequestRefusedError(waitMs);
--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -22,11 +22,16 @@
   encodeJobIds,
 } from '../../records/dependency-list-record.js';
 import type { DependencyListRef } from '../../records/job-record.js';
-import { listHeaderKey, listPageKey, listPagesPrefix, liveJobKey } from '../../records/keys.js';
+import {
+  dependencyListHeaderKey,
+  dependencyListPageKey,
+  dependencyListPagesPrefix,
+  liveJobKey,
+} from '../../records/keys.js';
 import { mapIfObject } from '../../records/stored-form.js';
 import {
+  MAX_TRANSACTION_VALUE_BYTES,
   splitIntoPages,
-  TRANSACTION_BYTES,
   valueCapacityBytes,
 } from '../../records/value-sizes.js';
 import type { RequestPriority } from '../../runtime/request-budget.js';
@@ -76,11 +81,11 @@
     const pages = splitIntoPages([...ids].sort(), capacityBytes, capacityBytes);
     const token = contentHash(pages);
     const condition = await this.ensureHeader(jobId, token, pages.length, priority);
-    const existing = await readPrefix(state, listPagesPrefix(jobId, token), priority);
+    const existing = await readPrefix(state, dependencyListPagesPrefix(jobId, token), priority);
     const missing = missingPages(jobId, token, pages, existing);
     const pagesPerTransaction = Math.min(
       limits.changes,
-      Math.max(1, Math.floor(TRANSACTION_BYTES / capacityBytes)),
+      Math.max(1, Math.floor(MAX_TRANSACTION_VALUE_BYTES / capacityBytes)),
     );
     for (let start = 0; start < missing.length; start += pagesPerTransaction) {
       const batch = missing.slice(start, start + pagesPerTransaction);
@@ -97,7 +102,7 @@
     priority: RequestPriority,
     signal?: AbortSignal,
   ): Promise<string[] | null> {
-    const prefix = listPagesPrefix(jobId, ref.token);
+    const prefix = dependencyListPagesPrefix(jobId, ref.token);
     const entries = await readPrefix(this.ctx.state, prefix, priority, signal);
     if (entries.length < ref.pages) return null;
     return entries.flatMap((entry) => decodeJobIds(entry.value));
@@ -116,7 +121,7 @@
   ): Promise<void> {
     const { state, limits } = this.ctx;
     const { jobId, token, header } = list;
-    const key = listHeaderKey(jobId, token);
+    const key = dependencyListHeaderKey(jobId, token);
     let { version } = list;
     if (!header.removing) {
       const marked = await state.transact(
@@ -132,7 +137,12 @@
       version = marked.revision;
     }
     const condition: Condition = { key, version };
-    const pages = await readPrefix(state, listPagesPrefix(jobId, token), priority, signal);
+    const pages = await readPrefix(
+      state,
+      dependencyListPagesPrefix(jobId, token),
+      priority,
+      signal,
+    );
     for (let start = 0; start < pages.length; start += limits.changes) {
       const batch = pages.slice(start, start + limits.changes);
       const deletions = batch.map((entry): Change => ({ op: 'delete', key: entry.key }));
@@ -153,7 +163,7 @@
     priority: RequestPriority,
   ): Promise<Condition> {
     const { state } = this.ctx;
-    const key = listHeaderKey(jobId, token);
+    const key = dependencyListHeaderKey(jobId, token);
     const found = await state.get(key, priority);
     if (found && !mapIfObject(found.value, decodeDependencyListHeader).removing)
       return { key, version: found.version };
@@ -178,7 +188,7 @@
   const existingKeys = new Set(existing.map((entry) => entry.key));
   return pages
     .map((ids, page): Change => {
-      const key = listPageKey(jobId, token, page);
+      const key = dependencyListPageKey(jobId, token, page);
       return { op: 'put', key, value: encodeJobIds(ids) };
     })
     .filter((change) => !existingKeys.has(change.key));
--- a/src/controller/api/job-creation.ts
+++ b/src/controller/api/job-creation.ts
@@ -8,9 +8,9 @@
 import { encodeLiveJob, type LiveJobRecord } from '../../records/job-record.js';
 import { dependencyPageKey, liveJobKey } from '../../records/keys.js';
 import {
+  MAX_TRANSACTION_VALUE_BYTES,
   splitIntoPages,
   storedBytes,
-  TRANSACTION_BYTES,
   valueCapacityBytes,
 } from '../../records/value-sizes.js';
 
@@ -61,7 +61,7 @@
     );
   const [inline = [], ...pages] = splitIntoPages(pending, capacityBytes - baseBytes, capacityBytes);
   if (pages.length + 1 > limits.changes) return null;
-  if (pages.length * capacityBytes > TRANSACTION_BYTES - capacityBytes) return null;
+  if (pages.length * capacityBytes > MAX_TRANSACTION_VALUE_BYTES - capacityBytes) return null;
   const value: LiveJobRecord = {
     ...record,
     ...(inline.length > 0 ? { dependencies: inline } : {}),
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -57,10 +57,10 @@
       port,
       handler: (request) => router.route(request),
       maxConnections: Math.floor(platform.settings.quota.max_sockets * (1 - RESERVED_SOCKET_SHARE)),
-      requestMs: timing.userTimeoutMs * 2,
-      idleMs: timing.agentLeaseMs * 3,
+      requestTimeoutMs: timing.userTimeoutMs * 2,
+      idleTimeoutMs: timing.agentLeaseMs * 3,
       // Active agents and users send requests more often than this.
-      spareMs: timing.unreachableAfterMs * 0.5,
+      minEvictableIdleMs: timing.unreachableAfterMs * 0.5,
       onError: (err) => log.error({ err }, 'request failed'),
     };
   }
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -81,7 +81,7 @@
       this.leader = null;
       this.observedTerm = null;
       await this.campaign(signal);
-    } else if (this.isOwnRecord(record)) await ctx.state.revoke(record.lease, signal);
+    } else if (this.isOwnRecord(record)) await ctx.state.revokeLease(record.lease, signal);
     else await this.observe(record, page.revision, signal);
   }
 
@@ -114,14 +114,14 @@
     const lastTerm = await ctx.state.get(TERM_KEY, RequestPriority.leadership, signal);
     const number = (decodeTerm(lastTerm?.value) ?? 0) + 1;
     const leaseRequestedAt = ctx.clock.now();
-    const lease = await ctx.state.grant(ctx.timing.leaseMs, signal);
+    const lease = await ctx.state.grantLease(ctx.timing.leaseMs, signal);
     const { node, incarnation } = ctx;
     const record: LeaderRecord = { node, incarnation, term: number, lease };
     let version: number;
     try {
       const result = await requestLeadership(ctx, record, lastTerm?.version ?? 0, signal);
       if (!result.ok) {
-        await ctx.state.revoke(lease, signal);
+        await ctx.state.revokeLease(lease, signal);
         return;
       }
       version = result.revision;
@@ -156,7 +156,7 @@
       await routines;
     }
     // All routines have ended, so the next leader need not wait for the lease to expire.
-    await ctx.state.revoke(lease).catch(() => {});
+    await ctx.state.revokeLease(lease).catch(() => {});
   }
 
   private beginTerm(term: LeaderTerm): void {
@@ -197,7 +197,7 @@
     const { clock, state, log } = this.ctx;
     const sentAt = clock.now();
     try {
-      if (await state.touch(lease, term.signal)) term.setProvenAt(sentAt);
+      if (await state.renewLease(lease, term.signal)) term.setProvenAt(sentAt);
       else term.resign('lease ended');
       if (term.areCancellationsUnknownForTooLong())
         term.resign('cancellations unknown for too long');
--- a/src/controller/election/leader-key.ts
+++ b/src/controller/election/leader-key.ts
@@ -62,6 +62,6 @@
   const storedRecord = entry ? decodeLeaderRecord(entry.value) : null;
   if (entry && storedRecord?.incarnation === ctx.incarnation && storedRecord.term === term)
     return entry.version;
-  await ctx.state.revoke(lease, signal);
+  await ctx.state.revokeLease(lease, signal);
   return null;
 }
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -107,7 +107,7 @@
     try {
       const request: MailboxRequest = {
         kind: 'ask',
-        n: requestNumber,
+        requestNumber,
         from: ctx.node,
         incarnation: ctx.incarnation,
         text,
@@ -155,15 +155,20 @@
   /** Drops responses to an earlier request or to a previous process of this node. */
   private receiveResponse(senderSlot: string, response: MailboxResponse): void {
     const pending = this.pending.get(senderSlot);
-    if (!pending || response.n !== pending.requestNumber) return;
+    if (!pending || response.requestNumber !== pending.requestNumber) return;
     if (response.incarnation === this.ctx.incarnation) pending.resolve(response.value);
   }
 
   private async respond(senderSlot: string, request: MailboxRequest): Promise<void> {
     const { ctx } = this;
     const value = await this.onRequest(request.text);
-    const { n, incarnation } = request;
-    const response = encodeMailboxResponse({ kind: 'answer', n, incarnation, value });
+    const { requestNumber: n, incarnation } = request;
+    const response = encodeMailboxResponse({
+      kind: 'answer',
+      requestNumber: n,
+      incarnation,
+      value,
+    });
     const bytes = Buffer.byteLength(JSON.stringify(response));
     if (bytes > ctx.limits.valueBytes) throw new MessageTooLargeError(bytes, ctx.limits.valueBytes);
     // The response goes to the sender's inbox, under this node's name and the same slot.
@@ -185,7 +190,7 @@
     const { clock, state, timing } = this.ctx;
     const now = clock.now();
     if (!this.lease || now > this.lease.usableUntil) {
-      const id = state.grant(timing.agentLeaseMs);
+      const id = state.grantLease(timing.agentLeaseMs);
       const lease = { id, usableUntil: now + timing.agentLeaseMs * LEASE_REUSE_FRACTION };
       this.lease = lease;
       id.catch(() => {
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -9,7 +9,7 @@
 import { readPrefix } from '../../clients/key-ranges.js';
 import type { Entry } from '../../protocol/key-value-protocol.js';
 import { decodeDependencyListHeader } from '../../records/dependency-list-record.js';
-import { LIST_HEADER_PREFIX } from '../../records/keys.js';
+import { DEPENDENCY_LIST_HEADER_PREFIX } from '../../records/keys.js';
 import { mapIfObject } from '../../records/stored-form.js';
 import { sleepUntilAborted } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
@@ -48,10 +48,15 @@
 
   private async removeOrphans(signal: AbortSignal): Promise<void> {
     const { state } = this.ctx;
-    const headers = await readPrefix(state, LIST_HEADER_PREFIX, RequestPriority.progress, signal);
+    const headers = await readPrefix(
+      state,
+      DEPENDENCY_LIST_HEADER_PREFIX,
+      RequestPriority.progress,
+      signal,
+    );
     this.forgetRemoved(headers);
     for (const { key, value, version } of headers) {
-      const [jobId = '', token = ''] = key.slice(LIST_HEADER_PREFIX.length).split('/');
+      const [jobId = '', token = ''] = key.slice(DEPENDENCY_LIST_HEADER_PREFIX.length).split('/');
       if (!this.isDueForRemoval(key, jobId)) continue;
       const header = mapIfObject(value, decodeDependencyListHeader);
       const list = { jobId, token, version, header };
--- a/src/controller/leader/heartbeat-processing.ts
+++ b/src/controller/leader/heartbeat-processing.ts
@@ -63,7 +63,7 @@
     if (!machine.confirmed || !term.mayStartTasks())
       return { commands: cluster.stopsOfEndedJobs(heartbeat), fence: machine.fence };
     // Resources that this heartbeat frees are assigned in its own response.
-    placeOnMachine(cluster, machine, policy.startsPerMachine, now);
+    placeOnMachine(cluster, machine, policy.roundStartLimit, now);
     // A command in flight would be refused under the new fencing token.
     if (!commands.hasCommandInFlight(machine.id)) raiseFenceIfDue(machine, cluster.timing, now);
     return { commands: cluster.heartbeatCommands(machine), fence: machine.fence };
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -83,7 +83,7 @@
       },
       policy,
       objectives: serviceObjectivesOf(objectives ?? []),
-      bitmaps: BitmapLayout.forValues(ctx.limits.presentValueBytes, ctx.limits.valueBytes),
+      bitmaps: BitmapLayout.forValueLimits(ctx.limits.presentValueBytes, ctx.limits.valueBytes),
       logDecision: (message: string, fields: object) =>
         ctx.log.info({ term: term.number, ...fields }, message),
       rosterPageBytes: valueCapacityBytes(ctx.limits),
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -9,7 +9,7 @@
  * be applied: `DurableWrite.retry(true)`).
  */
 import { RequestRefusedError, RequestRejectedError } from '../../clients/key-value-store.js';
-import { TRANSACTION_BYTES } from '../../records/value-sizes.js';
+import { MAX_TRANSACTION_VALUE_BYTES } from '../../records/value-sizes.js';
 import { AbortedError } from '../../runtime/clock.js';
 import { RequestPriority } from '../../runtime/request-budget.js';
 import { chunksWithUnknownVersion } from '../../scheduler/persistence/bitmap-chunk-write.js';
@@ -93,7 +93,7 @@
     for (const write of writes.slice(from)) {
       if (batch.length > 0) {
         if (changes + write.changes.length > this.ctx.limits.changes) break;
-        if (bytes + write.sizeBytes > TRANSACTION_BYTES) break;
+        if (bytes + write.sizeBytes > MAX_TRANSACTION_VALUE_BYTES) break;
       }
       batch.push(write);
       changes += write.changes.length;
@@ -110,7 +110,7 @@
   private async rereadUnknownChunkVersions(signal: AbortSignal): Promise<void> {
     for (const { job, chunk } of chunksWithUnknownVersion(this.cluster)) {
       try {
-        const key = this.cluster.bitmaps.key(job.spec.id, chunk);
+        const key = this.cluster.bitmaps.chunkKey(job.spec.id, chunk);
         const entry = await this.ctx.state.get(key, RequestPriority.completions, signal);
         job.chunkVersions.set(chunk, entry?.version ?? 0);
       } catch (err) {
--- a/src/controller/leader/scheduler-configuration.ts
+++ b/src/controller/leader/scheduler-configuration.ts
@@ -36,12 +36,12 @@
     smoothingBoots: properties['rent.smooth-boots'],
     backlogBoots: properties['rent.drain-boots'],
     idleBoots: properties['rent.idle-boots'],
-    bootPatience: properties['rent.boot-patience'],
+    bootTimeoutBoots: properties['rent.boot-patience'],
     backoffBoots: properties['rent.backoff-boots'],
     quarantineJobs: properties['sick.jobs'],
     quarantineFailures: properties['sick.failures'],
     failingJobMachines: properties['job.faulty-machines'],
-    startsPerMachine: properties['round.machine-starts'],
+    roundStartLimit: properties['round.machine-starts'],
   };
 }
 
--- a/src/controller/leader/scheduling-loop.ts
+++ b/src/controller/leader/scheduling-loop.ts
@@ -88,6 +88,6 @@
     const { cluster, policy } = this.options;
     let readyTasks = 0;
     for (const job of cluster.jobs.values()) readyTasks += job.readyCount;
-    return Math.max(policy.startsPerMachine, Math.ceil(readyTasks * OVERLOAD_START_SHARE));
+    return Math.max(policy.roundStartLimit, Math.ceil(readyTasks * OVERLOAD_START_SHARE));
   }
 }
--- a/src/controller/leader/state-restoration.ts
+++ b/src/controller/leader/state-restoration.ts
@@ -111,7 +111,7 @@
   private restoreFinishedTasks(entries: readonly Entry[]): void {
     const { cluster } = this;
     for (const { key, value, version } of entries) {
-      const chunk = cluster.bitmaps.parse(key);
+      const chunk = cluster.bitmaps.parseKey(key);
       const job = chunk && cluster.jobs.get(chunk.job);
       const finished = decodeFinishedTasks(value);
       if (!job || !finished) {
--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -52,7 +52,10 @@
         await handlers.handleHeartbeat(Buffer.from(payload as Uint8Array)),
       );
     case PEER_OPERATIONS.announceCancellation: {
-      const { job, revision }: CancellationNotice = mapIfObject(payload, decodeCancellationNotice);
+      const { jobId: job, revision }: CancellationNotice = mapIfObject(
+        payload,
+        decodeCancellationNotice,
+      );
       handlers.announceCancellation(job, revision);
       return null;
     }
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -33,9 +33,10 @@
     const sentAt = clock.now() - Math.max(0, clock.wall() - status.sentAt);
     if (sentAt < (this.received.get(status.node)?.sentAt ?? Number.NEGATIVE_INFINITY)) return;
     this.received.set(status.node, { status, sentAt });
-    if (!status.leading || !Array.isArray(status.counts)) return;
+    if (!status.leading || !Array.isArray(status.taskCounts)) return;
     this.taskCounts.clear();
-    for (const [job, done, running] of status.counts) this.taskCounts.set(job, { done, running });
+    for (const [job, done, running] of status.taskCounts)
+      this.taskCounts.set(job, { done, running });
   }
 
   /** Reports whether the peer is connected and its last status is recent, so that a request is likely to succeed. */
@@ -75,7 +76,8 @@
   /** Returns a connected peer whose recent status says that the state service serves it; null if there is none. */
   servedPeer(): string | null {
     for (const [node, received] of this.received)
-      if (received.status.stateOk && this.isFresh(received) && this.isConnected(node)) return node;
+      if (received.status.stateServiceAvailable && this.isFresh(received) && this.isConnected(node))
+        return node;
     return null;
   }
 
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -60,7 +60,7 @@
       address: parseAddress(peer.address),
     })),
     clock,
-    retryMs: timing.renewMs * RECONNECT_INTERVALS,
+    reconnectDelayMs: timing.renewMs * RECONNECT_INTERVALS,
     onStatus: (status) => peers.receiveStatus(status),
     onRequest: (operation, payload) => servePeerRequest(handlers, operation, payload),
     onError: (err) => log.debug({ err }, 'peer connection or request failed'),
@@ -183,7 +183,7 @@
    */
   async announceCancellation(job: string, revision: number): Promise<void> {
     const { platform, timing } = this.ctx;
-    const notice = encodeCancellationNotice({ job, revision });
+    const notice = encodeCancellationNotice({ jobId: job, revision });
     const reachable = platform.peers.filter((peer) => this.statuses.isReachable(peer.node));
     const timeoutMs = timing.stateTimeoutMs * ANNOUNCE_TIMEOUTS;
     await Promise.allSettled(
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -1,7 +1,7 @@
 /** Routes the HTTP requests of agents, users and health checks, and forwards users' requests to a peer if necessary. */
 import type { Message } from '../http/message.js';
 import type { Reply } from '../http/reply.js';
-import { CANCEL_PATH, PATHS } from '../protocol/paths.js';
+import { CANCEL_PATH_SEGMENT, PATHS } from '../protocol/paths.js';
 import type { JobApi } from './api/job-api.js';
 import { refuse } from './api/refusals.js';
 import type { ControllerContext } from './context.js';
@@ -48,7 +48,7 @@
       const path = target.slice(PATHS.jobs.length + 1).split('/');
       const id = path[0] as string;
       if (path.length === 1) return requireMethod('GET', method, () => jobApi.query(id));
-      if (path.length === 2 && path[1] === CANCEL_PATH)
+      if (path.length === 2 && path[1] === CANCEL_PATH_SEGMENT)
         return requireMethod('POST', method, () => jobApi.cancel(id));
     }
     return { status: 404, body: { error: 'no such path' } };
--- a/src/controller/wiring.ts
+++ b/src/controller/wiring.ts
@@ -148,8 +148,8 @@
     sentAt: ctx.clock.wall(),
     term: election.highestTerm,
     leading: leader.current !== null,
-    stateOk: state.failingSince === null,
+    stateServiceAvailable: state.failingSince === null,
     memoryShort: memory.isLow,
-    counts: leader.current?.taskCounts(MAX_JOB_COUNTS_PER_STATUS) ?? [],
+    taskCounts: leader.current?.taskCounts(MAX_JOB_COUNTS_PER_STATUS) ?? [],
   };
 }
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -14,14 +14,14 @@
    */
   maxConnections: number;
   /** Time-out for receiving a request, and for sending the last reply of a connection. */
-  requestMs: number;
+  requestTimeoutMs: number;
   /** Time-out of an idle connection. */
-  idleMs: number;
+  idleTimeoutMs: number;
   /**
    * Minimum idle time after which a connection may be closed to admit a new
    * one. When no connection qualifies, the new one is refused.
    */
-  spareMs: number;
+  minEvictableIdleMs: number;
 }
 
 interface OpenConnection {
@@ -61,14 +61,18 @@
     const now = Date.now();
     const isFull = this.connections.size >= this.limits.maxConnections;
     if (isFull && !this.evictLongestIdle(now)) return false;
-    this.connections.set(socket, { socket, idleSince: now, deadline: now + this.limits.idleMs });
+    this.connections.set(socket, {
+      socket,
+      idleSince: now,
+      deadline: now + this.limits.idleTimeoutMs,
+    });
     return true;
   }
 
   /** Starts the time-out `requestTimeoutMs` for receiving a request or for sending the last reply. */
   markTransferring(socket: net.Socket): void {
     const connection = this.connections.get(socket);
-    if (connection) connection.deadline = Date.now() + this.limits.requestMs;
+    if (connection) connection.deadline = Date.now() + this.limits.requestTimeoutMs;
   }
 
   /** Marks a connection whose request is being served; no time-out applies meanwhile. */
@@ -85,7 +89,7 @@
     if (!connection) return;
     const now = Date.now();
     connection.idleSince = now;
-    connection.deadline = now + this.limits.idleMs;
+    connection.deadline = now + this.limits.idleTimeoutMs;
     // Moves the connection to the end, which keeps the order by `idleSince`.
     this.connections.delete(socket);
     this.connections.set(socket, connection);
@@ -139,6 +143,6 @@
   }
 
   private mayEvict({ idleSince }: OpenConnection, now: number): boolean {
-    return idleSince !== null && now - idleSince >= this.limits.spareMs;
+    return idleSince !== null && now - idleSince >= this.limits.minEvictableIdleMs;
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -37,7 +37,7 @@
   });
   const timer = setInterval(
     () => table.closeExpired(),
-    Math.min(options.requestMs, options.idleMs) / CHECKS_PER_TIMEOUT,
+    Math.min(options.requestTimeoutMs, options.idleTimeoutMs) / CHECKS_PER_TIMEOUT,
   );
   // A single listener for all connections: one for each would look like a listener leak on the signal.
   const stop = () => {
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -50,7 +50,7 @@
   /** `rent.idle-boots`: boot times without work after which an unneeded machine is terminated. */
   idleBoots: number;
   /** `rent.boot-patience`: boot times after which a machine that is not up is terminated. */
-  bootPatience: number;
+  bootTimeoutBoots: number;
   /** `rent.backoff-boots`: first back-off after the cloud had no capacity, in boot times. */
   backoffBoots: number;
   /**
@@ -72,7 +72,7 @@
    * `round.machine-starts`: limit on the starts of a placement round. Under overload a
    * round over all machines may exceed it.
    */
-  startsPerMachine: number;
+  roundStartLimit: number;
 }
 
 /** Service-level objectives of a class of jobs. */
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -77,7 +77,7 @@
         resolve(response);
       });
       this.socket.once('close', onClose);
-      this.send(frameBytes({ kind: 'ask', n: requestNumber, op: operation, payload }));
+      this.send(frameBytes({ kind: 'ask', requestNumber, operation, payload }));
     });
   }
 
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -33,7 +33,7 @@
   peers: PeerAddress[];
   clock: Clock;
   /** Delay between attempts to connect to a peer. */
-  retryMs: number;
+  reconnectDelayMs: number;
   /** Called with each status that a peer sends. Its fields have not been validated. */
   onStatus: (status: PeerStatus) => void;
   /**
@@ -93,10 +93,10 @@
   }
 
   private async keepConnected(peer: PeerAddress, signal: AbortSignal): Promise<void> {
-    const { clock, retryMs } = this.options;
+    const { clock, reconnectDelayMs } = this.options;
     while (!signal.aborted) {
       await this.connect(peer, signal);
-      await sleepUntilAborted(clock, retryMs, signal);
+      await sleepUntilAborted(clock, reconnectDelayMs, signal);
     }
   }
 
@@ -108,7 +108,7 @@
       socket.setMaxListeners(0);
       const link = new PeerLink(node, socket);
       const close = () => socket.destroy();
-      const timer = setTimeout(close, this.options.retryMs * CONNECT_TIMEOUT_DELAYS);
+      const timer = setTimeout(close, this.options.reconnectDelayMs * CONNECT_TIMEOUT_DELAYS);
       signal.addEventListener('abort', close, { once: true });
       socket.on('connect', () => {
         clearTimeout(timer);
@@ -130,7 +130,7 @@
   private accept(socket: net.Socket, signal: AbortSignal): void {
     const close = () => socket.destroy();
     signal.addEventListener('abort', close, { once: true });
-    socket.setTimeout(this.options.retryMs * IDLE_TIMEOUT_DELAYS, close);
+    socket.setTimeout(this.options.reconnectDelayMs * IDLE_TIMEOUT_DELAYS, close);
     socket.on('error', close);
     socket.once('close', () => signal.removeEventListener('abort', close));
     readFrames(
@@ -145,7 +145,8 @@
 
   private receive(socket: net.Socket, frame: PeerFrame | null): void {
     if (frame?.kind === 'status') this.options.onStatus(frame.status);
-    else if (frame?.kind === 'ask') void this.respond(socket, frame.n, frame.op, frame.payload);
+    else if (frame?.kind === 'ask')
+      void this.respond(socket, frame.requestNumber, frame.operation, frame.payload);
   }
 
   private async respond(
--- a/src/protocol/key-value-protocol.ts
+++ b/src/protocol/key-value-protocol.ts
@@ -91,7 +91,7 @@
 }
 
 /** Returns the id of a new lease. Throws `MalformedMessageError`. */
-export function parseLease(body: unknown): number {
+export function parseLeaseId(body: unknown): number {
   return requireInteger(requireObject(body).ticket, 'lease');
 }
 
@@ -118,7 +118,7 @@
  * Returns the keys whose conditions did not hold; none when the response has no list of
  * them. Throws `MalformedMessageError`.
  */
-export function parseFailed(body: unknown): string[] {
+export function parseFailedKeys(body: unknown): string[] {
   const { failed } = requireObject(body);
   return Array.isArray(failed) ? failed.map(String) : [];
 }
--- a/src/protocol/paths.ts
+++ b/src/protocol/paths.ts
@@ -26,4 +26,4 @@
 } as const;
 
 /** Part of the cancellation path after the job id. */
-export const CANCEL_PATH = 'withdraw';
+export const CANCEL_PATH_SEGMENT = 'withdraw';
--- a/src/records/bitmap-layout.ts
+++ b/src/records/bitmap-layout.ts
@@ -53,7 +53,7 @@
    * Returns the layout for the present limit on a value and the lowest limit that may
    * come into force, both in bytes.
    */
-  static forValues(presentValueBytes: number, minValueBytes: number): BitmapLayout {
+  static forValueLimits(presentValueBytes: number, minValueBytes: number): BitmapLayout {
     const legacyTasksPerChunk = tasksPerValue(presentValueBytes);
     const maxTasks = tasksPerValue(minValueBytes);
     let tasksPerChunk = legacyTasksPerChunk;
@@ -62,7 +62,7 @@
   }
 
   /** Returns the key of a job's chunk. */
-  key(job: string, chunk: number): string {
+  chunkKey(job: string, chunk: number): string {
     const firstTask = chunk * this.tasksPerChunk;
     const chunkNumber = String(firstTask / this.legacyTasksPerChunk).padStart(
       CHUNK_NUMBER_DIGITS,
@@ -77,7 +77,7 @@
   }
 
   /** Parses a key of either form. Returns null when it is not the key of a bitmap chunk. */
-  parse(key: string): ChunkKey | null {
+  parseKey(key: string): ChunkKey | null {
     if (!key.startsWith(BITMAP_PREFIX)) return null;
     const [job, numberPart, firstTaskPart] = key.slice(BITMAP_PREFIX.length).split('/');
     if (!job || numberPart === undefined) return null;
@@ -87,7 +87,7 @@
         : Number(firstTaskPart);
     if (!Number.isSafeInteger(firstTask) || firstTask < 0) return null;
     const chunk = firstTask / this.tasksPerChunk;
-    const isCurrentForm = Number.isInteger(chunk) && this.key(job, chunk) === key;
+    const isCurrentForm = Number.isInteger(chunk) && this.chunkKey(job, chunk) === key;
     return { job, firstTask, chunk: isCurrentForm ? chunk : null };
   }
 }
--- a/src/records/keys.ts
+++ b/src/records/keys.ts
@@ -32,20 +32,21 @@
   `${DEPENDENCY_PAGE_PREFIX}${id}/${page}`;
 
 /** Prefix of the headers of dependency lists, which are too long for one transaction. */
-export const LIST_HEADER_PREFIX = 'lists/';
+export const DEPENDENCY_LIST_HEADER_PREFIX = 'lists/';
 
 /** Returns the key of the header of a job's dependency list. */
-export const listHeaderKey = (id: string, token: string) => `${LIST_HEADER_PREFIX}${id}/${token}`;
+export const dependencyListHeaderKey = (id: string, token: string) =>
+  `${DEPENDENCY_LIST_HEADER_PREFIX}${id}/${token}`;
 
 /** Returns the prefix of all pages of a job's dependency list. */
-export const listPagesPrefix = (id: string, token: string) => `needs/${id}/${token}/`;
+export const dependencyListPagesPrefix = (id: string, token: string) => `needs/${id}/${token}/`;
 
 /** Digits to which a page's number is padded, so that keys sort in the order of the pages. */
 const PAGE_DIGITS = 4;
 
 /** Returns the key of a page of a job's dependency list. Pages are numbered from 0. */
-export const listPageKey = (id: string, token: string, page: number) =>
-  `${listPagesPrefix(id, token)}${String(page).padStart(PAGE_DIGITS, '0')}`;
+export const dependencyListPageKey = (id: string, token: string, page: number) =>
+  `${dependencyListPagesPrefix(id, token)}${String(page).padStart(PAGE_DIGITS, '0')}`;
 
 /** Returns the key of a page of machines that tasks may have been assigned to. */
 export const rosterKey = (page: string) => `${ROSTER_PREFIX}${page}`;
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -16,7 +16,7 @@
 export interface MailboxRequest {
   kind: 'ask';
   /** Number of the request among those of the requesting process, from 1. */
-  n: number;
+  requestNumber: number;
   /** Name of the requesting controller. */
   from: string;
   /**
@@ -32,7 +32,7 @@
 export interface MailboxResponse {
   kind: 'answer';
   /** Number of the request. */
-  n: number;
+  requestNumber: number;
   /** Incarnation in the request. */
   incarnation: string;
   /** The reply to the heartbeat, as a `SentForwardedReply` (peer-requests). */
@@ -65,7 +65,7 @@
 export function encodeMailboxRequest(request: MailboxRequest): StoredMailboxRequest {
   return {
     kind: 'ask',
-    n: request.n,
+    n: request.requestNumber,
     from: request.from,
     incarnation: request.incarnation,
     text: request.text,
@@ -76,7 +76,7 @@
 export function encodeMailboxResponse(response: MailboxResponse): StoredMailboxResponse {
   return {
     kind: 'answer',
-    n: response.n,
+    n: response.requestNumber,
     incarnation: response.incarnation,
     value: response.value,
   };
@@ -92,14 +92,14 @@
   if (stored.kind === 'answer')
     return {
       kind: 'answer',
-      n: stored.n,
+      requestNumber: stored.n,
       incarnation: stored.incarnation,
       value: stored.value,
     };
   if (stored.kind === 'ask' && typeof stored.text === 'string')
     return {
       kind: 'ask',
-      n: stored.n,
+      requestNumber: stored.n,
       from: stored.from,
       incarnation: stored.incarnation,
       text: stored.text,
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -32,14 +32,14 @@
   /** Whether the controller is the leader. */
   leading: boolean;
   /** Whether the state service serves the controller's requests. */
-  stateOk: boolean;
+  stateServiceAvailable: boolean;
   /**
    * Whether the controller lacks memory for further jobs. Absent in the status of an
    * earlier version.
    */
   memoryShort?: boolean;
   /** Progress of live jobs, for display only. Empty unless the controller is the leader. */
-  counts: SentJobProgress[];
+  taskCounts: SentJobProgress[];
 }
 
 /** The form in which a `PeerStatus` is sent. */
@@ -61,7 +61,7 @@
  */
 export type PeerFrame =
   | { kind: 'status'; status: PeerStatus }
-  | { kind: 'ask'; n: number; op: string; payload: unknown }
+  | { kind: 'ask'; requestNumber: number; operation: string; payload: unknown }
   | { kind: 'answer'; n: number; payload: unknown };
 
 /** The form in which a `PeerFrame` is sent. peer-requests defines the payloads. */
@@ -78,9 +78,9 @@
     sentAt: status.sentAt,
     term: status.term,
     leading: status.leading,
-    stateOk: status.stateOk,
+    stateOk: status.stateServiceAvailable,
     ...(status.memoryShort === undefined ? {} : { memoryShort: status.memoryShort }),
-    counts: status.counts,
+    counts: status.taskCounts,
   };
 }
 
@@ -91,8 +91,8 @@
     sentAt: sent.sentAt,
     term: sent.term,
     leading: sent.leading,
-    stateOk: sent.stateOk,
-    counts: sent.counts,
+    stateServiceAvailable: sent.stateOk,
+    taskCounts: sent.counts,
   };
   if (sent.memoryShort !== undefined) status.memoryShort = sent.memoryShort;
   return status;
@@ -104,7 +104,7 @@
     case 'status':
       return { kind: 'status', status: encodeStatus(frame.status) };
     case 'ask':
-      return { kind: 'ask', n: frame.n, op: frame.op, payload: frame.payload };
+      return { kind: 'ask', n: frame.requestNumber, op: frame.operation, payload: frame.payload };
     case 'answer':
       return { kind: 'answer', n: frame.n, payload: frame.payload };
   }
@@ -122,7 +122,7 @@
     case 'status':
       return isObject(sent.status) ? { kind: 'status', status: decodeStatus(sent.status) } : null;
     case 'ask':
-      return { kind: 'ask', n: sent.n, op: sent.op, payload: sent.payload };
+      return { kind: 'ask', requestNumber: sent.n, operation: sent.op, payload: sent.payload };
     case 'answer':
       return { kind: 'answer', n: sent.n, payload: sent.payload };
     default:
--- a/src/records/peer-requests.ts
+++ b/src/records/peer-requests.ts
@@ -32,7 +32,7 @@
 /** The announcement of a job's cancellation. */
 export interface CancellationNotice {
   /** Id of the cancelled job. */
-  job: string;
+  jobId: string;
   /** Revision of the state service at which the cancellation became durable. */
   revision: number;
 }
@@ -74,14 +74,14 @@
 
 /** Returns the form of the notice that is sent. */
 export function encodeCancellationNotice(notice: CancellationNotice): SentCancellationNotice {
-  return { job: notice.job, revision: notice.revision };
+  return { job: notice.jobId, revision: notice.revision };
 }
 
 /** Returns null when the value is not an object. The fields are not checked. */
 export function decodeCancellationNotice(value: unknown): CancellationNotice | null {
   if (!isObject(value)) return null;
   const sent = value as unknown as SentCancellationNotice;
-  return { job: sent.job, revision: sent.revision };
+  return { jobId: sent.job, revision: sent.revision };
 }
 
 /** Returns the form of the reply that is sent. */
--- a/src/records/value-sizes.ts
+++ b/src/records/value-sizes.ts
@@ -4,7 +4,7 @@
  * Bytes that the values of one transaction may take together. The rest of the state
  * service's limit on a transaction is left for the other parts of the request.
  */
-export const TRANSACTION_BYTES = 56 * 1024;
+export const MAX_TRANSACTION_VALUE_BYTES = 56 * 1024;
 
 /** The share of the limit on a value that its content may take. The rest is a reserve. */
 const VALUE_CONTENT_SHARE = 0.9;
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -56,7 +56,7 @@
    * Acquires `count` tokens and returns 0, or acquires none and returns the time
    * to wait before trying again, in milliseconds.
    */
-  take(count: number, priority: RequestPriority, now: number): number {
+  tryAcquire(count: number, priority: RequestPriority, now: number): number {
     this.refill(now);
     const reserve = Math.min(
       this.burst * MAX_RESERVE_SHARE,
--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -70,7 +70,7 @@
     private readonly version: number,
   ) {
     const { id } = job.spec;
-    const key = cluster.bitmaps.key(id, chunk);
+    const key = cluster.bitmaps.chunkKey(id, chunk);
     const value = encodeFinishedTasks(job.chunkBits(chunk, cluster.bitmaps.tasksPerChunk));
     this.conditions = [
       { key: liveJobKey(id), version: job.version },
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -79,7 +79,9 @@
   }
 
   private hasBootTimedOut(machine: Machine, now: number): boolean {
-    return now - machine.provisionedAt > expectedBootMs(machine) * this.cluster.policy.bootPatience;
+    return (
+      now - machine.provisionedAt > expectedBootMs(machine) * this.cluster.policy.bootTimeoutBoots
+    );
   }
 
   /**
--- a/src/scheduler/state/job-registry.ts
+++ b/src/scheduler/state/job-registry.ts
@@ -91,7 +91,7 @@
     job.ended = true;
     this.jobs.delete(id);
     for (const chunk of job.chunkVersions.keys())
-      this.obsoleteKeys.add(this.bitmaps.key(id, chunk));
+      this.obsoleteKeys.add(this.bitmaps.chunkKey(id, chunk));
     for (const key of job.ownedKeys) this.obsoleteKeys.add(key);
     this.attempts.stopAll(job);
     for (const waiting of job.unsavedChunks.values())
--- a/test/combined-failures-history.test.ts
+++ b/test/combined-failures-history.test.ts
@@ -27,7 +27,7 @@
   ) {
     this.world = new World(random, 5, () => 2000 + random() * 40_000);
     if (!upgrade) return;
-    this.world.upgraded.clear();
+    this.world.upgradedControllers.clear();
     for (const c of [...this.world.controllers]) this.world.restart(c);
   }
 
@@ -37,15 +37,15 @@
     for (let i = 0; i < FAILURES_PER_HISTORY; i++) {
       if (this.upgrade) this.upgradeAtStep(i);
       await this.sendUserRequests();
-      this.injectFailure(world.pick(14));
+      this.injectFailure(world.randomIndex(14));
       await world.run(0.5 + world.random() * 5);
     }
     this.stopFailures();
     // Longer than the longest failure, the leases and the remaining work together.
     await world.run(260);
     for (const id of this.jobIds) await world.poll(id);
-    for (const [id, told] of world.told)
-      assert.notEqual(told.standing, 'live', `${id} was accepted and is not over`);
+    for (const [id, told] of world.reportedStates)
+      assert.notEqual(told.state, 'live', `${id} was accepted and is not over`);
   }
 
   /**
@@ -57,7 +57,7 @@
     const turn = UPGRADE_STEPS.indexOf(step);
     const c = world.controllers[turn];
     if (c) {
-      world.upgraded.add(c.name);
+      world.upgradedControllers.add(c.name);
       world.restart(c);
     }
     if (step === LIMITS_LOWERED_STEP) world.lowerLimits();
@@ -69,16 +69,17 @@
    */
   private pickDependencies(): string[] {
     const { world } = this;
-    if (world.upgraded.size < world.controllers.length || world.random() < 0.4) return [];
-    const accepted = this.jobIds.filter((id) => world.told.has(id));
+    if (world.upgradedControllers.size < world.controllers.length || world.random() < 0.4)
+      return [];
+    const accepted = this.jobIds.filter((id) => world.reportedStates.has(id));
     return accepted.slice(-8).filter(() => world.random() < 0.3);
   }
 
   private async sendUserRequests(): Promise<void> {
     const { world } = this;
-    for (let i = world.pick(3); i > 0; i--)
+    for (let i = world.randomIndex(3); i > 0; i--)
       this.jobIds.push(await world.submit({ awaits: this.pickDependencies() }));
-    const id = this.jobIds[world.pick(Math.max(1, this.jobIds.length))];
+    const id = this.jobIds[world.randomIndex(Math.max(1, this.jobIds.length))];
     // Jobs that others depend on may be cancelled as well.
     if (id && world.random() < 0.3) await world.cancel(id);
     if (id) await world.poll(id);
@@ -88,7 +89,9 @@
     const { world } = this;
     const ms = 300 + world.random() ** 2 * 60_000;
     const c =
-      world.random() < 0.7 && world.leading ? world.leading : this.pickOne(world.controllers);
+      world.random() < 0.7 && world.currentLeader
+        ? world.currentLeader
+        : this.pickOne(world.controllers);
     const m = this.pickOne(world.machines);
     switch (kind) {
       case 0:
@@ -97,7 +100,7 @@
         break;
       case 2:
         this.refuseStateRequests(c, 12_000);
-        world.later(300 + world.random() * 2000, () => this.outage(ms));
+        world.runLater(300 + world.random() * 2000, () => this.outage(ms));
         break;
       case 3:
         this.outage(ms * 0.5);
@@ -105,19 +108,19 @@
       case 4:
       case 5:
         c.crash();
-        world.later(100 + world.random() * 5000, () => world.restart(c));
+        world.runLater(100 + world.random() * 5000, () => world.restart(c));
         break;
       case 6:
         this.refuseStateRequests(c, ms);
-        c.cutFromPeers = true;
-        world.later(ms, () => {
-          c.cutFromPeers = false;
+        c.isPartitionedFromPeers = true;
+        world.runLater(ms, () => {
+          c.isPartitionedFromPeers = false;
         });
         break;
       case 7:
-        c.cutFromWorkers = true;
-        world.later(ms, () => {
-          c.cutFromWorkers = false;
+        c.isPartitionedFromAgents = true;
+        world.runLater(ms, () => {
+          c.isPartitionedFromAgents = false;
         });
         break;
       case 8:
@@ -127,19 +130,19 @@
         this.setMachineFault(m, 'mute', ms);
         break;
       case 10:
-        m.hangs = true;
-        world.later(ms * 0.5, () => m.resume());
+        m.isSuspended = true;
+        world.runLater(ms * 0.5, () => m.resume());
         break;
       case 11:
-        world.lateShare = 0.2;
+        world.delayedWriteShare = 0.2;
         break;
       case 12:
-        world.copyShare = 0.3;
+        world.duplicateHeartbeatShare = 0.3;
         break;
       default:
         for (const x of [...world.controllers]) {
           x.crash();
-          world.later(100 + world.random() * 30_000, () => world.restart(x));
+          world.runLater(100 + world.random() * 30_000, () => world.restart(x));
         }
     }
     this.applyLateWrites();
@@ -147,22 +150,22 @@
 
   private setMachineFault(m: ScriptedMachine, fault: 'deaf' | 'mute', ms: number): void {
     m[fault] = true;
-    this.world.later(ms, () => {
+    this.world.runLater(ms, () => {
       m[fault] = false;
     });
   }
 
   private refuseStateRequests(c: ScriptedController, ms: number): void {
-    if (c.dead) return;
+    if (c.hasCrashed) return;
     c.state.fault = 'refuse';
-    this.world.later(ms, () => {
-      if (!c.dead) c.state.fault = null;
+    this.world.runLater(ms, () => {
+      if (!c.hasCrashed) c.state.fault = null;
     });
   }
 
   private outage(ms: number): void {
     this.world.store.outage = true;
-    this.world.later(ms, () => {
+    this.world.runLater(ms, () => {
       this.world.store.outage = false;
     });
   }
@@ -170,8 +173,8 @@
   /** Applies transactions that got no response, late and in any order. */
   private applyLateWrites(): void {
     for (const c of this.world.controllers)
-      for (const write of c.state.late.splice(0))
-        this.world.later(2000 + this.world.random() * 10_000, () => {
+      for (const write of c.state.delayedRequests.splice(0))
+        this.world.runLater(2000 + this.world.random() * 10_000, () => {
           try {
             write();
           } catch {
@@ -182,20 +185,24 @@
 
   private stopFailures(): void {
     const { world } = this;
-    world.lateShare = 0;
-    world.copyShare = 0;
+    world.delayedWriteShare = 0;
+    world.duplicateHeartbeatShare = 0;
     this.applyLateWrites();
   }
 
   end(): void {
     for (const c of this.world.controllers) c.crash();
-    for (const m of this.world.machines) m.gone = true;
+    for (const m of this.world.machines) m.isTerminated = true;
   }
 
   /** Counts the jobs whose state was reported to users. */
   counts(): { downstream: number; cancelled: number; orphans: number } {
-    const { told, needs, calledOff } = this.world;
-    const cancelled = [...told].filter(([, { standing }]) => standing === 'cancelled');
+    const {
+      reportedStates: told,
+      dependenciesByJob: needs,
+      cancellationRequests: calledOff,
+    } = this.world;
+    const cancelled = [...told].filter(([, { state: standing }]) => standing === 'cancelled');
     return {
       downstream: [...told.keys()].filter((id) => (needs.get(id) ?? []).length > 0).length,
       cancelled: cancelled.length,
@@ -204,7 +211,7 @@
   }
 
   private pickOne<T>(list: readonly T[]): T {
-    return list[this.world.pick(list.length)] as T;
+    return list[this.world.randomIndex(list.length)] as T;
   }
 }
 
@@ -227,7 +234,7 @@
       jitter.mock.restore();
       history.end();
     }
-    started += history.world.started;
+    started += history.world.startCount;
     const counts = history.counts();
     downstream += counts.downstream;
     cancelled += counts.cancelled;
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ScriptedAgent } from './support/scheduler.js';
-import { onWire } from './support/wire.js';
+import { encodeHeartbeat } from './support/wire.js';
 import { World } from './support/world.js';
 
 /** A random source that always returns the middle of its range. */
@@ -23,20 +23,20 @@
 }
 
 function countRunning(world: World, id: string): number {
-  return world.machines.flatMap((m) => m.worker.running()).filter((t) => t.startsWith(id)).length;
+  return world.machines.flatMap((m) => m.agent.running()).filter((t) => t.startsWith(id)).length;
 }
 
 test('a job cancelled elsewhere stops in time when its leader is isolated and a state service outage follows', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 4);
-  const leader = w.leading;
+  const leader = w.currentLeader;
   assert.ok(leader);
   assert.ok(ids.every((id) => countRunning(w, id) === 3));
   // The leader can't learn of the cancellation: its peers don't reach it and its watch waits.
   leader.state.fault = 'refuse';
-  leader.cutFromPeers = true;
+  leader.isPartitionedFromPeers = true;
   await w.run(1);
-  assert.ok(await w.cancel(ids[0] as string, w.other));
+  assert.ok(await w.cancel(ids[0] as string, w.follower));
   // The outage lasts longer than the cancellation bound.
   w.store.outage = true;
   await w.run(20);
@@ -44,30 +44,30 @@
   assert.equal(countRunning(w, ids[1] as string), 3);
   await w.run(70);
   assert.equal(countRunning(w, ids[0] as string), 0);
-  assert.equal(w.lateStarts, 0);
+  assert.equal(w.startsAfterCancellation, 0);
 });
 
 test('a leader refused by the state service stops jobs when its peers announce their cancellation', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 4);
-  const leader = w.leading;
+  const leader = w.currentLeader;
   assert.ok(leader);
   leader.state.fault = 'refuse';
-  const before = w.started;
-  for (const id of ids) assert.ok(await w.cancel(id, w.other));
+  const before = w.startCount;
+  for (const id of ids) assert.ok(await w.cancel(id, w.follower));
   // Informed by its peers, it stops the tasks at once and starts none of these jobs.
   await w.run(2);
   for (const id of ids) assert.equal(countRunning(w, id), 0);
-  assert.deepEqual([w.started, w.lateStarts], [before, 0]);
+  assert.deepEqual([w.startCount, w.startsAfterCancellation], [before, 0]);
 });
 
 test('successive leaders that have not read the jobs renew no agent leases', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 3);
-  const first = w.leading;
+  const first = w.currentLeader;
   assert.ok(first);
   first.crash();
-  assert.ok(await w.cancel(ids[0] as string, w.other));
+  assert.ok(await w.cancel(ids[0] as string, w.follower));
   // Each leader wins an election and is refused before it has read anything.
   for (const c of w.controllers) {
     const { listPage } = c.state;
@@ -76,38 +76,38 @@
         ? pendingUntilAborted(signal)
         : listPage.call(c.state, prefix, after, signal);
   }
-  const terms = w.terms.length;
+  const terms = w.termWinners.length;
   for (let i = 0; i < 8; i++) {
     await w.run(5);
     const c = w.controllers.find((x) => x.leader);
     if (!c) continue;
-    assert.equal(c.leadership.current?.mayRenewAgentLeases(), false);
-    const answer = c.reports.handle(onWire(new ScriptedAgent('n-1').heartbeat()));
+    assert.equal(c.election.current?.mayRenewAgentLeases(), false);
+    const answer = c.heartbeatHandler.handle(encodeHeartbeat(new ScriptedAgent('n-1').heartbeat()));
     await w.run(2);
     assert.equal((await answer).status, 503);
-    c.leadership.current?.resign('lease ended');
+    c.election.current?.resign('lease ended');
   }
-  assert.ok(w.terms.length >= terms + 6, `${w.terms.length - terms} terms`);
+  assert.ok(w.termWinners.length >= terms + 6, `${w.termWinners.length - terms} terms`);
   assert.equal(countRunning(w, ids[0] as string), 0);
 });
 
 test('the first response of a new leader to a machine it does not know stops the tasks of cancelled jobs', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 3);
-  const first = w.leading;
+  const first = w.currentLeader;
   assert.ok(first);
   // One machine is unreachable while the leader changes and the job is cancelled.
-  const m = w.machines.find((x) => x.worker.running().some((t) => t.startsWith(ids[0] as string)));
+  const m = w.machines.find((x) => x.agent.running().some((t) => t.startsWith(ids[0] as string)));
   assert.ok(m);
-  m.hangs = true;
+  m.isSuspended = true;
   first.crash();
-  assert.ok(await w.cancel(ids[0] as string, w.other));
-  for (let i = 0; i < 20 && !w.leading; i++) await w.run(1);
-  const leader = w.leading;
+  assert.ok(await w.cancel(ids[0] as string, w.follower));
+  for (let i = 0; i < 20 && !w.currentLeader; i++) await w.run(1);
+  const leader = w.currentLeader;
   assert.ok(leader);
   // Only its first heartbeat arrives, so this one response has to stop the tasks.
-  const heartbeat = m.worker.heartbeat();
-  assert.ok(heartbeat.term < (leader.leadership.current?.number ?? 0));
+  const heartbeat = m.agent.heartbeat();
+  assert.ok(heartbeat.term < (leader.election.current?.number ?? 0));
   const { commands } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { commands: [] };
   const stops = commands.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
   assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
@@ -119,7 +119,7 @@
 test('a leader whose watch revision is too old starts nothing until it has read all jobs again', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 2);
-  const leader = w.leading;
+  const leader = w.currentLeader;
   assert.ok(leader);
   // The watch waits while renewals are answered; then it is too old, and no list request succeeds.
   const { watch, listPage } = leader.state;
@@ -133,34 +133,34 @@
     prefix === 'live/'
       ? Promise.reject(new Error('no answer'))
       : listPage.call(leader.state, prefix, after, signal);
-  leader.cutFromPeers = true;
+  leader.isPartitionedFromPeers = true;
   await w.run(3);
-  assert.ok(await w.cancel(ids[0] as string, w.other));
+  assert.ok(await w.cancel(ids[0] as string, w.follower));
   await w.run(22);
   // It still leads, since its renewals are answered, but starts nothing.
-  assert.ok(leader.leadership.current?.isProven());
-  assert.equal(leader.leadership.current?.mayStartTasks(), false);
+  assert.ok(leader.election.current?.isProven());
+  assert.equal(leader.election.current?.mayStartTasks(), false);
   // Finally another controller leads.
   await w.run(38);
   assert.equal(countRunning(w, ids[0] as string), 0);
   assert.equal(leader.leader, null);
-  assert.ok(w.leading);
+  assert.ok(w.currentLeader);
 });
 
 test('a leader cut off from state service and peers, but not from agents, starts no jobs cancelled elsewhere', async () => {
   const w = new World(alwaysMiddle, 3, () => 6_000);
   await startJobs(w, 2);
-  const old = w.leading;
+  const old = w.currentLeader;
   assert.ok(old);
   const ids: string[] = [];
   for (let i = 0; i < 8; i++) ids.push(await w.submit());
   old.state.fault = 'refuse';
-  old.cutFromPeers = true;
-  for (let i = 0; i < 30 && (!w.leading || w.leading === old); i++) await w.run(0.5);
-  assert.notEqual(w.leading, old);
-  for (const id of ids) await w.cancel(id, w.leading as never);
+  old.isPartitionedFromPeers = true;
+  for (let i = 0; i < 30 && (!w.currentLeader || w.currentLeader === old); i++) await w.run(0.5);
+  assert.notEqual(w.currentLeader, old);
+  for (const id of ids) await w.cancel(id, w.currentLeader as never);
   await w.run(40);
-  assert.equal(w.lateStarts, 0);
+  assert.equal(w.startsAfterCancellation, 0);
   for (const id of ids) assert.equal(countRunning(w, id), 0);
 });
 
@@ -175,5 +175,5 @@
   for (let i = 0; i < 12; i++) ids.push(await w.submit());
   await w.run(80);
   for (const id of ids) await w.poll(id);
-  assert.ok(ids.every((id) => w.told.get(id)?.standing === 'done'));
+  assert.ok(ids.every((id) => w.reportedStates.get(id)?.state === 'done'));
 });
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -122,7 +122,7 @@
   assert.equal((await submit(1, many)).status, 201);
   const pages = [...cluster.store.entries.keys()].filter((k) => k.startsWith('upstream/'));
   assert.ok(pages.length > 0 && pages.length <= 3);
-  assert.deepEqual(cluster.store.oversize, []);
+  assert.deepEqual(cluster.store.oversizedKeys, []);
   cluster.end(1399, 'cancelled');
   await cluster.clock.advance(60_000);
   const { standing } = (await api.query(jobId(1))).body as { standing?: string };
@@ -185,14 +185,14 @@
   const { world, initialJobs } = await startWorld(2);
   const middle = await world.submit({ awaits: initialJobs });
   const last = await world.submit({ awaits: [middle, initialJobs[0] as string] });
-  world.leading?.crash();
+  world.currentLeader?.crash();
   await world.run(60);
-  world.leading?.crash();
-  for (const c of [...world.controllers]) if (c.dead) world.restart(c);
+  world.currentLeader?.crash();
+  for (const c of [...world.controllers]) if (c.hasCrashed) world.restart(c);
   await world.run(80);
   for (const x of [...initialJobs, middle, last]) {
     await world.poll(x);
-    assert.equal(world.told.get(x)?.standing, 'done');
+    assert.equal(world.reportedStates.get(x)?.state, 'done');
   }
 });
 
@@ -203,18 +203,18 @@
   for (let i = 0; i < 24; i++)
     tree.push(await world.submit({ awaits: [tree[Math.floor(i / 2)] as string] }));
   const done = await world.submit();
-  assert.ok(await world.cancel(root, world.other));
+  assert.ok(await world.cancel(root, world.follower));
   await world.run(0.5);
-  world.leading?.crash();
+  world.currentLeader?.crash();
   await world.run(30);
   for (const x of tree) {
     assert.equal(world.store.entries.has(`live/${x}`), false, x);
     await world.poll(x);
-    assert.equal(world.told.get(x)?.standing, 'cancelled');
+    assert.equal(world.reportedStates.get(x)?.state, 'cancelled');
   }
   await world.run(60);
   await world.poll(done);
-  assert.equal(world.told.get(done)?.standing, 'done');
+  assert.equal(world.reportedStates.get(done)?.state, 'done');
 });
 
 test('the first reply after an outage longer than the cancellation limit reports a dependent as cancelled', async () => {
@@ -224,16 +224,16 @@
   const last = await world.submit({ awaits: [next] });
   await world.poll(last);
   // The leader receives no announcement of the cancellation and can't write.
-  const leader = world.leading;
+  const leader = world.currentLeader;
   assert.ok(leader);
   leader.state.fault = 'refuse';
-  leader.cutFromPeers = true;
-  assert.ok(await world.cancel(root, world.other));
+  leader.isPartitionedFromPeers = true;
+  assert.ok(await world.cancel(root, world.follower));
   world.store.outage = true;
   await world.run(65);
   world.store.outage = false;
   const other = world.controllers.find((c) => c !== leader);
-  const reply = await other?.users.query(last);
+  const reply = await other?.jobApi.query(last);
   assert.equal((reply?.body as { standing: string } | undefined)?.standing, 'cancelled');
 });
 
@@ -243,10 +243,10 @@
   const next = await world.submit({ awaits: [root] });
   await world.run(40);
   assert.ok(await world.cancel(root));
-  assert.equal(world.told.get(root)?.standing, 'done');
+  assert.equal(world.reportedStates.get(root)?.state, 'done');
   await world.run(40);
   await world.poll(next);
-  assert.equal(world.told.get(next)?.standing, 'done');
+  assert.equal(world.reportedStates.get(next)?.state, 'done');
 });
 
 test('a query does not cancel a job with running tasks, even when its dependency was cancelled', async () => {
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -122,7 +122,7 @@
       status: 201,
       body: { id: jobId(1), standing: 'queued' },
     });
-    assert.deepEqual(fixture.store.oversize, []);
+    assert.deepEqual(fixture.store.oversizedKeys, []);
     assert.ok(node.state.requests < 100, `${node.state.requests} requests`);
     const storedIds = await node.dependenciesOf(jobId(1), fixture.record(jobId(1)));
     for (const job of dependencies.slice(4000)) assert.ok(storedIds?.includes(job), job);
@@ -185,13 +185,13 @@
     const known = fixture.store.entries.get(`live/${jobId(1)}`);
     assert.ok([200, 201].includes(repeat.status) && known);
     // The lost write is applied late, and the user of the first node repeats the submission.
-    for (const work of first.state.late.splice(0)) assert.doesNotThrow(work);
+    for (const work of first.state.delayedRequests.splice(0)) assert.doesNotThrow(work);
     first.state.fault = null;
     assert.equal((await first.submit(jobId(1), dependencies)).status, 200);
     const storedIds = await first.dependenciesOf(jobId(1), fixture.record(jobId(1)));
     assert.deepEqual([...(storedIds ?? [])].sort(), repeat.status === 201 ? other : dependencies);
     if (other === dependencies) assert.equal(fixture.keys('lists/').length, 1);
-    assert.deepEqual(fixture.store.oversize, []);
+    assert.deepEqual(fixture.store.oversizedKeys, []);
   }
 });
 
@@ -217,7 +217,7 @@
     assert.ok(fixture.keys(prefix).every((key) => key.startsWith(`${prefix}${jobId(1)}/`)));
   assert.deepEqual((await node.dependenciesOf(jobId(1), fixture.record(jobId(1))))?.length, 700);
   // A late write of the failed submission fails because its header is gone.
-  for (const work of node.state.late.splice(0)) assert.doesNotThrow(work);
+  for (const work of node.state.delayedRequests.splice(0)) assert.doesNotThrow(work);
   assert.deepEqual(
     fixture.keys('needs/').filter((key) => key.includes(jobId(3))),
     [],
@@ -245,14 +245,14 @@
   await fixture.clock.advance(leader.ctx.timing.orphanListMs * 1.4);
   stop.abort();
   await settle();
-  for (const work of node.state.late.splice(0)) assert.doesNotThrow(work);
+  for (const work of node.state.delayedRequests.splice(0)) assert.doesNotThrow(work);
   assert.equal(fixture.record(jobId(1)), undefined);
   // A repeated submission reuses the list, and the late deletion fails.
   node.state.fault = null;
   node.state.onTransact = () => {};
   assert.equal((await node.submit(jobId(1), dependencies)).status, 201);
-  assert.ok(leader.state.late.length > 0);
-  for (const work of leader.state.late.splice(0)) assert.doesNotThrow(work);
+  assert.ok(leader.state.delayedRequests.length > 0);
+  for (const work of leader.state.delayedRequests.splice(0)) assert.doesNotThrow(work);
   assert.equal(pages(), all);
   assert.equal((await node.dependenciesOf(jobId(1), fixture.record(jobId(1))))?.length, 700);
   // A leader that does not know the live job yet does not remove the list either.
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -329,8 +329,8 @@
     sentAt,
     term: 3,
     leading: true,
-    stateOk: true,
-    counts: [],
+    stateServiceAvailable: true,
+    taskCounts: [],
   });
   const sentAt = clock.wall();
   const receivedAt = clock.now();
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -6,7 +6,7 @@
 import { HttpClient } from '../src/http/client.js';
 import { NoResponseError, NotSentError } from '../src/http/errors.js';
 import type { Handler } from '../src/http/server.js';
-import { serving } from './support/http.js';
+import { withServer } from './support/http.js';
 
 // This test runs first: mocked timers would leave the timers of other tests' sockets running.
 test('a connection that is established after its waiting request has timed out serves the next request', async () => {
@@ -45,7 +45,7 @@
 
 test('client and server exchange several requests over one connection', async () => {
   const hosts = new Set<string>();
-  await serving(
+  await withServer(
     (request) => {
       hosts.add(request.headers.get('host') ?? '');
       return { status: 200, body: { got: request.body.toString() } };
@@ -93,7 +93,7 @@
     isValid = false;
     return { status: 200, body: {} };
   };
-  await serving(handler, async (port) => {
+  await withServer(handler, async (port) => {
     const client = new HttpClient(
       { host: '127.0.0.1', port },
       { connections: 1, maxBodyBytes: 1000 },
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -5,7 +5,7 @@
 import { mock, test } from 'node:test';
 import { type Handler, serve } from '../src/http/server.js';
 import { settle } from './support/clock.js';
-import { sendRaw, serving } from './support/http.js';
+import { sendRaw, withServer } from './support/http.js';
 
 test('a connection is closed when it stays idle or its request arrives too slowly', async () => {
   mock.timers.enable({ apis: ['setInterval', 'Date'] });
@@ -17,9 +17,9 @@
         port: 0,
         handler: () => ({ status: 200, body: {} }),
         maxConnections: 10,
-        requestMs: 1000,
-        idleMs: 4000,
-        spareMs: 0,
+        requestTimeoutMs: 1000,
+        idleTimeoutMs: 4000,
+        minEvictableIdleMs: 0,
         onError: () => {},
       },
       stop.signal,
@@ -64,7 +64,7 @@
   const replyAllowed = new Promise<void>((resolve) => {
     allowReply = resolve;
   });
-  await serving(
+  await withServer(
     async () => {
       await replyAllowed;
       return { status: 200, body: { late: true } };
@@ -86,7 +86,7 @@
 });
 
 test('a handler error is answered with 500 and a malformed request with 400, and the server keeps serving', async () => {
-  await serving(
+  await withServer(
     () => {
       throw new Error('boom');
     },
@@ -115,7 +115,7 @@
           finishSlowRequest = () => resolve({ status: 200, body: {} });
         })
       : { status: 200, body: {} };
-  await serving(
+  await withServer(
     handler,
     async (port) => {
       const sendRequest = (path: string) => {
@@ -155,9 +155,9 @@
       port: 0,
       handler,
       maxConnections: 50,
-      requestMs: 60_000,
-      idleMs: 60_000,
-      spareMs: 0,
+      requestTimeoutMs: 60_000,
+      idleTimeoutMs: 60_000,
+      minEvictableIdleMs: 0,
       onError: () => {},
     },
     stop.signal,
@@ -193,7 +193,7 @@
     if (++served > 1) serveAgain();
     return { status: 200, body: { large } };
   };
-  await serving(handler, async (port) => {
+  await withServer(handler, async (port) => {
     const socket = net.connect({ port, host: '127.0.0.1' });
     socket.on('error', () => {});
     const closed = once(socket, 'close');
--- a/test/leader-election.test.ts
+++ b/test/leader-election.test.ts
@@ -73,7 +73,7 @@
   assert.equal(w.terms.length, 1);
   dead.crash();
   // The process was killed, so the leader key still exists.
-  w.store.grant(1);
+  w.store.grantLease(1);
   const again = w.node('n-0', 'n-0-2');
   await w.clock.advance(500);
   assert.equal(again.election.current?.number, 2);
@@ -118,9 +118,9 @@
   const [term] = w.terms;
   assert.ok(term);
   // Every other renewal is answered only after the proof has expired.
-  const { touch } = node.state;
+  const { renewLease: touch } = node.state;
   let renewals = 0;
-  node.state.touch = async (lease) => {
+  node.state.renewLease = async (lease) => {
     if (renewals++ % 2 === 0) await w.clock.sleep(node.ctx.timing.leadershipProofMs * 1.2);
     return touch.call(node.state, lease);
   };
@@ -142,7 +142,7 @@
   const term = a.election.current?.number;
   assert.ok(term);
   const held = w.store.entries.get(LEADER_KEY)?.version;
-  for (const late of a.state.late) {
+  for (const late of a.state.delayedRequests) {
     try {
       late();
     } catch {
--- a/test/mailbox.test.ts
+++ b/test/mailbox.test.ts
@@ -27,7 +27,7 @@
   await clock.advance(1000);
   await timedOut;
   await clock.advance(60_000);
-  store.expire();
+  store.expireLeases();
   assert.deepEqual([...store.entries.keys()], []);
   stop.abort();
 });
--- a/test/peer-network.test.ts
+++ b/test/peer-network.test.ts
@@ -38,7 +38,7 @@
     peers: [{ node: 'n-1', address }],
     clock: systemClock,
     // Long enough to connect on a busy machine.
-    retryMs: 5000,
+    reconnectDelayMs: 5000,
     onStatus: () => {},
     onRequest: () => Promise.reject(new Error('unexpected request')),
     onError: () => {},
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -15,9 +15,9 @@
   sentAt: 1_800_000_001_000,
   term: 3,
   leading: true,
-  stateOk: true,
+  stateServiceAvailable: true,
   memoryShort: false,
-  counts: [['req-000412', 9, 4]],
+  taskCounts: [['req-000412', 9, 4]],
 };
 
 /** Returns the bytes of a frame in hexadecimal. */
--- a/test/request-sharing.test.ts
+++ b/test/request-sharing.test.ts
@@ -6,21 +6,21 @@
 import type { Handler } from '../src/http/server.js';
 import { RequestBudget, RequestPriority } from '../src/runtime/request-budget.js';
 import { FakeClock } from './support/clock.js';
-import { serving } from './support/http.js';
+import { withServer } from './support/http.js';
 
 test('a flood of user requests leaves budget and connections for leadership, and budget for completions', async () => {
   const budget = new RequestBudget(10, 10, 0);
-  while (budget.take(1, RequestPriority.queries, 0) === 0);
-  assert.equal(budget.take(1, RequestPriority.completions, 0), 0);
-  while (budget.take(1, RequestPriority.submissions, 0) === 0);
-  assert.equal(budget.take(1, RequestPriority.leadership, 0), 0);
+  while (budget.tryAcquire(1, RequestPriority.queries, 0) === 0);
+  assert.equal(budget.tryAcquire(1, RequestPriority.completions, 0), 0);
+  while (budget.tryAcquire(1, RequestPriority.submissions, 0) === 0);
+  assert.equal(budget.tryAcquire(1, RequestPriority.leadership, 0), 0);
 
   const pendingReplies: (() => void)[] = [];
   const handler: Handler = (request) =>
     request.method === 'POST'
       ? { status: 200, body: {} }
       : new Promise((resolve) => pendingReplies.push(() => resolve({ status: 404, body: {} })));
-  await serving(handler, async (port) => {
+  await withServer(handler, async (port) => {
     const state = new StateClient({
       address: { host: '127.0.0.1', port },
       requestsPerS: 10,
@@ -33,7 +33,7 @@
     const requests = Array.from({ length: 5 }, () =>
       state.get('live/x', RequestPriority.submissions),
     );
-    assert.equal(await state.touch(7), true);
+    assert.equal(await state.renewLease(7), true);
     const replyToAll = async () => {
       while (pendingReplies.length > 0) pendingReplies.pop()?.();
       await new Promise(setImmediate);
@@ -65,8 +65,8 @@
     new Promise((resolve) => {
       release = () => resolve({ status: 200, body });
     });
-  await serving(delayed, (a) =>
-    serving(
+  await withServer(delayed, (a) =>
+    withServer(
       () => ({ status: 200, body }),
       async (b) => {
         const agents = new AgentClient(60_000, 1);
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -18,16 +18,16 @@
 export class ScriptedController {
   readonly state: FakeStateService;
   readonly ctx: ControllerContext;
-  readonly leadership: LeaderElection;
-  readonly reports: HeartbeatHandler;
-  readonly users: JobApi;
+  readonly election: LeaderElection;
+  readonly heartbeatHandler: HeartbeatHandler;
+  readonly jobApi: JobApi;
   leader: Leader | null = null;
   /** No messages pass between this controller and the others. */
-  cutFromPeers = false;
+  isPartitionedFromPeers = false;
   /** No messages pass between this controller and the agents. */
-  cutFromWorkers = false;
+  isPartitionedFromAgents = false;
   /** The process has crashed. */
-  dead = false;
+  hasCrashed = false;
   private readonly shutdown = new AbortController();
 
   constructor(
@@ -37,14 +37,14 @@
   ) {
     const { clock, store } = world;
     this.state = new FakeStateService(store);
-    this.state.holdsBack = () => world.random() < world.lateShare;
-    const next = world.upgraded.has(name) ? NEXT_LIMITS : null;
+    this.state.delaysNextTransaction = () => world.random() < world.delayedWriteShare;
+    const next = world.upgradedControllers.has(name) ? NEXT_LIMITS : null;
     this.ctx = {
       ...createContext(name, this.state, clock, next),
       incarnation: `${name}-${incarnationNumber}`,
     };
     this.ctx.log = pino({ level: 'silent' });
-    this.leadership = new LeaderElection(this.ctx, async (term) => {
+    this.election = new LeaderElection(this.ctx, async (term) => {
       const leader = new Leader({
         ctx: this.ctx,
         cloud: world.cloudClient(this),
@@ -53,14 +53,14 @@
         agents: world.agentClient(this),
       });
       this.leader = leader;
-      world.terms.push(this);
+      world.termWinners.push(this);
       try {
         await leader.run();
       } finally {
         this.leader = null;
       }
     });
-    this.users = new JobApi(this.ctx, {
+    this.jobApi = new JobApi(this.ctx, {
       taskCounts: { taskCountsOf: () => null },
       cancellations: {
         announceCancellation: async (id, revision) => {
@@ -70,9 +70,9 @@
       },
     });
     const peer = (node: string) => this.reachablePeers().find((c) => c.name === node);
-    this.reports = new HeartbeatHandler({
+    this.heartbeatHandler = new HeartbeatHandler({
       ctx: this.ctx,
-      election: this.leadership,
+      election: this.election,
       leader: () => this.leader,
       peers: {
         isReachable: (node) => peer(node) !== undefined,
@@ -80,27 +80,30 @@
         forwardHeartbeat: async (node, body) => {
           const recipient = peer(node);
           if (!recipient) throw new Error('peer is not reachable');
-          return recipient.reports.handle(body);
+          return recipient.heartbeatHandler.handle(body);
         },
         forwardThroughMailbox: () => Promise.reject(new Error('the mailbox is not simulated')),
       },
       fetchHeartbeat: async (address) => {
         const m = world.findMachine(address);
-        if (!m || m.hangs || m.deaf || this.cutFromWorkers) throw new NoResponseError('timed out');
-        return m.worker.heartbeat();
+        if (!m || m.isSuspended || m.deaf || this.isPartitionedFromAgents)
+          throw new NoResponseError('timed out');
+        return m.agent.heartbeat();
       },
     });
-    void this.leadership.run(this.shutdown.signal);
+    void this.election.run(this.shutdown.signal);
   }
 
   private reachablePeers(): ScriptedController[] {
-    if (this.cutFromPeers) return [];
-    return this.world.controllers.filter((c) => c !== this && !c.dead && !c.cutFromPeers);
+    if (this.isPartitionedFromPeers) return [];
+    return this.world.controllers.filter(
+      (c) => c !== this && !c.hasCrashed && !c.isPartitionedFromPeers,
+    );
   }
 
   /** Ends the controller like a killed process: it sends nothing more. */
   crash(): void {
-    this.dead = true;
+    this.hasCrashed = true;
     this.state.fault = 'dead';
     this.shutdown.abort();
   }
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -4,7 +4,7 @@
 import { type Handler, serve } from '../../src/http/server.js';
 
 /** Runs a server with the handler for the duration of `work`. */
-export async function serving(
+export async function withServer(
   handler: Handler,
   work: (port: number) => Promise<void>,
   maxConnections = 10,
@@ -16,9 +16,9 @@
       port: 0,
       handler,
       maxConnections,
-      requestMs: 60_000,
-      idleMs: 60_000,
-      spareMs: 0,
+      requestTimeoutMs: 60_000,
+      idleTimeoutMs: 60_000,
+      minEvictableIdleMs: 0,
       onError: () => {},
     },
     stop.signal,
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -3,7 +3,7 @@
 import { fencingToken } from '../../src/protocol/agent-protocol.js';
 import type { ScriptedController } from './controller.js';
 import { ScriptedAgent } from './scheduler.js';
-import { fromWire, onWire, type WireOrder } from './wire.js';
+import { decodeCommand, encodeHeartbeat, type WireCommand } from './wire.js';
 import type { World } from './world.js';
 
 /** Distance between the fencing tokens of two consecutive terms. */
@@ -15,15 +15,15 @@
 
 /** A machine with an agent that behaves as the agent protocol defines. */
 export class ScriptedMachine {
-  readonly worker: ScriptedAgent;
+  readonly agent: ScriptedAgent;
   /** The agent is suspended: it executes and sends nothing, and commands are held until it resumes. */
-  hangs = false;
+  isSuspended = false;
   /** Commands and replies do not reach the agent. */
   deaf = false;
   /** Heartbeats of the agent do not reach any controller. */
   mute = false;
   /** The machine has been terminated. */
-  gone = false;
+  isTerminated = false;
   /** Start of the agent's current lease. */
   private leaseRenewedAt: number;
   private controllerIndex: number;
@@ -38,30 +38,30 @@
     id: string,
     zone: string,
   ) {
-    this.worker = new ScriptedAgent(id, zone);
+    this.agent = new ScriptedAgent(id, zone);
     this.leaseRenewedAt = world.clock.now();
-    this.controllerIndex = world.pick(3);
+    this.controllerIndex = world.randomIndex(3);
     void this.run();
   }
 
   get address(): string {
-    return `10.0.0.1:${9000 + Number(this.worker.id.slice(2))}`;
+    return `10.0.0.1:${9000 + Number(this.agent.id.slice(2))}`;
   }
 
   /** Expires the agent's lease and completes its tasks according to the current time. */
   advanceToNow(): void {
     const now = this.world.clock.now();
     if (now - this.leaseRenewedAt > this.world.agentLeaseMs) {
-      this.worker.expireLease();
+      this.agent.expireLease();
       this.leaseRenewedAt = now;
       this.taskEndsAt.clear();
     }
-    if (this.hangs) return;
+    if (this.isSuspended) return;
     for (const [key, end] of this.taskEndsAt) {
-      const t = this.worker.tasks.get(key);
+      const t = this.agent.tasks.get(key);
       if (!t || t.state === 'exited') this.taskEndsAt.delete(key);
       else if (end <= now) {
-        this.worker.exit(key, 'done');
+        this.agent.exit(key, 'done');
         this.taskEndsAt.delete(key);
         this.world.recordTaskCompletion(t.jobId, t.index);
       }
@@ -70,15 +70,15 @@
 
   execute(token: number, commands: TaskCommand[]): boolean {
     this.advanceToNow();
-    const before = new Set(this.worker.tasks.keys());
-    const accepted = this.worker.execute(
+    const before = new Set(this.agent.tasks.keys());
+    const accepted = this.agent.execute(
       Math.floor(token / FENCES_PER_TERM),
       commands,
       token % FENCES_PER_TERM,
     );
-    for (const [key, t] of this.worker.tasks)
+    for (const [key, t] of this.agent.tasks)
       if (!before.has(key) && t.state === 'running') {
-        if (this.world.completedTasks.has(`${t.jobId}/${t.index}`)) this.worker.exit(key, 'done');
+        if (this.world.completedTasks.has(`${t.jobId}/${t.index}`)) this.agent.exit(key, 'done');
         else {
           this.world.recordStart(t.jobId);
           this.taskEndsAt.set(key, this.world.clock.now() + this.world.taskDurationMs());
@@ -89,8 +89,8 @@
 
   /** Executes commands that a controller sent directly, and returns the agent's response. */
   command(token: number, agentEpoch: number, commands: TaskCommand[]) {
-    const accepted = agentEpoch === this.worker.agentEpoch && this.execute(token, commands);
-    return { executed: accepted, heartbeat: this.worker.heartbeat() };
+    const accepted = agentEpoch === this.agent.agentEpoch && this.execute(token, commands);
+    return { executed: accepted, heartbeat: this.agent.heartbeat() };
   }
 
   deferCommand(execute: () => void): void {
@@ -98,7 +98,7 @@
   }
 
   resume(): void {
-    this.hangs = false;
+    this.isSuspended = false;
     this.advanceToNow();
     for (const execute of this.deferredCommands.splice(0)) execute();
   }
@@ -107,12 +107,12 @@
     const { clock } = this.world;
     const intervalMs = this.world.heartbeatMs;
     let dueAt = clock.now() + this.world.random() * intervalMs;
-    while (!this.gone) {
+    while (!this.isTerminated) {
       await clock.sleep(TICK_MS);
-      if (this.gone) return;
+      if (this.isTerminated) return;
       this.advanceToNow();
-      if (this.hangs) continue;
-      const { worker } = this;
+      if (this.isSuspended) continue;
+      const { agent: worker } = this;
       const currentState = `${worker.agentEpoch} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
       if (clock.now() < dueAt && currentState === this.lastReportedState) continue;
       this.lastReportedState = currentState;
@@ -132,9 +132,9 @@
 
   /** Delivers a copy of the heartbeat to a random controller, 2 to 32 seconds later. */
   private sendDelayedDuplicate(body: Buffer): void {
-    this.world.later(2000 + this.world.random() * 30_000, () => {
-      const recipient = this.world.controllers[this.world.pick(3)] as ScriptedController;
-      if (!recipient.dead) void recipient.reports.handle(body);
+    this.world.runLater(2000 + this.world.random() * 30_000, () => {
+      const recipient = this.world.controllers[this.world.randomIndex(3)] as ScriptedController;
+      if (!recipient.hasCrashed) void recipient.heartbeatHandler.handle(body);
     });
   }
 
@@ -142,23 +142,23 @@
     const { clock, controllers } = this.world;
     const sentAt = clock.now();
     const controller = controllers[this.controllerIndex] as ScriptedController;
-    const { agentEpoch: epochAtSend } = this.worker;
-    const body = onWire(this.worker.heartbeat());
+    const { agentEpoch: epochAtSend } = this.agent;
+    const body = encodeHeartbeat(this.agent.heartbeat());
     let reply: Reply | null = null;
-    if (!this.mute && !controller.dead && !controller.cutFromWorkers) {
-      if (this.world.random() < this.world.copyShare) this.sendDelayedDuplicate(body);
-      const response = controller.reports.handle(body).catch(() => null);
+    if (!this.mute && !controller.hasCrashed && !controller.isPartitionedFromAgents) {
+      if (this.world.random() < this.world.duplicateHeartbeatShare) this.sendDelayedDuplicate(body);
+      const response = controller.heartbeatHandler.handle(body).catch(() => null);
       const timeout = clock.sleep(HEARTBEAT_TIMEOUT_MS).then(() => null);
       reply = await Promise.race([response, timeout]);
       if (this.deaf) reply = null;
     }
-    if (this.gone || this.hangs) return;
+    if (this.isTerminated || this.isSuspended) return;
     this.advanceToNow();
     if (reply?.status === 200) {
-      const answer = reply.body as { baton: number; orders: WireOrder[] };
-      if (epochAtSend !== this.worker.agentEpoch) return;
-      if (answer.baton < fencingToken(this.worker.term, this.worker.fence)) return;
-      this.execute(answer.baton, answer.orders.map(fromWire));
+      const answer = reply.body as { baton: number; orders: WireCommand[] };
+      if (epochAtSend !== this.agent.agentEpoch) return;
+      if (answer.baton < fencingToken(this.agent.term, this.agent.fence)) return;
+      this.execute(answer.baton, answer.orders.map(decodeCommand));
       this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
       return;
     }
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -37,7 +37,7 @@
 
   /** Limits of a transaction: a larger one is rejected, and its keys are added to `oversizedKeys`. */
   limits: { valueBytes: number; changes: number } | null = null;
-  readonly oversize: string[] = [];
+  readonly oversizedKeys: string[] = [];
 
   /** During an outage all requests are refused and no lease expires. */
   private isDown = false;
@@ -55,7 +55,7 @@
     this.isDown = isDown;
   }
 
-  expire(): void {
+  expireLeases(): void {
     if (this.isDown) return;
     for (const [id, lease] of this.leases)
       if (lease.expiresAt <= this.clock.now()) this.endLease(id);
@@ -67,13 +67,13 @@
       if (entry.lease === id) this.change([{ op: 'delete', key }]);
   }
 
-  grant(ttlMs: number): number {
+  grantLease(ttlMs: number): number {
     this.leases.set(++this.lastLease, { ttlMs, expiresAt: this.clock.now() + ttlMs });
     return this.lastLease;
   }
 
-  touch(id: number): boolean {
-    this.expire();
+  renewLease(id: number): boolean {
+    this.expireLeases();
     const lease = this.leases.get(id);
     if (!lease) return false;
     lease.expiresAt = this.clock.now() + lease.ttlMs;
@@ -81,7 +81,7 @@
   }
 
   transact(conditions: Condition[], changes: Change[]): TransactionResult {
-    this.expire();
+    this.expireLeases();
     this.checkSize(conditions, changes);
     for (const change of changes)
       if (change.op === 'put' && change.lease !== undefined && !this.leases.has(change.lease))
@@ -103,7 +103,7 @@
     );
     if (changes.length > maxChanges || conditions.length > maxChanges * 4) large.push(...changes);
     if (large.length === 0) return;
-    this.oversize.push(...large.map((change) => change.key));
+    this.oversizedKeys.push(...large.map((change) => change.key));
     throw new RequestRejectedError(
       `400 too large: ${large.map((change) => change.key).join(', ')}`,
     );
@@ -145,13 +145,13 @@
   /** Fault that affects all further requests; null for none. */
   fault: Fault = null;
   /** Delayed requests, which the test executes by calling them. */
-  late: (() => void)[] = [];
+  delayedRequests: (() => void)[] = [];
   /** Number of requests other than watches and lease requests. */
   requests = 0;
   /** Called with the changes of each transaction before it is executed. */
   onTransact: (changes: Change[]) => void = () => {};
   /** Reports whether the next transaction receives no response and is delayed. */
-  holdsBack: () => boolean = () => false;
+  delaysNextTransaction: () => boolean = () => false;
 
   constructor(private readonly store: FakeStore) {}
 
@@ -163,10 +163,10 @@
     if (this.fault === 'dead') throw new NoResponseError('the process has ended');
     if (this.refused) throw new RequestRefusedError(100);
     if (this.fault === 'lose request') {
-      this.late.push(() => void work());
+      this.delayedRequests.push(() => void work());
       throw new NoResponseError('timed out');
     }
-    this.store.expire();
+    this.store.expireLeases();
     const result = work();
     if (this.fault === 'lose answer') throw new NoResponseError('timed out');
     return result;
@@ -194,22 +194,22 @@
   transact(conditions: Condition[], changes: Change[]): Promise<TransactionResult> {
     this.requests++;
     this.onTransact(changes);
-    if (!this.refused && this.fault !== 'dead' && this.holdsBack()) {
-      this.late.push(() => void this.store.transact(conditions, changes));
+    if (!this.refused && this.fault !== 'dead' && this.delaysNextTransaction()) {
+      this.delayedRequests.push(() => void this.store.transact(conditions, changes));
       return Promise.reject(new NoResponseError('timed out'));
     }
     return this.serve(() => this.store.transact(conditions, changes));
   }
 
-  grant(ttlMs: number): Promise<number> {
-    return this.serve(() => this.store.grant(ttlMs));
+  grantLease(ttlMs: number): Promise<number> {
+    return this.serve(() => this.store.grantLease(ttlMs));
   }
 
-  touch(lease: number): Promise<boolean> {
-    return this.serve(() => this.store.touch(lease));
+  renewLease(lease: number): Promise<boolean> {
+    return this.serve(() => this.store.renewLease(lease));
   }
 
-  revoke(lease: number): Promise<void> {
+  revokeLease(lease: number): Promise<void> {
     return this.serve(() => this.store.endLease(lease));
   }
 
--- a/test/support/wire.ts
+++ b/test/support/wire.ts
@@ -11,7 +11,7 @@
 };
 
 /** Encodes a heartbeat in the wire format. */
-export function onWire(heartbeat: Heartbeat): Buffer {
+export function encodeHeartbeat(heartbeat: Heartbeat): Buffer {
   return Buffer.from(
     JSON.stringify({
       cart: heartbeat.machineId,
@@ -34,7 +34,7 @@
 }
 
 /** A command in the wire format. */
-export interface WireOrder {
+export interface WireCommand {
   verb: string;
   hand: string;
   try: number;
@@ -42,7 +42,7 @@
 }
 
 /** Decodes a command from the wire format. */
-export function fromWire(command: WireOrder): TaskCommand {
+export function decodeCommand(command: WireCommand): TaskCommand {
   const [jobId = '', index = ''] = command.hand.split('/');
   const base = { jobId, index: Number(index), attempt: command.try };
   if (command.verb === 'run') return { op: 'start', ...base };
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -9,10 +9,10 @@
 import { FakeStore } from './state.js';
 
 /** State of a job as last reported to its user. */
-interface Told {
-  standing: 'live' | 'done' | 'cancelled';
+interface ReportedState {
+  state: 'live' | 'done' | 'cancelled';
   /** When this state was first reported, in milliseconds of the fake clock. */
-  at: number;
+  reportedAt: number;
 }
 
 /**
@@ -26,28 +26,28 @@
   readonly controllers: ScriptedController[] = [];
   machines: ScriptedMachine[] = [];
   /** The winner of each term, in order. */
-  readonly terms: ScriptedController[] = [];
+  readonly termWinners: ScriptedController[] = [];
   /** By job id: the state that was last reported to its user. */
-  readonly told = new Map<string, Told>();
+  readonly reportedStates = new Map<string, ReportedState>();
   readonly submittedIds = new Set<string>();
   /** Completed tasks as `<job>/<index>`. */
   readonly completedTasks = new Set<string>();
   /** Names of the controllers that know the announced limits; the others write as the previous version does. */
-  readonly upgraded = new Set(['c-0', 'c-1', 'c-2']);
+  readonly upgradedControllers = new Set(['c-0', 'c-1', 'c-2']);
   /** By job id: its dependencies. Includes jobs whose submission got no reply. */
-  readonly needs = new Map<string, string[]>();
+  readonly dependenciesByJob = new Map<string, string[]>();
   /** Jobs for which a cancellation was requested, whether or not it got a reply. */
-  readonly calledOff = new Set<string>();
+  readonly cancellationRequests = new Set<string>();
   /** Task starts of jobs with a dependency that was not durably done. */
   readonly startsBeforeDependencies: string[] = [];
   /** Number of task starts after the cancellation of the job was confirmed. */
-  lateStarts = 0;
+  startsAfterCancellation = 0;
   /** Number of task starts. */
-  started = 0;
+  startCount = 0;
   /** Share of transactions that get no reply and are applied later, 0 to 1. */
-  lateShare = 0;
+  delayedWriteShare = 0;
   /** Share of heartbeats of which a delayed duplicate arrives, 0 to 1. */
-  copyShare = 0;
+  duplicateHeartbeatShare = 0;
   readonly heartbeatMs = 3000;
   readonly agentLeaseMs = 20_000;
   readonly cancelLimitMs = 50_000;
@@ -69,7 +69,7 @@
   }
 
   /** Returns a random integer from 0 to `count` - 1. */
-  pick(count: number): number {
+  randomIndex(count: number): number {
     return Math.floor(this.random() * count);
   }
 
@@ -78,24 +78,24 @@
   }
 
   /** The controller that leads with restored state and proven leadership; undefined if there is none. */
-  get leading(): ScriptedController | undefined {
-    return this.controllers.find((c) => c.leader?.ready && c.leadership.current?.isProven());
+  get currentLeader(): ScriptedController | undefined {
+    return this.controllers.find((c) => c.leader?.ready && c.election.current?.isProven());
   }
 
   /** A running controller that does not lead. */
-  get other(): ScriptedController {
-    return this.controllers.find((c) => !c.dead && !c.leader) as ScriptedController;
+  get follower(): ScriptedController {
+    return this.controllers.find((c) => !c.hasCrashed && !c.leader) as ScriptedController;
   }
 
   /** Replaces the controller by a new process, unless it has been replaced already. */
   restart(c: ScriptedController): void {
     const i = this.controllers.indexOf(c);
     if (i < 0) return;
-    if (!c.dead) c.crash();
+    if (!c.hasCrashed) c.crash();
     this.controllers[i] = this.startController(i);
   }
 
-  later(delayMs: number, action: () => void): void {
+  runLater(delayMs: number, action: () => void): void {
     void this.clock.sleep(delayMs).then(action);
   }
 
@@ -106,14 +106,13 @@
   /** Returns when the observer last received a status that the node leads in its observed term; null if it did not. */
   lastLedAt(observer: ScriptedController, node: string): number | null {
     return (
-      this.leaderStatusAt.get(`${observer.name} ${node} ${observer.leadership.observedTerm}`) ??
-      null
+      this.leaderStatusAt.get(`${observer.name} ${node} ${observer.election.observedTerm}`) ?? null
     );
   }
 
   cloudClient(caller: ScriptedController) {
     const assertNotCrashed = () => {
-      if (caller.dead) throw new NoResponseError('the process has ended');
+      if (caller.hasCrashed) throw new NoResponseError('the process has ended');
     };
     return {
       types: async () => {
@@ -123,7 +122,7 @@
       list: async () => {
         assertNotCrashed();
         const machines = this.machines.map((m): ListedMachine => {
-          const { id, zone, spot } = m.worker;
+          const { id, zone, spot } = m.agent;
           return {
             id,
             address: m.address,
@@ -150,13 +149,13 @@
 
   /** Terminates the machine and adds another one in its zone. */
   private replaceMachine(id: string): void {
-    const m = this.machines.find((x) => x.worker.id === id);
+    const m = this.machines.find((x) => x.agent.id === id);
     if (!m) return;
-    m.gone = true;
+    m.isTerminated = true;
     this.machines = this.machines.filter((x) => x !== m);
     // Machine ids are never reused.
     this.machines.push(
-      new ScriptedMachine(this, `n-${100 + ++this.replacementCount}`, m.worker.zone),
+      new ScriptedMachine(this, `n-${100 + ++this.replacementCount}`, m.agent.zone),
     );
   }
 
@@ -173,9 +172,9 @@
         await this.clock.sleep(2);
         if (!isStillValid()) throw new NotAttemptedError('conditions no longer hold');
         const m = this.findMachine(address);
-        if (!m || caller.dead || caller.cutFromWorkers || m.deaf)
+        if (!m || caller.hasCrashed || caller.isPartitionedFromAgents || m.deaf)
           throw new NoResponseError('timed out');
-        if (m.hangs) {
+        if (m.isSuspended) {
           m.deferCommand(() => m.command(token, agentEpoch, commands));
           throw new NoResponseError('timed out');
         }
@@ -189,10 +188,10 @@
   // Tasks
 
   recordStart(job: string): void {
-    this.started++;
-    for (const id of this.needs.get(job) ?? [])
+    this.startCount++;
+    for (const id of this.dependenciesByJob.get(job) ?? [])
       if (!this.isDurablyDone(id)) this.startsBeforeDependencies.push(`${job} before ${id}`);
-    if (this.told.get(job)?.standing === 'cancelled') this.lateStarts++;
+    if (this.reportedStates.get(job)?.state === 'cancelled') this.startsAfterCancellation++;
   }
 
   private isDurablyDone(id: string): boolean {
@@ -234,8 +233,8 @@
       ...fields,
     };
     this.submittedIds.add(id);
-    this.needs.set(id, fields.awaits ?? []);
-    const reply = await this.randomController()?.users.submit(Buffer.from(JSON.stringify(body)));
+    this.dependenciesByJob.set(id, fields.awaits ?? []);
+    const reply = await this.randomController()?.jobApi.submit(Buffer.from(JSON.stringify(body)));
     if (reply?.status === 200 || reply?.status === 201) {
       this.recordReply(id, (reply.body as { standing: string }).standing);
     }
@@ -247,33 +246,33 @@
     id: string,
     controller: ScriptedController | undefined = this.randomController(),
   ): Promise<boolean> {
-    this.calledOff.add(id);
-    const reply = await controller?.users.cancel(id);
+    this.cancellationRequests.add(id);
+    const reply = await controller?.jobApi.cancel(id);
     if (reply?.status !== 200) return false;
     this.recordReply(id, (reply.body as { standing: string }).standing);
     return true;
   }
 
   async poll(id: string): Promise<void> {
-    const reply = await this.randomController()?.users.query(id);
+    const reply = await this.randomController()?.jobApi.query(id);
     if (reply?.status === 404)
-      assert.ok(!this.told.has(id), `accepted job ${id} is reported as unknown`);
+      assert.ok(!this.reportedStates.has(id), `accepted job ${id} is reported as unknown`);
     if (reply?.status === 200) this.recordReply(id, (reply.body as { standing: string }).standing);
   }
 
   /** Returns a random running controller; undefined if none runs. */
   private randomController(): ScriptedController | undefined {
-    const alive = this.controllers.filter((c) => !c.dead);
-    return alive[this.pick(alive.length)];
+    const alive = this.controllers.filter((c) => !c.hasCrashed);
+    return alive[this.randomIndex(alive.length)];
   }
 
   /** Checks a state that was reported to a user against the safety rules, and records it. */
   private recordReply(id: string, wireState: string): void {
     assert.ok(this.submittedIds.has(id), `${id} was never submitted`);
-    const previous = this.told.get(id);
+    const previous = this.reportedStates.get(id);
     const state = wireState === 'done' || wireState === 'cancelled' ? wireState : 'live';
-    if (previous && previous.standing !== 'live')
-      assert.equal(state, previous.standing, `${id} is reported in another state after its end`);
+    if (previous && previous.state !== 'live')
+      assert.equal(state, previous.state, `${id} is reported in another state after its end`);
     if (state === 'done')
       for (let i = 0; i < this.tasksPerJob; i++)
         assert.ok(
@@ -282,25 +281,27 @@
         );
     if (state === 'cancelled')
       assert.ok(
-        [id, ...this.dependencyClosure(id)].some((x) => this.calledOff.has(x)),
+        [id, ...this.dependencyClosure(id)].some((x) => this.cancellationRequests.has(x)),
         `${id} is cancelled without a request`,
       );
     if (state === 'live') this.checkNoDependencyCancelled(id);
-    if (previous?.standing !== state) this.told.set(id, { standing: state, at: this.clock.now() });
+    if (previous?.state !== state)
+      this.reportedStates.set(id, { state: state, reportedAt: this.clock.now() });
   }
 
   /** Returns the direct and indirect dependencies of the job. */
   private dependencyClosure(id: string): Set<string> {
-    const all = new Set(this.needs.get(id) ?? []);
-    for (const x of all) for (const y of this.needs.get(x) ?? []) all.add(y);
+    const all = new Set(this.dependenciesByJob.get(id) ?? []);
+    for (const x of all) for (const y of this.dependenciesByJob.get(x) ?? []) all.add(y);
     return all;
   }
 
   /** Checks that no dependency of a live job was cancelled longer ago than the cancellation limit. */
   private checkNoDependencyCancelled(id: string): void {
     for (const x of this.dependencyClosure(id)) {
-      const dependency = this.told.get(x);
-      const elapsedMs = dependency?.standing === 'cancelled' ? this.clock.now() - dependency.at : 0;
+      const dependency = this.reportedStates.get(x);
+      const elapsedMs =
+        dependency?.state === 'cancelled' ? this.clock.now() - dependency.reportedAt : 0;
       assert.ok(
         elapsedMs <= this.cancelLimitMs,
         `${id} is reported as live too long after ${x} was cancelled`,
@@ -320,25 +321,26 @@
 
   /** Records that the controllers which the leader reaches receive its status. */
   private recordLeaderStatus(leader: ScriptedController, now: number): void {
-    const { number: term } = leader.leadership.current ?? {};
+    const { number: term } = leader.election.current ?? {};
     for (const other of this.controllers)
-      if (!other.cutFromPeers) this.leaderStatusAt.set(`${other.name} ${leader.name} ${term}`, now);
+      if (!other.isPartitionedFromPeers)
+        this.leaderStatusAt.set(`${other.name} ${leader.name} ${term}`, now);
   }
 
   private checkInvariants(): void {
     const now = this.clock.now();
     for (const c of this.controllers)
-      if (c.leader && !c.dead && !c.cutFromPeers) this.recordLeaderStatus(c, now);
+      if (c.leader && !c.hasCrashed && !c.isPartitionedFromPeers) this.recordLeaderStatus(c, now);
     const running: string[] = [];
     for (const m of this.machines) {
       m.advanceToNow();
-      for (const task of m.worker.running()) {
+      for (const task of m.agent.running()) {
         running.push(task);
-        const job = this.told.get(task.split('/')[0] as string);
-        const elapsedMs = job?.standing === 'cancelled' ? now - job.at : 0;
+        const job = this.reportedStates.get(task.split('/')[0] as string);
+        const elapsedMs = job?.state === 'cancelled' ? now - job.reportedAt : 0;
         assert.ok(
           elapsedMs <= this.cancelLimitMs,
-          `${task} on ${m.worker.id} runs too long after its cancellation`,
+          `${task} on ${m.agent.id} runs too long after its cancellation`,
         );
       }
     }
@@ -348,6 +350,6 @@
       [],
       'a task started before its dependencies were done',
     );
-    assert.deepEqual(this.store.oversize, [], 'a write exceeds the limits');
+    assert.deepEqual(this.store.oversizedKeys, [], 'a write exceeds the limits');
   }
 }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -112,13 +112,13 @@
 }
 
 function loadBitmap(job: Job, layout: BitmapLayout, key: string, bytes: Uint8Array): void {
-  const parsed = layout.parse(key);
+  const parsed = layout.parseKey(key);
   assert.ok(parsed, key);
   job.loadBits(parsed.firstTask, bytes);
 }
 
 test('bitmaps of the previous version are read, and new ones fit the lower value limit', () => {
-  const layout = BitmapLayout.forValues(8 * KIB, NEXT_LIMITS.value_kb * KIB);
+  const layout = BitmapLayout.forValueLimits(8 * KIB, NEXT_LIMITS.value_kb * KIB);
   const spec = decodeJobSpec(STORED_LIVE_JOB.spec);
   assert.ok(spec);
   const job = new Job(spec, 77, STORED_LIVE_JOB.at, true);
@@ -127,11 +127,11 @@
     [...Array(STORED_LIVE_JOB.spec.tasks).keys()].filter((i) => job.isDone(i)),
     COMPLETED_TASKS,
   );
-  assert.ok(STORED_BITMAPS.every((stored) => layout.parse(stored.key)?.chunk === null));
+  assert.ok(STORED_BITMAPS.every((stored) => layout.parseKey(stored.key)?.chunk === null));
   const last = layout.chunkOf(39_999);
-  assert.equal(layout.key('req-000412', 0), 'bits/req-000412/0000/0');
-  assert.equal(layout.key('req-000412', last), 'bits/req-000412/0001/32768');
-  assert.deepEqual(layout.parse('bits/req-000412/0.25/8192'), {
+  assert.equal(layout.chunkKey('req-000412', 0), 'bits/req-000412/0000/0');
+  assert.equal(layout.chunkKey('req-000412', last), 'bits/req-000412/0001/32768');
+  assert.deepEqual(layout.parseKey('bits/req-000412/0.25/8192'), {
     job: 'req-000412',
     firstTask: 8192,
     chunk: 1,
@@ -171,14 +171,14 @@
   for (const chunk of new Set(finished.map((i) => layout.chunkOf(i)))) {
     const bytes = job.chunkBits(chunk, layout.tasksPerChunk);
     assert.ok(Buffer.from(bytes).toString('base64').length + 2 <= valueBytes);
-    store.set(layout.key('req-1', chunk), bytes);
+    store.set(layout.chunkKey('req-1', chunk), bytes);
   }
 }
 
 test('no completed task is lost while leaders of both versions alternate', () => {
   const tasks = 100_000;
   for (const valueKib of [0.7, 2, 3, 8]) {
-    const layout = BitmapLayout.forValues(8 * KIB, valueKib * KIB);
+    const layout = BitmapLayout.forValueLimits(8 * KIB, valueKib * KIB);
     const store = new Map<string, Uint8Array>();
     const done = new Set<number>();
     for (let turn = 0; turn < 24; turn++) {
@@ -279,7 +279,7 @@
   await clock.advance(ctx.timing.demandSaveMs + 1);
   stop.abort();
   await settle();
-  assert.deepEqual(store.oversize, []);
+  assert.deepEqual(store.oversizedKeys, []);
   const first = store.entries.get('loads')?.value as { loads: unknown[]; upTo: number };
   assert.equal(first.upTo, 12);
   const nextScaleOut = new ScaleOutPlanner(cluster);
@@ -371,9 +371,9 @@
       port: 0,
       handler: () => ({ status, body: { ledgerRev: 1 } }),
       maxConnections: 100,
-      requestMs: 60_000,
-      idleMs: 60_000,
-      spareMs: 0,
+      requestTimeoutMs: 60_000,
+      idleTimeoutMs: 60_000,
+      minEvictableIdleMs: 0,
       onError: () => {},
     },
     stop.signal,
@@ -449,5 +449,5 @@
     changesPerS: 50,
     loweredChangesPerS: 50,
   });
-  assert.equal(BitmapLayout.forValues(8192, 8192).tasksPerChunk, PREVIOUS_TASKS_PER_CHUNK);
+  assert.equal(BitmapLayout.forValueLimits(8192, 8192).tasksPerChunk, PREVIOUS_TASKS_PER_CHUNK);
 });
