--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The command line: reads the settings, sets up logging and signals, and runs one controller. */
+/** Command line: reads the settings, sets up logging and signal handling, and runs one controller. */
 import { randomBytes } from 'node:crypto';
 import { setMaxListeners } from 'node:events';
 import { readFileSync } from 'node:fs';
@@ -10,21 +10,21 @@
 import { systemClock } from '../runtime/clock.js';
 import { VERSION } from '../version.js';
 
-/** Levels that LOG_LEVEL may name. */
+/** Permitted values of LOG_LEVEL. */
 const LOG_LEVELS = ['error', 'info', 'debug'];
 
-/** The exit code when a file or setting can't be used. */
-const EXIT_SETTINGS = 2;
+/** Exit code for an unusable file or setting. */
+const EXIT_CODE_SETTINGS = 2;
 
-/** File descriptor of the standard error output, where the log goes. */
-const STDERR = 2;
+/** File descriptor of standard error, where the log is written. */
+const STDERR_FD = 2;
 
 interface Options {
   config: string;
   properties?: string;
 }
 
-/** @throws SettingsError naming the file when it can't be read. */
+/** @throws SettingsError that names the file if it can't be read. */
 function readTextFile(file: string): string {
   try {
     return readFileSync(file, 'utf8');
@@ -33,19 +33,19 @@
   }
 }
 
-/** @throws SettingsError when LOG_LEVEL names no level. */
+/** @throws SettingsError if LOG_LEVEL is not a permitted level. */
 function createLogger(node: string): Logger {
   const level = process.env.LOG_LEVEL ?? 'info';
   if (!LOG_LEVELS.includes(level))
     throw new SettingsError(`LOG_LEVEL: must be one of ${LOG_LEVELS.join(', ')}`);
-  // Written at once: the last lines before the process ends are the ones that are needed.
-  return pino({ level, base: { node } }, pino.destination({ dest: STDERR, sync: true }));
+  // Synchronous, so that no line is lost when the process ends: the last lines matter most.
+  return pino({ level, base: { node } }, pino.destination({ dest: STDERR_FD, sync: true }));
 }
 
-/** A signal that is aborted when the platform asks the process to stop. */
-function stopSignal(log: Logger): AbortSignal {
+/** Returns a signal that is aborted when the process receives SIGTERM or SIGINT. */
+function createStopSignal(log: Logger): AbortSignal {
   const stop = new AbortController();
-  // Every connection and routine listens to it.
+  // Disables Node's leak warning, because every connection and routine adds a listener.
   setMaxListeners(0, stop.signal);
   for (const name of ['SIGTERM', 'SIGINT'] as const)
     process.once(name, () => {
@@ -61,16 +61,16 @@
     ? parsePolicy(readTextFile(options.properties), options.properties)
     : DEFAULT_POLICY;
   const log = createLogger(platform.node);
-  const signal = stopSignal(log);
+  const signal = createStopSignal(log);
   const incarnation = randomBytes(6).toString('hex');
   const controller = createController({ platform, policy, clock: systemClock, log, incarnation });
   await controller.run(signal);
 }
 
 /**
- * Runs the command line. A file or setting that can't be used is explained in
- * one line on the standard error output, with exit code 2; any other error
- * rejects, which ends the process.
+ * Runs the command line. An unusable file or setting is reported in one line on
+ * standard error, and the process exits with code 2. Any other error rejects the
+ * promise, which ends the process.
  */
 export async function main(argv: string[]): Promise<void> {
   const program = new Command('passcart')
@@ -85,6 +85,6 @@
   } catch (error) {
     if (!(error instanceof SettingsError)) throw error;
     process.stderr.write(`passcart: ${error.message}\n`);
-    process.exitCode = EXIT_SETTINGS;
+    process.exitCode = EXIT_CODE_SETTINGS;
   }
 }
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -1,51 +1,55 @@
-/** The operators' properties file: parsing and defaults. */
+/** Parsing and defaults of the operators' properties file. */
 import { parse } from 'dot-properties';
 import { SettingsError } from './settings.js';
 
 /**
- * Every key of the properties file, with its default. The keys are the
- * operators' contract and stay as they are (docs/operations.md). A key in
- * `boots` counts in boot times of the machine type in question.
+ * Every key of the properties file with its default. Operators rely on the keys,
+ * so they must not change (docs/operations.md). A value given in boot times
+ * refers to the boot time of the machine type concerned, or to the longest one
+ * where it concerns all types.
  */
 export const DEFAULT_POLICY = {
-  /** Weight of the share of a batch that a machine can take now, in the score of a placement. */
+  /** Weight, in the placement score, of the share of a batch that fits on the machine now. */
   'score.throughput': 1,
-  /** Weight of the machine's cost. */
+  /** Weight of the machine's cost in the placement score. */
   'score.cost': 1,
-  /** Weight of the image being cached on the machine. */
+  /** Weight, in the placement score, of the image being cached on the machine. */
   'score.locality': 1,
-  /** Safety margin over the mean demand of work with an objective on its wait, in standard deviations. */
+  /** Safety margin above the mean demand of work with a wait objective, in standard deviations. */
   'rent.wait-spread': 0.8,
-  /** The same for all other work. */
+  /** Safety margin above the mean demand of all other work, in standard deviations. */
   'rent.spread': 0.4,
-  /** Over how many boot times the arrival of work is smoothed. */
+  /** Time over which arrivals of work are averaged, in boot times. */
   'rent.smooth-boots': 2.5,
-  /** A backlog should be worked off within this many boot times beyond the first. */
+  /** A backlog should be worked off within this many boot times after the first one. */
   'rent.drain-boots': 0.5,
-  /** A machine that is not needed is terminated after this many boot times without work. */
+  /** An unneeded machine is terminated after it has been idle for this many boot times. */
   'rent.idle-boots': 0.6,
   /** A machine that has not booted after this many boot times is terminated. */
   'rent.boot-patience': 4,
-  /** The first capacity back-off after the cloud had none; it doubles up to fourfold. */
+  /**
+   * First back-off after the cloud had no capacity, in boot times. Each further
+   * refusal doubles it, up to four times this value.
+   */
   'rent.backoff-boots': 0.3,
-  /** A machine is quarantined when tasks of this many jobs fail on it in a row, */
+  /** A machine is quarantined when tasks of this many jobs fail on it in a row. */
   'sick.jobs': 2,
-  /** or this many tasks of one job that succeeds elsewhere. */
+  /** A machine is also quarantined when this many tasks of a job that succeeds elsewhere fail on it in a row. */
   'sick.failures': 3,
-  /** A job that fails on this many machines and has succeeded on none backs off. */
+  /** A job backs off when it has failed on this many machines and succeeded on none. */
   'job.faulty-machines': 3,
-  /** Starts that a placement round may make at least; under load it may make more. */
+  /** Limit on the task starts of a placement round (higher under load) and of a reply to a heartbeat. */
   'round.machine-starts': 32,
 };
 
-/** One value for each key. */
+/** A value for each key of the properties file. */
 export type Policy = Record<keyof typeof DEFAULT_POLICY, number>;
 
 /**
- * Parses a properties file; keys that it leaves out have their defaults.
+ * Parses a properties file. Missing keys get their defaults.
  *
- * @param file Named in errors.
- * @throws SettingsError naming file, key and what was expected.
+ * @param file The file name for error messages.
+ * @throws SettingsError that names the file and either its syntax error or the invalid key.
  */
 export function parsePolicy(text: string, file: string): Policy {
   let values: Record<string, unknown>;
@@ -55,10 +59,15 @@
     throw new SettingsError(`${file}: ${(error as Error).message}`, { cause: error });
   }
   const policy: Policy = { ...DEFAULT_POLICY };
-  for (const [key, raw] of Object.entries(values)) {
+  for (const [key, rawValue] of Object.entries(values)) {
     if (!Object.hasOwn(DEFAULT_POLICY, key)) throw new SettingsError(`${file}: unknown key ${key}`);
-    const value = Number(raw);
-    if (typeof raw !== 'string' || raw.trim() === '' || !Number.isFinite(value) || value < 0)
+    const value = Number(rawValue);
+    if (
+      typeof rawValue !== 'string' ||
+      rawValue.trim() === '' ||
+      !Number.isFinite(value) ||
+      value < 0
+    )
       throw new SettingsError(`${file}: ${key}: must be a number of 0 or more`);
     policy[key as keyof Policy] = value;
   }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,90 +1,105 @@
 /**
- * The platform's settings file: its schema, and values derived from it. Names
- * of fields are the platform's contract; fields in `_s` are seconds, in `_ms`
- * milliseconds, in `_kb` KiB, in `_mb` MiB, in `_rps` requests a second.
+ * Schema of the platform's settings file, and values derived from it. The
+ * platform defines the field names. Their suffixes give the unit: `_s` is
+ * seconds, `_ms` milliseconds, `_kb` KiB, `_mb` MiB and `rps` requests per
+ * second.
  */
 import * as v from 'valibot';
 import type { TeamQuota } from '../model/resources.js';
 
-/** A file or setting that can't be used. The message names the file, the field and what was expected. */
+/** Thrown for an unusable file or setting. The message names the file, the field and what was expected. */
 export class SettingsError extends Error {}
 
-const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const whole = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
-const name = v.pipe(v.string(), v.nonEmpty());
-const address = v.pipe(v.string(), v.regex(/^[^:\s]+:\d{1,5}$/, 'must be host:port'));
+const positiveNumber = v.pipe(v.number(), v.finite(), v.gtValue(0));
+const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
+const positiveInteger = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
+const nonEmptyString = v.pipe(v.string(), v.nonEmpty());
+const hostAndPort = v.pipe(v.string(), v.regex(/^[^:\s]+:\d{1,5}$/, 'must be host:port'));
 
-/** A service-level objective; which of the other fields count depends on `kind`. */
+/** A service-level objective. Which of the other fields apply depends on `kind`. */
 const Objective = v.object({
-  /** `wait`, `finished`, `deadline` or `guarantee`; others are ignored. */
-  kind: name,
-  /** The class of jobs that it is about. */
+  /** `wait`, `finished`, `deadline` or `guarantee`; objectives of other kinds are ignored. */
+  kind: nonEmptyString,
+  /** The class of jobs that the objective applies to. */
   class: v.nullish(v.string()),
-  within_s: v.nullish(amount),
-  /** The share of jobs that has to meet it. */
-  share: v.nullish(amount),
-  /** The multiple of a job's deadline, for `deadline`. */
-  times: v.nullish(amount),
+  within_s: v.nullish(nonNegativeNumber),
+  /** The share of jobs that must meet the objective. */
+  share: v.nullish(nonNegativeNumber),
+  /** For `deadline`: the multiple of its deadline within which a job should be done. */
+  times: v.nullish(nonNegativeNumber),
 });
 
-/** Limits of the state service that will replace the present ones at some moment, without notice. */
-const NextLimits = v.object({
-  /** Changes a second. */
-  write_rps: v.nullish(positive),
-  /** Size of a value. */
-  value_kb: v.nullish(positive),
-  /** Changes in a transaction. */
-  txn_ops: v.nullish(whole),
+/** Limits of the state service that will replace the current ones at an unknown time, without notice. */
+const AnnouncedLimits = v.object({
+  /** Changes per second. */
+  write_rps: v.nullish(positiveNumber),
+  /** Size of a value in KiB. */
+  value_kb: v.nullish(positiveNumber),
+  /** Changes per transaction. */
+  txn_ops: v.nullish(positiveInteger),
 });
 
-const Schema = v.object({
+const SettingsSchema = v.object({
   /** This controller's name and zone. */
-  node: name,
-  zone: name,
-  /** Where it listens for agents and users. */
-  bind: address,
-  /** Where it listens for other controllers. */
-  peer_listen: address,
+  node: nonEmptyString,
+  zone: nonEmptyString,
+  /** The address on which this controller listens for agents and users. */
+  bind: hostAndPort,
+  /** The address on which this controller listens for other controllers. */
+  peer_listen: hostAndPort,
   /** The other controllers. */
-  peers: v.array(v.object({ node: name, zone: name, address })),
-  external: v.object({ cloud: address, state: address }),
+  peers: v.array(v.object({ node: nonEmptyString, zone: nonEmptyString, address: hostAndPort })),
+  external: v.object({ cloud: hostAndPort, state: hostAndPort }),
   settings: v.object({
-    /** The number of controllers. */
-    size: whole,
-    zones: v.array(name),
-    /** Quotas: what is guaranteed to a team, and its maximum. */
+    /** Number of controllers. */
+    size: positiveInteger,
+    zones: v.array(nonEmptyString),
+    /** Quotas: each team's guaranteed resources and its maximum, where 0 means no maximum. */
     teams: v.array(
-      v.object({ name, cpus: amount, cpus_max: amount, gpus: amount, gpus_max: amount }),
+      v.object({
+        name: nonEmptyString,
+        cpus: nonNegativeNumber,
+        cpus_max: nonNegativeNumber,
+        gpus: nonNegativeNumber,
+        gpus_max: nonNegativeNumber,
+      }),
     ),
     objectives: v.nullish(v.array(Objective), []),
-    /** Agents: interval of heartbeats, length of their leases, and the time within which tasks of a cancelled job end. */
-    workers: v.object({ report_s: positive, lease_s: positive, cancel_s: positive }),
+    /** Heartbeat interval and lease of the agents, and the time within which tasks of a cancelled job end. */
+    workers: v.object({
+      report_s: positiveNumber,
+      lease_s: positiveNumber,
+      cancel_s: positiveNumber,
+    }),
     /** Limits of the state service. */
     state: v.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
-      txn_ops: whole,
-      next: v.nullish(NextLimits),
+      rps: positiveNumber,
+      write_rps: positiveNumber,
+      value_kb: positiveNumber,
+      txn_ops: positiveInteger,
+      next: v.nullish(AnnouncedLimits),
+    }),
+    /** Rate limit of the cloud, and the lag of its list of machines. */
+    cloud: v.object({ rps: positiveNumber, list_lag_s: nonNegativeNumber }),
+    /** Resources that the platform grants this process. */
+    quota: v.object({
+      cpu: positiveNumber,
+      memory_mb: positiveNumber,
+      max_sockets: positiveInteger,
     }),
-    /** Limits of the cloud, and how old its list of machines may be. */
-    cloud: v.object({ rps: positive, list_lag_s: amount }),
-    /** What the platform gives this process. */
-    quota: v.object({ cpu: positive, memory_mb: positive, max_sockets: whole }),
-    skew_ms: amount,
+    skew_ms: nonNegativeNumber,
   }),
 });
 
-/** The settings as they are in the file, with defaults for what may be left out. */
-export type Platform = v.InferOutput<typeof Schema>;
+/** The settings as they are in the file, with defaults for optional fields. */
+export type Platform = v.InferOutput<typeof SettingsSchema>;
 
 /**
- * Parses and checks the settings. Unknown fields are ignored, so that a later
- * platform may add some.
+ * Parses and validates the settings. Unknown fields are ignored, so that later
+ * versions of the platform can add some.
  *
- * @param file Named in errors.
- * @throws SettingsError naming the file, the field and what was expected.
+ * @param file The file name for error messages.
+ * @throws SettingsError that names the file, the field and what was expected.
  */
 export function parsePlatform(text: string, file: string): Platform {
   let json: unknown;
@@ -93,7 +108,7 @@
   } catch (error) {
     throw new SettingsError(`${file}: not JSON: ${(error as Error).message}`, { cause: error });
   }
-  const result = v.safeParse(Schema, json, { abortEarly: true });
+  const result = v.safeParse(SettingsSchema, json, { abortEarly: true });
   if (!result.success) {
     const issue = result.issues[0];
     throw new SettingsError(`${file}: ${v.getDotPath(issue) ?? 'top level'}: ${issue.message}`);
@@ -101,7 +116,7 @@
   return result.output;
 }
 
-/** Each team's quota, by its name. */
+/** Returns the teams' quotas by team name. */
 export function quotasOf(platform: Platform): Map<string, TeamQuota> {
   return new Map(
     platform.settings.teams.map((team) => [
@@ -117,7 +132,7 @@
   );
 }
 
-/** Host and port of an address that the schema has checked. */
+/** Splits an address that the schema has validated into host and port. */
 export function parseAddress(text: string): { host: string; port: number } {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
--- a/src/config/state-limits.ts
+++ b/src/config/state-limits.ts
@@ -1,28 +1,27 @@
-/** The state service's limits, as what is written has to keep them. */
+/** Limits of the state service that every write must respect. */
 import type { Platform } from './settings.js';
 
 /**
- * What the state service takes, now and once the limits that the settings
- * announce (`state.next`) are in force. It is not known when that happens, so
- * whatever is written fits both at all times; what is stored already may be
- * larger.
+ * The current limits of the state service, combined with those that the settings
+ * announce (`state.next`). The announced limits take effect at an unknown time,
+ * so every write must respect both. Values that are already stored may be larger.
  */
 export interface StateLimits {
-  /** Bytes of a value under the present limit: earlier versions sized their bitmaps by it. */
+  /** Size of a value in bytes under the current limit, by which earlier versions sized their bitmaps. */
   presentValueBytes: number;
-  /** Bytes of a value under either limit: what is written keeps to this. */
+  /** Size of a value in bytes under the lower of both limits. Every write must respect it. */
   valueBytes: number;
-  /** Changes in one transaction under either limit. */
+  /** Changes per transaction under the lower of both limits. */
   changes: number;
-  /** Changes a second under the present limit. */
+  /** Changes per second under the current limit. */
   changesPerS: number;
-  /** Changes a second under either limit: what is left once the announced one is in force. */
+  /** Changes per second under the lower of both limits: the rate that is left once the announced limits are in force. */
   loweredChangesPerS: number;
 }
 
 const KIB = 1024;
 
-/** The limits by the settings. */
+/** Returns the limits that result from the settings. */
 export function stateLimitsOf(platform: Platform): StateLimits {
   const { state } = platform.settings;
   const next = state.next;
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -1,125 +1,138 @@
 /**
- * Every timer and bound of a controller, each a ratio to a figure of the
- * settings, so that a deployment with other figures keeps the distances that
- * safety rests on (docs/design.md, "One bound for cancellations").
+ * Derives the timers and time limits of a controller from the settings. Each is
+ * proportional to configured values, so that a deployment with other values
+ * keeps the margins that safety depends on (docs/design.md, "One bound for
+ * cancellations").
  */
 import type { Platform } from './settings.js';
 
-/** Clocks of two machines drift apart by at most this share (protocol). */
-export const DRIFT = 0.0005;
+/** The protocol guarantees that the clocks of two machines drift apart by at most this ratio. */
+export const MAX_CLOCK_DRIFT = 0.0005;
 
-/** Durations, in milliseconds. What each is a ratio of is in `timingOf`, with the reason. */
+/** Durations in milliseconds. `timingOf` has the formula and the reason of each. */
 export interface Timing {
-  /** Interval of agents' heartbeats. */
+  /** Interval between the heartbeats of an agent. */
   heartbeatMs: number;
   /** Length of the leader's lease in the state service. */
   leaseMs: number;
-  /** Interval in which the lease is renewed and statuses are sent to peers; the unit of most retries. */
+  /** Interval between renewals of the leader's lease and between status messages to peers; the unit of most retry delays. */
   renewMs: number;
-  /** Leadership counts as proven for this long after the sending of a renewal that succeeded. */
+  /** Leadership counts as proven for this long after a successful renewal was sent. */
   leadershipProofMs: number;
-  /** Without proof or knowledge of cancellations for this long, no agent's lease is renewed any more. */
+  /** Agents' leases are no longer renewed once leadership has been unproven, or cancellations unknown, for this long. */
   agentRenewalMs: number;
-  /** Time-out of a request to the state service. */
+  /** Timeout of a request to the state service. */
   stateTimeoutMs: number;
-  /** How long a watch of the leader key or a mailbox waits for a change. */
+  /** Maximum time that a watch of the leader key or a mailbox waits for a change. */
   watchTimeoutMs: number;
-  /** How long the leader's watch of jobs waits: its answer makes cancellations known as of when it was asked. */
+  /** Maximum time that the leader's watch of jobs waits. Its response proves that all cancellations up to its request are known. */
   jobWatchMs: number;
-  /** Half of how long a request may take to arrive, or its reply to be taken. */
+  /** Half of the time that a request may take to arrive, and that its reply may take to be read by the client. */
   userTimeoutMs: number;
-  /** Time-out of a request to the cloud. */
+  /** Timeout of a request to the cloud. */
   cloudTimeoutMs: number;
-  /** Time-out of a command to an agent. */
+  /** Timeout of a command to an agent. */
   commandTimeoutMs: number;
-  /** Interval in which the cloud's machines are listed. */
+  /** Pause between two lists of the cloud's machines. */
   listMs: number;
-  /** A list requested this long after a machine was last known to exist must show it, unless it is terminated. */
+  /** A machine has been terminated if a list that was requested more than this long after its last sign of existence lacks it. */
   listProofMs: number;
-  /** Interval in which machine types and prices are read. */
+  /** Pause between two reads of the machine types and prices. */
   typesMs: number;
-  /** Interval in which the demand forecast is stored for the next leader. */
+  /** Pause between two writes of the demand forecast, which the next leader reads. */
   demandSaveMs: number;
-  /** Shortest pause between two placement rounds. */
+  /** Minimum pause between two placement rounds. */
   roundMs: number;
-  /** A timer that is later than this shows that the event loop lags. */
+  /** The event loop counts as lagging when a timer fires later than this. */
   lagThresholdMs: number;
-  /** Interval in which finished tasks and ends of jobs are written. */
+  /** Pause between two writes of finished tasks and ends of jobs. */
   progressWriteMs: number;
-  /** What a controller has read of a live job that others depend on counts for this long. */
+  /** A controller caches what it has read of a live dependency for this long. */
   dependencyFreshMs: number;
-  /** A stored list of dependencies whose job is not live is removed after this long. */
+  /** A stored dependency list is removed when its job has not been live for this long. */
   orphanListMs: number;
-  /** Interval in which scale out and scale in are decided. */
+  /** Minimum pause between two plans of scale-out and scale-in. */
   scalingMs: number;
-  /** A machine without a heartbeat for this long counts as unreachable. */
+  /** A machine that has sent no heartbeat for this long counts as unreachable. */
   unreachableAfterMs: number;
-  /** Length of an agent's lease: without a renewal it ends its tasks. */
+  /** Length of an agent's lease. An agent whose lease expires ends its tasks. */
   agentLeaseMs: number;
-  /** How long a follower renews the leases of agents on behalf of an unreachable leader. */
+  /** A follower renews agents' leases for an unreachable leader until this long after the leader last said that it leads. */
   delegatedRenewalMs: number;
-  /** Interval of the log line on the fleet. */
+  /** Interval between log lines about the state of the fleet. */
   fleetLogMs: number;
 }
 
-/** The timers by the settings. */
+/** Returns the timers that result from the settings. */
 export function timingOf(platform: Platform): Timing {
   const { workers, cloud, state } = platform.settings;
   const heartbeatMs = workers.report_s * 1000;
   const agentLeaseMs = workers.lease_s * 1000;
   const cancelMs = workers.cancel_s * 1000;
   const listLagMs = cloud.list_lag_s * 1000;
-  // Short beside an agent's lease: what a failover takes of that, agents lack to reach the next leader in time.
+  // Short compared with an agent's lease, because the time that a failover takes is lost to agents,
+  // which have to reach the next leader before their leases expire.
   const leaseMs = Math.min(agentLeaseMs * 0.2, heartbeatMs * 1.5);
   return {
     heartbeatMs,
     leaseMs,
-    // One renewal may fail, and the answer to the next one take an interval, without costing the proof.
+    // The proof of leadership lasts three intervals, so that it outlives one failed renewal and a
+    // response to the next renewal that takes a whole interval.
     renewMs: leaseMs * 0.25,
-    // Ends well before the lease can run out by any clock, which is when the next leader may be elected.
-    leadershipProofMs: leaseMs * 0.75 * (1 - DRIFT),
-    // A cancellation that this leader does not know of was confirmed after the last moment at which it knew
-    // all of them. From there on it answers heartbeats for this long; the last answer renews a lease as of
-    // when the heartbeat was sent, before the answer, and the agent ends its tasks a lease later: together at
-    // most 0.95 cancel_s + 0.05 lease_s. What is left of cancel_s covers drift and the time that an answer
-    // is on its way.
+    // The proof ends well before the lease can expire by any clock, because another leader may be
+    // elected once the lease has expired.
+    leadershipProofMs: leaseMs * 0.75 * (1 - MAX_CLOCK_DRIFT),
+    // A cancellation that this leader does not know of was confirmed after the last time at which the
+    // leader knew all cancellations. The leader replies to heartbeats for this long after that time.
+    // The last reply renews a lease from the time at which the agent sent its heartbeat, and the agent
+    // ends its tasks one lease after that.
+    //
+    // Together this takes at most 0.95 cancel_s + 0.05 lease_s. The rest of cancel_s covers clock drift
+    // and the transit time of a reply.
     agentRenewalMs: Math.max(0, (cancelMs - agentLeaseMs) * 0.95),
-    // This and the time-out of commands stay below the agents' and users' own time-outs.
+    // stateTimeoutMs and commandTimeoutMs are shorter than the timeouts that agents and users set on
+    // their requests.
     stateTimeoutMs: heartbeatMs * 0.4,
     watchTimeoutMs: heartbeatMs * 2,
-    // A renewal interval: knowledge of cancellations has to be as fresh as the proof for tasks to start.
+    // One renewal interval, because tasks may start only while the knowledge of cancellations is as
+    // recent as the proof of leadership must be.
     jobWatchMs: leaseMs * 0.25,
     userTimeoutMs: heartbeatMs * 0.8,
     cloudTimeoutMs: heartbeatMs * 2,
     commandTimeoutMs: heartbeatMs * 0.5,
-    // A list of one page takes at most two thirds of the cloud's rate.
+    // At one page per list, listing uses at most two thirds of the cloud's request rate.
     listMs: Math.max(listLagMs * 0.6, 1500 / cloud.rps),
-    // The lag is at times up to twice what the settings say.
+    // The actual lag of the list is at times up to twice the configured one.
     listProofMs: listLagMs * 3 + heartbeatMs,
     typesMs: listLagMs * 6 + heartbeatMs,
     demandSaveMs: agentLeaseMs / 3,
-    // A small part of the shortest wait that an objective allows, whatever the interval of heartbeats.
-    roundMs: shortestWaitMs(platform, heartbeatMs) / 30,
+    // A small fraction of the shortest wait that an objective allows, however long the heartbeat
+    // interval is.
+    roundMs: shortestObjectiveWaitMs(platform, heartbeatMs) / 30,
     lagThresholdMs: heartbeatMs / 20,
-    // A fifth of the changes a second may go to progress, and a user should see an end well within a heartbeat interval.
+    // Users should see the end of a job well within a heartbeat interval. The pause is at least the
+    // time that the state service needs for five changes, so that the share of the change rate that
+    // progress may use suffices for one change.
     progressWriteMs: Math.max(heartbeatMs / 30, 5000 / state.write_rps),
-    // A user may get the answer that a job waits for this long after a dependency was cancelled: well within cancel_s.
+    // Well within cancel_s, because for this long after a dependency was cancelled a user may still
+    // get the reply that the dependent is waiting.
     dependencyFreshMs: cancelMs * 0.2,
-    // Removal is safe at any moment; the time keeps it from making submissions under way start again.
+    // Removal is safe at any time. The delay avoids that submissions in progress have to start over.
     orphanListMs: cancelMs * 2,
     scalingMs: heartbeatMs / 3,
-    // Two heartbeats in a row may be lost.
+    // Allows for two lost heartbeats in a row.
     unreachableAfterMs: heartbeatMs * 3,
     agentLeaseMs,
-    // A command delayed by the partition may still reach an agent whose lease is renewed, so this must end in
-    // time for a cancellation; three heartbeat intervals cover how late the first of the commands came.
+    // A command that was delayed by a network partition may still reach an agent whose lease is
+    // renewed, so renewal must end early enough for the tasks of a cancelled job to end within
+    // cancel_s. The three heartbeat intervals allow for a late arrival of the first command.
     delegatedRenewalMs: Math.max(0, (cancelMs - agentLeaseMs) * 0.9 - heartbeatMs * 3),
     fleetLogMs: agentLeaseMs / 2,
   };
 }
 
-/** The shortest wait that an objective asks for, at most one heartbeat interval. */
-function shortestWaitMs(platform: Platform, heartbeatMs: number): number {
+/** Returns the shortest wait that an objective allows, at most one heartbeat interval. */
+function shortestObjectiveWaitMs(platform: Platform, heartbeatMs: number): number {
   const waits = (platform.settings.objectives ?? []).flatMap((objective) =>
     (objective.kind === 'wait' || objective.kind === 'guarantee') && objective.within_s
       ? [objective.within_s * 1000]
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { DEFAULT_POLICY, parsePolicy } from '../src/config/policy.js';
 import { parsePlatform } from '../src/config/settings.js';
-import { DRIFT, timingOf } from '../src/config/timing.js';
+import { MAX_CLOCK_DRIFT, timingOf } from '../src/config/timing.js';
 
-export const PLATFORM = {
+export const PLATFORM_SETTINGS = {
   node: 'n-0',
   zone: 'a',
   bind: '127.0.0.1:8080',
@@ -25,19 +25,19 @@
   },
 };
 
-test('the platform file is checked, and unknown fields are ignored', () => {
-  assert.equal(parsePlatform(JSON.stringify(PLATFORM), 'f').settings.size, 3);
-  const wrong = structuredClone(PLATFORM);
-  wrong.settings.workers.lease_s = -1;
+test('invalid settings are rejected with the file and the field, and unknown fields are ignored', () => {
+  assert.equal(parsePlatform(JSON.stringify(PLATFORM_SETTINGS), 'f').settings.size, 3);
+  const invalid = structuredClone(PLATFORM_SETTINGS);
+  invalid.settings.workers.lease_s = -1;
   assert.throws(
-    () => parsePlatform(JSON.stringify(wrong), 's.json'),
+    () => parsePlatform(JSON.stringify(invalid), 's.json'),
     /s\.json: settings\.workers\.lease_s/,
   );
   assert.throws(() => parsePlatform('{', 's.json'), /s\.json: not JSON/);
   assert.throws(() => parsePlatform('{}', 's.json'), /s\.json: /);
 });
 
-test('policy properties replace defaults; unknown keys and bad values are refused', () => {
+test('policy properties override the defaults, and unknown keys and invalid values are rejected', () => {
   const policy = parsePolicy('# ours\nscore.cost = 2.5\nrent.spread: 1\n', 'p');
   assert.deepEqual(policy, { ...DEFAULT_POLICY, 'score.cost': 2.5, 'rent.spread': 1 });
   assert.throws(() => parsePolicy('score.costs=1', 'p.properties'), /p\.properties: unknown key/);
@@ -46,20 +46,20 @@
   assert.throws(() => parsePolicy('score.cost=-1', 'p.properties'), /score\.cost/);
 });
 
-test('the timers keep the distances that safety rests on', () => {
+test('the derived timers keep the margins that safety depends on', () => {
   for (const [reportS, leaseS, cancelS] of [
     [3, 20, 50],
     [3, 27, 52],
     [5, 30, 45],
   ] as const) {
-    const p = structuredClone(PLATFORM);
-    p.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
-    const timing = timingOf(parsePlatform(JSON.stringify(p), 'f'));
-    // Proof ends before another node could hold the lease.
-    assert.ok(timing.leadershipProofMs < timing.leaseMs * (1 - DRIFT));
+    const platform = structuredClone(PLATFORM_SETTINGS);
+    platform.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
+    const timing = timingOf(parsePlatform(JSON.stringify(platform), 'f'));
+    // The proof of leadership ends before another controller can hold the lease.
+    assert.ok(timing.leadershipProofMs < timing.leaseMs * (1 - MAX_CLOCK_DRIFT));
     assert.ok(timing.renewMs * 2 < timing.leadershipProofMs);
-    // With answers to reports over, leases end in time for a cancellation.
-    assert.ok((timing.agentRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
-    assert.ok((timing.delegatedRenewalMs + leaseS * 1000) * (1 + DRIFT) < cancelS * 1000);
+    // After the last reply to a heartbeat, agents' leases expire within cancel_s.
+    assert.ok((timing.agentRenewalMs + leaseS * 1000) * (1 + MAX_CLOCK_DRIFT) < cancelS * 1000);
+    assert.ok((timing.delegatedRenewalMs + leaseS * 1000) * (1 + MAX_CLOCK_DRIFT) < cancelS * 1000);
   }
 });
--- a/test/external-names.test.ts
+++ b/test/external-names.test.ts
@@ -1,7 +1,8 @@
 /**
- * The names that leave the process: a renaming inside the code must not reach
- * them. Each name has to occur in the code of the modules that read or write it,
- * as a property, a string or a part of a template. Names in comments don't count.
+ * Guards against renames in the code that change a name outside the process: on
+ * the wire, in stored data, in files or in the log. Each name must occur in the
+ * code of the modules that read or write it, as a property, a string or a part of
+ * a template. Comments don't count.
  */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -9,7 +10,7 @@
 import { test } from 'node:test';
 import ts from 'typescript';
 
-/** The names of one place, and the files or folders whose code has to contain them. */
+/** External names, separated by whitespace, and the files or folders whose code must contain them. */
 interface ExternalNames {
   place: string;
   modules: readonly string[];
@@ -132,7 +133,7 @@
   },
 ];
 
-/** Values of log fields and log messages that operators search for. */
+/** Log messages and values of log fields that operators search for. */
 const SEARCHED_LOG_TEXTS: readonly string[] = [
   'preemption notice',
   'quarantined',
@@ -176,8 +177,8 @@
   'request failed',
 ];
 
-/** Parsers of messages name a field only where they read it. */
-const PARSERS = join('src', 'protocol');
+/** Folder of the message parsers. There, reads of a property count as well, because a parser may name a field nowhere else. */
+const PARSER_FOLDER = join('src', 'protocol');
 
 function sourceFiles(path: string): string[] {
   if (path.endsWith('.ts')) return [path];
@@ -186,9 +187,9 @@
     .map((file) => join(path, file));
 }
 
-/** The names of properties and the texts of strings and templates in the code of one file. */
+/** Returns the names of properties and the texts of strings and templates in the code of a file. */
 function namesAndTexts(file: string): string[] {
-  const isParser = file.startsWith(PARSERS);
+  const isParser = file.startsWith(PARSER_FOLDER);
   const source = ts.createSourceFile(
     file,
     readFileSync(file, 'utf8'),
@@ -210,7 +211,7 @@
   return ts.isTemplateHead(node) || ts.isTemplateMiddle(node) || ts.isTemplateTail(node);
 }
 
-/** Reports whether the node names a property that is declared, written or, in a parser, read. */
+/** Reports whether the node is the name of a property that is declared or written, or in a parser also read. */
 function isPropertyName(node: ts.Node, isParser: boolean): node is ts.Identifier {
   const { parent } = node;
   if (!ts.isIdentifier(node)) return false;
@@ -227,7 +228,7 @@
   return expression.getText() === 'process.env';
 }
 
-/** Reports whether a text is the name, or has it as a part of a path, a key, an option or a header, not of a sentence. */
+/** Reports whether a text is the name, or contains it as part of a path, key, option or header. A word in a sentence does not count. */
 function contains(texts: readonly string[], name: string): boolean {
   const escaped = name.replace(/[.*+?^${}()|[\]\\]/g, '\\$&');
   const part = new RegExp(`^(\\S*[^\\w\\s-])?${escaped}([^\\w\\s-]\\S*)?$`);
@@ -242,7 +243,7 @@
     assert.deepEqual(missing, []);
   });
 
-test('log texts that operators search for are still written', () => {
+test('log texts that operators search for occur in the code', () => {
   const texts = sourceFiles('src').flatMap(namesAndTexts);
   assert.deepEqual(
     SEARCHED_LOG_TEXTS.filter((text) => !texts.some((found) => found.includes(text))),
--- a/test/import-direction.test.ts
+++ b/test/import-direction.test.ts
@@ -1,4 +1,4 @@
-/** Imports run downwards through the layers of docs/architecture.md, and never in a circle. */
+/** Guards against imports from a higher layer (docs/architecture.md) and against import cycles. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, normalize } from 'node:path';
@@ -6,7 +6,7 @@
 
 const SOURCE = 'src';
 
-/** The folders of src, the highest layer first; those of one line may import each other. */
+/** The entries of src by layer, the highest layer first. Entries of the same layer may import each other. */
 const LAYERS: readonly (readonly string[])[] = [
   ['main.ts', 'cli'],
   ['controller'],
@@ -26,7 +26,7 @@
   });
 }
 
-/** The project's own modules that each module imports, types included. */
+/** Returns the modules of src that each module imports, including imports of types. */
 function readImports(): Map<string, string[]> {
   const imports = new Map<string, string[]>();
   for (const file of sourceFiles(SOURCE)) {
@@ -40,26 +40,26 @@
 function layerOf(file: string): number {
   const [, folder = ''] = file.split('/');
   const layer = LAYERS.findIndex((folders) => folders.includes(folder));
-  assert.ok(layer >= 0, `${file} stands in no layer`);
+  assert.ok(layer >= 0, `${file} belongs to no layer`);
   return layer;
 }
 
-/** Modules from which a walk along the imports comes back to itself. */
-function modulesInCircles(imports: ReadonlyMap<string, readonly string[]>): string[] {
+/** Returns the modules that are part of an import cycle. */
+function modulesInCycles(imports: ReadonlyMap<string, readonly string[]>): string[] {
   return [...imports.keys()].filter((start) => {
-    const seen = new Set<string>();
-    const open = [...(imports.get(start) ?? [])];
-    for (let module = open.pop(); module !== undefined; module = open.pop()) {
+    const visited = new Set<string>();
+    const pending = [...(imports.get(start) ?? [])];
+    for (let module = pending.pop(); module !== undefined; module = pending.pop()) {
       if (module === start) return true;
-      if (seen.has(module)) continue;
-      seen.add(module);
-      open.push(...(imports.get(module) ?? []));
+      if (visited.has(module)) continue;
+      visited.add(module);
+      pending.push(...(imports.get(module) ?? []));
     }
     return false;
   });
 }
 
-test('every module imports from its own layer or lower ones only', () => {
+test('every module imports only from its own layer or lower ones', () => {
   const imports = readImports();
   assert.ok(imports.size > 100, `only ${imports.size} modules were read`);
   const upwards = [...imports].flatMap(([file, targets]) =>
@@ -68,12 +68,12 @@
   assert.deepEqual(upwards, []);
 });
 
-test('no module imports itself through others, not even for types', () => {
-  assert.deepEqual(modulesInCircles(readImports()), []);
-  const circle = new Map([
+test('there are no import cycles, not even of types', () => {
+  assert.deepEqual(modulesInCycles(readImports()), []);
+  const graph = new Map([
     ['a', ['b']],
     ['b', ['c']],
     ['c', ['b']],
   ]);
-  assert.deepEqual(modulesInCircles(circle), ['b', 'c']);
+  assert.deepEqual(modulesInCycles(graph), ['b', 'c']);
 });
--- a/test/version.test.ts
+++ b/test/version.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { VERSION } from '../src/version.js';
 
-test('the version that is printed is the one of the package', () => {
-  const pack = JSON.parse(readFileSync('package.json', 'utf8')) as { version: string };
-  assert.equal(VERSION, pack.version);
+test('the printed version equals the version in package.json', () => {
+  const manifest = JSON.parse(readFileSync('package.json', 'utf8')) as { version: string };
+  assert.equal(VERSION, manifest.version);
 });
