--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -94,7 +94,7 @@
     else this.markUnsaved(null);
   }
 
-  /** Marks the chunk unsaved; unless the write was never sent, the stored version has to be read first. */
+  /** Marks the chunk as unsaved. If the write may have been applied, the stored version has to be read first. */
   retry(mayBeApplied: boolean): void {
     this.markUnsaved(mayBeApplied ? null : this.version);
   }
--- a/src/scheduler/placement/assignment.ts
+++ b/src/scheduler/placement/assignment.ts
@@ -14,8 +14,8 @@
   /** Maximum number of attempts to start. */
   readonly maxStarts: number;
   /**
-   * Resources that tasks on unconfirmed machines may use. They count against every
-   * team's quota.
+   * Resources that unconfirmed machines and unknown tasks may use. They count
+   * against every team's quota.
    */
   readonly unconfirmedUsage: ResourceUsage;
   readonly started: TaskAttempt[];
--- a/src/scheduler/placement/placement-round.ts
+++ b/src/scheduler/placement/placement-round.ts
@@ -136,7 +136,7 @@
 
 /**
  * Places the batches that the last round left unplaced, in that round's order, on
- * a machine that has just sent a heartbeat, so that the reply to the heartbeat
+ * a machine that has just sent a heartbeat, so that the response to the heartbeat
  * carries the starts. Between rounds nothing is sorted or scored.
  */
 export function placeOnMachine(
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -19,9 +19,9 @@
 const PRIORITY_PREEMPTION_DELAY_SHARE = 0.2;
 /**
  * Share of the start objective for guaranteed work that a batch within its team's
- * guarantee waits before it preempts work of the same priority (docs/design.md,
- * "What was changed, and why"). It waits longer than for lower priorities, because
- * only the guarantee justifies the preemption.
+ * guarantee waits before it preempts work that is not of lower priority
+ * (docs/design.md, "What was changed, and why"). It waits longer than for lower
+ * priorities, because only the guarantee justifies the preemption.
  */
 const GUARANTEE_PREEMPTION_DELAY_SHARE = 0.6;
 /**
@@ -63,8 +63,11 @@
 interface PreemptionScope {
   /** Work of lower priority. */
   lowerPriority: boolean;
-  /** Work of the same priority that other teams run in excess of their guaranteed quota. */
-  samePriority: boolean;
+  /**
+   * Work that other teams run in excess of their guaranteed quota, of the same
+   * priority as the batch or a higher one.
+   */
+  beyondGuarantee: boolean;
 }
 
 /** Victims on one machine that together free capacity for one or more whole tasks of the batch. */
@@ -95,12 +98,12 @@
    * Plans the preemptions for `unplaced` tasks of the batch. Candidates are work
    * of lower priority and, for a batch within its team's guarantee, work that
    * another team runs in excess of its own guarantee. Capacity that is already
-   * being freed is claimed first. Machines whose victims lose the least work
-   * follow.
+   * being freed is claimed first. The machines follow in ascending order of the
+   * work that their first victim loses.
    */
   plan(batch: Batch, unplaced: number): Preemption[] {
     const scope = this.scopeOf(batch);
-    if (!scope.lowerPriority && !scope.samePriority) return [];
+    if (!scope.lowerPriority && !scope.beyondGuarantee) return [];
     const plan: Preemption[] = [];
     const candidates: PreemptionCandidate[] = [];
     let needed = unplaced;
@@ -124,13 +127,13 @@
     return plan;
   }
 
-  /** A batch preempts only after a delay, because most capacity becomes free without preemption. */
+  /** Returns what the batch may preempt. It has to wait first, because most capacity becomes free without preemption. */
   private scopeOf(batch: Batch): PreemptionScope {
     const { cluster, now } = this;
     const ageMs = batch.jobs[0] ? cluster.ageMs(batch.jobs[0], now) : 0;
     return {
       lowerPriority: ageMs >= priorityPreemptionDelayMs(cluster, batch.spec),
-      samePriority:
+      beyondGuarantee:
         batch.withinGuarantee && ageMs >= guaranteePreemptionDelayMs(cluster, batch.spec),
     };
   }
@@ -167,7 +170,7 @@
 
   /**
    * Adds preemptions on one machine for up to `needed` tasks of the batch to
-   * `plan`, and returns for how many. Stops victims only when a whole task then
+   * `plan`, and returns for how many. Selects victims only when a whole task then
    * fits. Otherwise other work would take the freed capacity, and the preemption
    * would be useless.
    */
@@ -235,7 +238,7 @@
 
 /**
  * Returns how long a batch within its team's guarantee waits before it preempts
- * work of the same priority.
+ * work that is not of lower priority.
  */
 function guaranteePreemptionDelayMs(cluster: ClusterState, spec: JobSpec): number {
   const { guaranteedStartS } = cluster.objectives;
@@ -295,7 +298,7 @@
 ): boolean {
   if (attempt.exemptFromPreemption) return false;
   if (attempt.job.priority > batch.priority) return scope.lowerPriority;
-  if (!scope.samePriority || attempt.job.spec.team === batch.spec.team) return false;
+  if (!scope.beyondGuarantee || attempt.job.spec.team === batch.spec.team) return false;
   return !attempt.job.withinGuarantee && isBeyondGuarantee(cluster, attempt);
 }
 
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -26,8 +26,8 @@
  * Reports whether the job has tasks to place, has not ended, is not backed off,
  * and has only dependencies that are durably done. A task of an inherited job
  * that no confirmed machine lists may be running on an unconfirmed machine, so
- * the job waits until every machine that its constraints allow is confirmed or
- * terminated.
+ * the job waits until every inherited machine that its constraints allow is
+ * confirmed or terminated.
  */
 export function isReady(cluster: ClusterState, job: Job, now: number): boolean {
   return (
@@ -104,8 +104,9 @@
 }
 
 /**
- * Returns the ready queue, ordered by priority, then by whether the work is
- * within its team's guarantee, then by the cost of waiting.
+ * Returns the ready queue: one task of each starving job, then the other batches,
+ * ordered by priority, then by whether the work is within its team's guarantee,
+ * then by the cost of waiting.
  *
  * Under overload, order of arrival would make all jobs late. Preferring only jobs
  * that have missed no objective fails as well: a job that missed its first
--- a/src/scheduler/placement/remaining-slots.ts
+++ b/src/scheduler/placement/remaining-slots.ts
@@ -25,22 +25,22 @@
 
 /**
  * Returns how many more tasks of the batch the team's maximum quota allows.
- * `unconfirmed`, the resources that tasks on unconfirmed machines may use, counts
- * as used. So does the quota reserved for a starving job of the team, unless the
- * batch is starving.
+ * `unconfirmedUsage`, the resources that unconfirmed machines and unknown tasks may
+ * use, counts as used. So does the quota reserved for a starving job of the team,
+ * unless the batch is starving.
  */
 export function remainingQuotaSlots(
   cluster: ClusterState,
   batch: Batch,
-  unconfirmed: ResourceUsage,
+  unconfirmedUsage: ResourceUsage,
 ): number {
   const { spec } = batch;
   const quota = cluster.quotas.get(spec.team);
   if (!quota) return 0;
   const usage = cluster.quotaUsage.get(spec.team) ?? NO_USAGE;
   const reserved = batch.starving ? NO_USAGE : (cluster.reservedQuota.get(spec.team) ?? NO_USAGE);
-  const cpus = quota.maxCpus - usage.cpus - unconfirmed.cpus - reserved.cpus + EPSILON;
-  const gpus = quota.maxGpus - usage.gpus - unconfirmed.gpus - reserved.gpus + EPSILON;
+  const cpus = quota.maxCpus - usage.cpus - unconfirmedUsage.cpus - reserved.cpus + EPSILON;
+  const gpus = quota.maxGpus - usage.gpus - unconfirmedUsage.gpus - reserved.gpus + EPSILON;
   let slots = UNBOUNDED_SLOTS;
   if (quota.maxCpus > 0 && spec.cpus > 0) slots = Math.min(slots, Math.floor(cpus / spec.cpus));
   if (quota.maxGpus > 0 && spec.gpus > 0) slots = Math.min(slots, Math.floor(gpus / spec.gpus));
--- a/src/scheduler/placement/reservations.ts
+++ b/src/scheduler/placement/reservations.ts
@@ -49,9 +49,9 @@
 
 /**
  * Reserves the least utilized machine that is large enough for a task of the
- * batch. Without it, a task too large for the gaps that smaller tasks leave would
- * wait forever: the machine accepts no other work until the task fits. Returns
- * null if no machine is large enough.
+ * batch, so that it accepts no other work until the task fits. Otherwise a task
+ * too large for the gaps that smaller tasks leave would wait forever. Returns null
+ * if no machine is large enough.
  */
 export function reserveMachine(batch: Batch, machines: Machine[]): Machine | null {
   let reserved: Machine | null = null;
--- a/src/scheduler/placement/scoring.ts
+++ b/src/scheduler/placement/scoring.ts
@@ -58,7 +58,7 @@
   }
 }
 
-/** Returns the highest price of any machine type, ordinary or spot. */
+/** Returns the highest price of any machine type, on-demand or spot. */
 export function highestPrice(types: ReadonlyMap<string, MachineType>): number {
   let highest = 0;
   for (const type of types.values()) highest = Math.max(highest, type.price, type.spotPrice);
--- a/src/scheduler/reconcile/agent-responsiveness.ts
+++ b/src/scheduler/reconcile/agent-responsiveness.ts
@@ -7,10 +7,10 @@
 const MAX_MISSED_ACKNOWLEDGEMENTS = 2;
 
 /**
- * Tracks which machines are unresponsive. A single lost response is ordinary.
- * After the second consecutive one, the machine gets no tasks until a command is
- * known to have reached it; otherwise it would be assigned more and more starts
- * that never arrive, because its heartbeats alone make it look healthy.
+ * Tracks which machines are unresponsive. A single lost response is normal. After
+ * the second consecutive one, the machine gets no tasks until it is known to
+ * receive responses or commands. Otherwise it would be assigned more and more
+ * starts that never arrive, because its heartbeats alone make it look healthy.
  */
 export class AgentResponsiveness {
   /** Unresponsive machines to be probed with an empty command. */
--- a/src/scheduler/reconcile/heartbeat-reconciliation.ts
+++ b/src/scheduler/reconcile/heartbeat-reconciliation.ts
@@ -26,8 +26,10 @@
 
 /**
  * Applies heartbeats in the order of the agent's epoch and sequence number.
- * Invariants: a heartbeat older than the last one applied changes nothing, and
- * only a heartbeat under this leader's own term proves anything about tasks.
+ * Invariants: a heartbeat older than the last one applied changes nothing. A new
+ * agent epoch proves under any term that the tasks of the earlier epochs have
+ * ended. Otherwise, only a heartbeat under this leader's own term proves anything
+ * about tasks.
  */
 export class HeartbeatReconciliation {
   private readonly term: number;
--- a/src/scheduler/reconcile/preemption-notices.ts
+++ b/src/scheduler/reconcile/preemption-notices.ts
@@ -5,7 +5,7 @@
 import type { TaskAttempts } from '../state/task-attempts.js';
 import type { WorkEstimates } from '../state/work-estimates.js';
 
-/** A task without checkpoints is restarted at once if it needs more than this multiple of the notice. */
+/** A task without checkpoints is restarted at once if its expected remaining time exceeds this multiple of the notice. */
 const RESTART_NOTICE_RATIO = 2;
 
 /** Reacts to the cloud's notices that it will reclaim a spot machine. */
@@ -33,8 +33,9 @@
 
   /**
    * Prepares the machine's tasks for its loss in `noticeS` seconds. Tasks that
-   * can save a checkpoint do so. Tasks that are unlikely to finish are stopped at
-   * once, to be restarted elsewhere. The others are left to finish.
+   * would not finish but can save a checkpoint in time do so. Tasks without
+   * checkpoints that are unlikely to finish are stopped at once, to be restarted
+   * elsewhere. The others keep running.
    */
   evacuate(machine: Machine, noticeS: number, now: number): void {
     for (const attempt of machine.attempts.values()) {
--- a/src/scheduler/reconcile/task-list-reconciliation.ts
+++ b/src/scheduler/reconcile/task-list-reconciliation.ts
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Releases attempts that the list omits: they have ended or were never started.
-   * `heartbeatSequence` is null for a heartbeat in a command reply, which doesn't
+   * Releases attempts that the list omits, except those whose start may still take
+   * effect. `heartbeatSequence` is null for a heartbeat in a command reply, which doesn't
    * prove that a response was lost.
    */
   private releaseUnlisted(
--- a/src/scheduler/scaling/capacity-backoff.ts
+++ b/src/scheduler/scaling/capacity-backoff.ts
@@ -8,7 +8,7 @@
 /** Boot time, in seconds, from which the delay is derived when the type is no longer known. */
 const UNKNOWN_TYPE_BOOT_S = 30;
 
-/** A pool of the cloud: the ordinary or the spot machines of one type in one zone. */
+/** A pool of the cloud: the on-demand or the spot machines of one type in one zone. */
 export interface MachinePool {
   type: string;
   zone: string;
--- a/src/scheduler/scaling/capacity.ts
+++ b/src/scheduler/scaling/capacity.ts
@@ -40,10 +40,11 @@
 }
 
 /**
- * Returns the machines that are up or booting, in the order in which demand is
- * allocated to them. Utilized machines come first, so that machines without
- * demand become empty and can be terminated. Scale-in candidates come last, so
- * that the same machines are left without demand in each plan.
+ * Returns the machines that are up or booting, without draining, unreachable and
+ * overdue ones, in the order in which demand is allocated to them. Utilized
+ * machines come first, so that machines without demand become empty and can be
+ * terminated. Scale-in candidates come last, so that the same machines are left
+ * without demand in each plan.
  */
 export function availableCapacity(cluster: ClusterState, now: number): AvailableCapacity[] {
   const capacity: AvailableCapacity[] = [];
@@ -77,7 +78,7 @@
 }
 
 /**
- * Orders spot before ordinary, then scale-in candidates last, then by descending
+ * Orders spot before on-demand machines, then scale-in candidates last, then by descending
  * utilization, then by id.
  */
 function byAllocationOrder(a: AvailableCapacity, b: AvailableCapacity): number {
--- a/src/scheduler/scaling/demand.ts
+++ b/src/scheduler/scaling/demand.ts
@@ -17,7 +17,7 @@
   /** Number of tasks to run concurrently. May be fractional. */
   slots: number;
   /** Number of tasks that are ready now. */
-  backlog: number;
+  readyTasks: number;
   /** Mean of the forecast, 0 if there is none. Only logged. */
   forecastMean: number;
 }
@@ -27,7 +27,7 @@
   spec: JobSpec;
   meanRequest: ResourceRequest;
   /** Number of tasks that may be started now. */
-  ready: number;
+  readyTasks: number;
   /** Total time for which the tasks occupy their slots, in seconds. */
   slotSeconds: number;
 }
@@ -52,7 +52,7 @@
     const demand = demandOf(cluster, forecasts, kind, work.get(kind), backlogTargetS);
     if (demand) demands.push(demand);
   }
-  // Work that is restricted to ordinary machines is allocated to them first.
+  // Work that is restricted to on-demand machines is allocated to them first.
   return demands.sort(
     (a, b) =>
       a.spec.priority - b.spec.priority || Number(a.spec.allowsSpot) - Number(b.spec.allowsSpot),
@@ -65,7 +65,7 @@
   for (const job of cluster.jobs.values()) {
     if (hasPlaceableTasks(job, now))
       addWork(work, job.spec, job.readyCount, occupancyS(cluster, job.spec), true);
-    // All its dependencies are running. A machine provisioned now is up when the job becomes ready.
+    // All its dependencies are running. A machine provisioned now should be up when the job becomes ready.
     else if (cluster.dependencies.isAboutToBeReady(job))
       addWork(work, job.spec, job.readyCount, occupancyS(cluster, job.spec), false);
     if (job.activeAttempts.size === 0) continue;
@@ -82,10 +82,10 @@
   spec: JobSpec,
   tasks: number,
   secondsPerTask: number,
-  ready: boolean,
+  isReady: boolean,
 ): void {
   const kind = workKindKey(spec);
-  const liveWork = work.get(kind) ?? { spec, meanRequest: spec, ready: 0, slotSeconds: 0 };
+  const liveWork = work.get(kind) ?? { spec, meanRequest: spec, readyTasks: 0, slotSeconds: 0 };
   const slotSeconds = tasks * secondsPerTask;
   liveWork.meanRequest = weightedMean(
     liveWork.meanRequest,
@@ -94,7 +94,7 @@
     slotSeconds,
   );
   liveWork.slotSeconds += slotSeconds;
-  if (ready) liveWork.ready += tasks;
+  if (isReady) liveWork.readyTasks += tasks;
   work.set(kind, liveWork);
 }
 
@@ -129,7 +129,7 @@
     spec,
     meanRequest,
     slots: mean + Math.max(marginSlots, excessSlots),
-    backlog: work?.ready ?? 0,
+    readyTasks: work?.readyTasks ?? 0,
     forecastMean: forecast?.mean ?? 0,
   };
 }
--- a/src/scheduler/scaling/fleet-conditions.ts
+++ b/src/scheduler/scaling/fleet-conditions.ts
@@ -13,13 +13,13 @@
 const MASS_OUTAGE_SHARE = 0.2;
 /**
  * Heartbeat intervals after a failover within which a reachable agent sends a
- * heartbeat with the new fencing token: one to receive the token in a reply, and
+ * heartbeat with the new fencing token: one to receive the token in a response, and
  * one to send the next heartbeat.
  */
 const CONFIRM_HEARTBEATS = 2;
 /**
- * Limit that replaces `CONFIRM_HEARTBEATS` for an agent that also did not answer
- * a direct command: one interval with its jitter, and a redirection.
+ * Limit that replaces `CONFIRM_HEARTBEATS` for an agent that also did not reply
+ * to a direct command: one interval with its jitter, and a redirection.
  */
 const UNANSWERED_CONFIRM_HEARTBEATS = 1.4;
 
@@ -60,8 +60,9 @@
 }
 
 /**
- * When many machines are unresponsive at once, this leader probably can't reach them,
- * and none of them is faulty.
+ * Reports whether so few machines are unresponsive that each is assumed to be
+ * faulty. When many are at once, this leader probably can't reach them, and none of
+ * them is faulty.
  */
 function unresponsiveAreFew(cluster: ClusterState): boolean {
   let up = 0;
--- a/src/scheduler/scaling/fleet-overview.ts
+++ b/src/scheduler/scaling/fleet-overview.ts
@@ -2,7 +2,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Demand } from './demand.js';
 
-/** Counts of ordinary or spot machines. */
+/** Counts of on-demand or spot machines. */
 interface MachineCounts {
   up: number;
   booting: number;
@@ -53,7 +53,7 @@
     class: demand.spec.jobClass,
     mean: round(demand.forecastMean),
     slots: round(demand.slots),
-    ready: demand.backlog,
+    ready: demand.readyTasks,
   };
 }
 
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -35,8 +35,8 @@
 
 /**
  * Plans the termination of idle machines without allocated demand, and of
- * machines that are unreachable, unresponsive, quarantined, preempted or failed
- * to boot. The termination of an unreachable machine also proves that its tasks
+ * machines that are unreachable, unresponsive, quarantined or preempted, or have
+ * failed to boot. The termination of an unreachable machine also proves that its tasks
  * have ended.
  */
 export class ScaleInPlanner {
@@ -103,12 +103,13 @@
    *
    * - While the rest of its zone is live, the machine is terminated at once.
    * - While many machines of a live zone are unreachable, a network partition is
-   *   more likely than independent failures. Each gets an agent lease to reconnect
-   *   through another controller, after which its tasks have ended in any case. A
-   *   longer wait delays the replacement of lost machines, and their jobs miss
-   *   deadlines.
+   *   more likely than independent failures. Each gets an agent lease and a
+   *   heartbeat interval to reconnect through another controller, after which its
+   *   tasks have ended in any case. A longer wait delays the replacement of lost
+   *   machines, and their jobs miss deadlines.
    * - While a whole zone is unreachable, no agent can reconnect. Its machines get
-   *   as long as replacements would take to boot.
+   *   an agent lease and the time that replacements would take to boot, but at
+   *   least `UNREACHABLE_ZONE_LEASES`.
    * - After a zone becomes live again, its agents reconnect one after the other
    *   and get time to do so.
    */
@@ -140,7 +141,9 @@
 
   /**
    * Reports whether the machine has sent heartbeats without acting on commands for
-   * longer than an agent lease. Only its termination then ends its tasks.
+   * longer than an agent lease. Only its termination then ends its tasks. A machine
+   * whose heartbeats are relayed is exempt, because a network partition may block
+   * the commands to it.
    */
   private isUnresponsiveTooLong(machine: Machine, now: number): boolean {
     return (
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -160,7 +160,7 @@
   capacity: AvailableCapacity[],
 ): number {
   const count = Math.floor(slots / slotsPerMachine + 0.5);
-  if (count === 0 && demand.backlog > 0 && !anyCanEverRun(capacity, demand.spec)) return 1;
+  if (count === 0 && demand.readyTasks > 0 && !anyCanEverRun(capacity, demand.spec)) return 1;
   return count;
 }
 
@@ -176,7 +176,7 @@
   );
 }
 
-/** Counts the zones that offer the option's type, ordinary or spot like the option. */
+/** Counts the zones that offer the option's type, on-demand or spot like the option. */
 function countZones(options: PoolOption[], { type, spot }: PoolOption): number {
   return options.filter((option) => option.type === type && option.spot === spot).length;
 }
@@ -196,7 +196,7 @@
       class: demand.spec.jobClass,
       slots: Math.round(demand.slots),
       short: Math.round(uncovered),
-      ready: demand.backlog,
+      ready: demand.readyTasks,
     },
   };
 }
--- a/src/scheduler/state/batch.ts
+++ b/src/scheduler/state/batch.ts
@@ -8,7 +8,10 @@
   /** Effective priority of its jobs, which may be inherited from a dependent job. */
   priority: number;
   withinGuarantee: boolean;
-  /** Binary logarithm of its jobs' cost of waiting (see WorkEstimates.waitingCost), rounded up. */
+  /**
+   * Binary logarithm of its jobs' cost of waiting (see WorkEstimates.waitingCost),
+   * rounded up and bounded from below. At the lower bound if the batch is starving.
+   */
   waitingCostLog2: number;
   /** Whether this is the first task of a job that has waited for too long. */
   starving: boolean;
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -284,7 +284,7 @@
     return this.leaderLag.silentSince(machine);
   }
 
-  /** Possibly unresponsive machines that are to be probed with an empty command. */
+  /** Unresponsive machines that are to be probed with an empty command. */
   get pendingProbes(): Set<Machine> {
     return this.responsiveness.pendingProbes;
   }
@@ -322,8 +322,9 @@
   }
 
   /**
-   * Returns the commands that every reply to the heartbeat has to carry. A reply
-   * renews the agent's lease, so it must stop the listed tasks of ended jobs.
+   * Returns the commands that every response to the heartbeat has to carry. A
+   * response renews the agent's lease, so it must stop the listed tasks of ended
+   * jobs.
    */
   stopsOfEndedJobs(heartbeat: Heartbeat): TaskCommand[] {
     return stopCommandsForEndedJobs(heartbeat, this.jobs);
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -93,7 +93,7 @@
     return this.dependents.has(id);
   }
 
-  /** Reports whether all tasks that the job waits for are running, so that it is ready within the duration of a task. */
+  /** Reports whether all tasks that the job waits for are assigned or done, so that it should be ready within the duration of a task. */
   isAboutToBeReady(job: Job): boolean {
     if (job.dependencyCancelled || job.dependenciesUnread || job.pendingDependencies.size === 0)
       return false;
@@ -138,7 +138,7 @@
     for (const job of dependents) job.markDependencyDone(id, at);
   }
 
-  /** Marks all jobs that depend on this one. Each is visited once, however many paths lead to it. */
+  /** Marks all direct and transitive dependents. Each is visited once, however many paths lead to it. */
   private cancelDependents(cancelledId: string): void {
     const toVisit = [cancelledId];
     for (let id = toVisit.pop(); id !== undefined; id = toVisit.pop())
@@ -166,7 +166,7 @@
 
   // Urgency: priority and effective deadline
 
-  /** Passes a job's urgency on to its dependencies. Each path is followed until nothing changes. */
+  /** Passes a job's urgency on to its dependencies, along each path until a job on it is at least as urgent already. */
   private propagateUrgency(dependency: Job, dependent: Job): void {
     const toVisit: DependencyEdge[] = [{ dependency, dependent }];
     for (let edge = toVisit.pop(); edge; edge = toVisit.pop()) {
@@ -187,7 +187,10 @@
     return true;
   }
 
-  /** Returns the deadline that a job passes on to its dependencies, less the expected duration of its own tasks. */
+  /**
+   * Returns the deadline that a job passes on to its dependencies: its own or
+   * inherited one, less the expected duration of its tasks. Null when it has none.
+   */
   private deadlineForDependencies(dependent: Job): EffectiveDeadline | null {
     const deadline = dependent.effectiveDeadline;
     if (deadline === null) return null;
--- a/src/scheduler/state/job-state.ts
+++ b/src/scheduler/state/job-state.ts
@@ -30,7 +30,7 @@
   /**
    * Versions of the bitmap chunks' keys in the state service, for all chunks
    * that may exist there. 0 means that the chunk has not been written; null
-   * means that a write got no reply, so the version has to be read.
+   * means that a write received no response, so the version has to be read.
    */
   readonly chunkVersions = new Map<number, number | null>();
   /** Further state service keys of the job. They are only read, and deleted when it ends. */
--- a/src/scheduler/state/leader-lag.ts
+++ b/src/scheduler/state/leader-lag.ts
@@ -25,7 +25,7 @@
    * Returns the time since when the machine counts as silent.
    *
    * While the leader lags on a small processor, most of all after a failover,
-   * heartbeats wait to be read, or the agent's attempts fail and it tries another
+   * heartbeats wait to be read, or they fail and the agent tries another
    * controller. Neither is a fault of the machine, so silence counts only from
    * the last lag. This allowance ends one agent lease after the last heartbeat.
    */
--- a/src/scheduler/state/machine-state.ts
+++ b/src/scheduler/state/machine-state.ts
@@ -10,7 +10,7 @@
 import type { MachineType } from '../../model/machine.js';
 import { EPSILON } from '../../model/resources.js';
 
-/** Capacity that preemption has freed, reserved until the work that needs it has been placed. */
+/** Capacity that preemption frees, reserved until the work that needs it has been placed or the reservation expires. */
 export interface Reservation {
   priority: number;
   withinGuarantee: boolean;
@@ -37,16 +37,19 @@
   readonly firstKnownAt: number;
   /** When it was first known to be up; null before that. */
   upAt: number | null = null;
-  /** When its last heartbeat under this leader's own fencing token arrived. */
+  /**
+   * When its last heartbeat under this leader's own fencing token arrived. Before
+   * the first one, when the machine was inherited or first listed as running, or 0.
+   */
   lastHeartbeatAt = 0;
   /**
    * Whether it was up, sends no heartbeats and is in no list. Most likely it has
    * been terminated, and it is terminated again to be sure.
    */
   missingFromList = false;
-  /** Number of consecutive heartbeat replies whose starts had no visible effect. */
+  /** Number of consecutive heartbeat responses whose starts had no visible effect. */
   missedAcknowledgements = 0;
-  /** Since when nothing shows that replies reach it although its heartbeats arrive; null otherwise. */
+  /** Since when nothing shows that responses and commands reach it although its heartbeats arrive; null otherwise. */
   unresponsiveSince: number | null = null;
 
   // Agent and fencing
@@ -59,9 +62,9 @@
   lastSequence = -1;
   /** Whether a heartbeat of the current epoch carried this leader's own fencing token, so that its task list is complete. */
   confirmed = false;
-  /** The fence of replies and commands to the machine: the low part of its fencing token. */
+  /** The fence of responses and commands to the machine: the low part of its fencing token. */
   fence = 0;
-  /** The highest fence that it has reported. It rejects commands with a lower one. */
+  /** The highest fence that it has reported. It refuses commands with a lower one. */
   acknowledgedFence = 0;
   /** Since when attempts have waited for the fence to be raised; null when no raise is due. */
   fenceRaiseDueSince: number | null = null;
--- a/src/scheduler/state/task-attempt.ts
+++ b/src/scheduler/state/task-attempt.ts
@@ -10,7 +10,7 @@
 import { JobState } from './job-state.js';
 import { MachineState } from './machine-state.js';
 
-/** A request to stop an attempt. Replies to heartbeats repeat it until the exit is reported. */
+/** A request to stop an attempt. Responses to heartbeats repeat it until the exit is reported. */
 export interface StopRequest {
   /** Seconds that the task has to save a checkpoint; 0 ends it immediately. */
   graceS: number;
@@ -31,11 +31,16 @@
   machine: Machine;
   /** `assigned` until the machine reports the attempt. */
   state: 'assigned' | TaskState;
-  /** Sequence number of the heartbeat whose reply carried the start; null before that. */
+  /**
+   * Sequence number of the heartbeat whose response carried the start, or of the
+   * heartbeat in the reply to an executed direct command. Null before that. Only a
+   * later heartbeat can prove that the start was lost.
+   */
   startSentSequence: number | null;
   /**
-   * The machine's fence under which a direct command carried the start; null
-   * when none did, or when the machine has reported a higher fence.
+   * The machine's fence under which a direct command carried the start. Null when
+   * none did, or when the command can no longer take effect: it was never sent,
+   * the agent refused it, or the machine has reported a higher fence.
    *
    * Until then the command, or a duplicate of it, may still arrive. Neither the
    * absence of the attempt from a heartbeat nor its exit rules that out, and if
--- a/src/scheduler/state/task-attempts.ts
+++ b/src/scheduler/state/task-attempts.ts
@@ -13,7 +13,7 @@
  * that the machine, the job and the team's quota stay consistent.
  */
 export class TaskAttempts {
-  /** Machines with unsent commands. A direct command carries them unless the reply to a heartbeat does so first. */
+  /** Machines with unsent commands. A direct command carries them unless the response to a heartbeat does so first. */
   readonly pendingCommands = new Set<Machine>();
   private attemptCount = 0;
 
@@ -23,7 +23,7 @@
     private readonly roundTrigger: RoundTrigger,
   ) {}
 
-  /** Assigns a ready task to a machine. The start is sent with the reply to its next heartbeat or with a direct command. */
+  /** Assigns a ready task to a machine. The start is sent with the response to its next heartbeat or with a direct command. */
   assign(job: Job, index: number, machine: Machine, now: number): TaskAttempt {
     const attemptNumber = this.term * ATTEMPTS_PER_TERM + ++this.attemptCount;
     const attempt = createAttempt(job, index, attemptNumber, machine, now);
@@ -115,7 +115,7 @@
       // A duplicate of an executed command may still arrive until the fence has been raised.
       if (executed) attempt.startSentSequence = Math.max(attempt.startSentSequence ?? 0, sequence);
       else {
-        // The command was rejected for its fencing token or agent epoch; so will be every duplicate.
+        // The command was refused for its fencing token or agent epoch. Duplicates will be refused too.
         attempt.directCommandFence = null;
         if (isStartUnsent(attempt)) this.release(attempt, 0);
       }
--- a/src/scheduler/state/zone-liveness.ts
+++ b/src/scheduler/state/zone-liveness.ts
@@ -7,7 +7,7 @@
 export interface ZoneLiveness {
   /** When its last heartbeat arrived. */
   lastHeartbeatAt: number;
-  /** Since when there has been no gap in which none of its machines sent a heartbeat. */
+  /** Since when heartbeats from its machines have arrived without a gap. */
   liveSince: number;
 }
 
--- a/test/cluster-state.test.ts
+++ b/test/cluster-state.test.ts
@@ -117,7 +117,7 @@
   cluster.addJob(jobSpec({ tasks: 1 }), 5, 0, false);
   runPlacementRound(cluster, 32, 100);
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
-  assert.equal(cluster.heartbeatCommands(machine).length, 1, 'a reply that gets lost');
+  assert.equal(cluster.heartbeatCommands(machine).length, 1, 'a response that gets lost');
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 200);
   assert.equal(machine.missedAcknowledgements, 1);
   runPlacementRound(cluster, 32, 200);
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -74,8 +74,8 @@
   assert.equal(cluster.dependencies.jobsWithUnknownEnd.size, 0);
 });
 
-test('the watch may report an end before or after the reply to the transaction that wrote it', () => {
-  for (const order of ['watch first', 'reply first']) {
+test('a job becomes ready whether the watch reports its dependency’s end before or after the transaction’s response', () => {
+  for (const order of ['watch first', 'response first']) {
     const cluster = createCluster();
     addJob(cluster, 1, []);
     const next = addJob(cluster, 2, [1]);
--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -53,7 +53,7 @@
 }
 
 const OUTCOMES: [name: string, report: (write: DurableWrite) => void][] = [
-  ['was not sent', (write) => write.retry(false)],
+  ['was certainly not applied', (write) => write.retry(false)],
   ['received no response', (write) => write.retry(true)],
   ['conflicted with another version of the chunk', (write) => write.conflict([CHUNK_KEY])],
   [
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -189,14 +189,14 @@
   const partitioned = new ScriptedAgent('n-1', 'a', true);
   partitioned.term = 1;
   const healthy = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
-  const nonSpotJob = cluster.addJob(
+  const onDemandJob = cluster.addJob(
     jobSpec({ id: 'req-000001', tasks: 1, allowsSpot: false }),
     1,
     0,
     true,
   );
   const spotJob = cluster.addJob(jobSpec({ id: 'req-000002', tasks: 2, cpus: 8 }), 2, 0, true);
-  // What may run on the unconfirmed machine counts against the team's limit.
+  // What may run on the unconfirmed machine counts against the team's quota.
   assert.equal(runPlacementRound(cluster, 32, 200).started.length, 0);
   let now = 200;
   let terminatedAt = 0;
@@ -213,9 +213,9 @@
   // It is terminated once two heartbeats under the new token are overdue, since work waits for it.
   assert.ok(terminatedAt > 6000 && terminatedAt <= 8000, `terminated at ${terminatedAt}`);
   assert.equal(runPlacementRound(cluster, 32, now).started.length, 2);
-  assert.deepEqual([nonSpotJob?.readyCount, spotJob?.readyCount], [0, 1]);
+  assert.deepEqual([onDemandJob?.readyCount, spotJob?.readyCount], [0, 1]);
 
-  // Without a limit, jobs that may not use spot machines wait for non-spot machines only.
+  // Without a quota limit, jobs that may not use spot machines wait for on-demand machines only.
   const unlimitedCluster = createCluster({ term: 2 });
   unlimitedCluster.inheritMachine('n-1', 'm16', 'a', true, '10.0.0.1:9001', 0);
   joinCluster(unlimitedCluster, new ScriptedAgent('n-2'), 100);
--- a/test/fleet-scaling.test.ts
+++ b/test/fleet-scaling.test.ts
@@ -42,7 +42,7 @@
   assert.equal(Math.max(...plans().map((plan) => plan.count)), 50);
 });
 
-test('work that may not use spot machines gets ordinary ones', () => {
+test('work that may not use spot machines gets on-demand ones', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
   cluster.addJob(jobSpec({ tasks: 8, allowsSpot: false }), 1, 0, false);
@@ -118,7 +118,7 @@
   assert.equal(totalCount(scaleOut.plan(260_000)), 0);
 });
 
-test('unbooted, quarantined and single unreachable machines are terminated, but not an unreachable zone', () => {
+test('unbooted, quarantined and single unreachable machines are terminated, but not those of an unreachable zone', () => {
   const cluster = createCluster();
   const scaleIn = new ScaleInPlanner(cluster);
   cluster.ensureMachine('n-1', 'm16', 'a', false, 0, 0);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -415,7 +415,7 @@
   runPlacementRound(cluster, 32, 0);
   assert.equal(small.activeAttempts.size, 4);
   sendHeartbeat(cluster, agent, 100);
-  // One small task ends at a time. Its capacity is filled in the heartbeat reply or by a round.
+  // One small task ends at a time. Its capacity is filled after the heartbeat or by a round.
   for (let now = 2000; !large.started && now < 20_000; now += 1000) {
     const runningTask = [...agent.tasks].find(([, t]) => t.state === 'running');
     if (runningTask) agent.exit(runningTask[0], 'done');
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -30,8 +30,8 @@
 import { SUBMISSION } from './support/submission.js';
 
 /** 1.5 times the largest supported fleet. */
-const MACHINES = 6000;
-const SMALL = 1000;
+const LARGE_FLEET_SIZE = 6000;
+const SMALL_FLEET_SIZE = 1000;
 
 function machineId(n: number): string {
   return `n-${String(n).padStart(6, '0')}`;
@@ -65,9 +65,9 @@
   return { cluster, machines, agents };
 }
 
-test('a heartbeat and the placement in its reply visit no other machine, whatever the fleet size', () => {
+test('a heartbeat and the placement in its response visit no other machine, whatever the fleet size', () => {
   const teams = [teamQuota({ name: 'ops', maxCpus: 1e6 })];
-  for (const size of [SMALL, MACHINES]) {
+  for (const size of [SMALL_FLEET_SIZE, LARGE_FLEET_SIZE]) {
     const { cluster, machines, agents } = createFleet(size, { teams });
     cluster.addJob(jobSpec({ tasks: size * 5, cpus: 4 }), 1, 0, false);
     runPlacementRound(cluster, size * 8, 10);
@@ -84,7 +84,7 @@
 });
 
 test('scale-out and scale-in plans visit each machine equally often, whatever the fleet size', () => {
-  const passes = [SMALL, MACHINES].map((size) => {
+  const passes = [SMALL_FLEET_SIZE, LARGE_FLEET_SIZE].map((size) => {
     const { cluster, machines } = createFleet(size);
     const scaleOut = new ScaleOutPlanner(cluster);
     for (let i = 1; i <= 20; i++)
@@ -98,13 +98,13 @@
   assert.ok((passes[0] as number) < 20, `${passes[0]} passes`);
 });
 
-test('thousands of terminated machines stay terminated despite late heartbeat copies and machine lists', () => {
-  const { cluster, agents } = createFleet(MACHINES);
-  const job = cluster.addJob(jobSpec({ tasks: MACHINES }), 1, 0, false);
+test('thousands of terminated machines stay terminated despite delayed duplicate heartbeats and outdated machine lists', () => {
+  const { cluster, agents } = createFleet(LARGE_FLEET_SIZE);
+  const job = cluster.addJob(jobSpec({ tasks: LARGE_FLEET_SIZE }), 1, 0, false);
   assert.ok(job);
-  runPlacementRound(cluster, MACHINES, 10);
+  runPlacementRound(cluster, LARGE_FLEET_SIZE, 10);
   const terminated = agents.filter((agent) => agent.zone === 'a');
-  const copies = terminated.map((agent) => agent.heartbeat());
+  const duplicates = terminated.map((agent) => agent.heartbeat());
   const list = agents.map((agent) => ({
     id: agent.id,
     address: '10.0.0.1:9000',
@@ -116,56 +116,59 @@
   }));
   for (const agent of terminated) cluster.markTerminated(agent.id, 'returned', 1000);
   const remaining = cluster.machines.size;
-  assert.equal(remaining, MACHINES - terminated.length);
-  for (const copy of copies) assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', 2000), false);
+  assert.equal(remaining, LARGE_FLEET_SIZE - terminated.length);
+  for (const duplicate of duplicates)
+    assert.equal(cluster.applyHeartbeat(duplicate, 'heartbeat', 2000), false);
   // The machine list is outdated and still contains all of them.
   cluster.applyMachineList(list, 1500, 2500);
   assert.equal(cluster.machines.size, remaining);
-  // Long after their tombstones have expired, a late copy is still rejected.
+  // Long after their tombstones have expired, a delayed duplicate is still ignored.
   const later = cluster.timing.listProofMs * 20;
-  cluster.markTerminated(machineId(MACHINES), 'returned', later);
+  cluster.markTerminated(machineId(LARGE_FLEET_SIZE), 'returned', later);
   assert.equal(cluster.tombstones.size, 1);
-  for (const copy of copies)
-    assert.equal(cluster.applyHeartbeat(copy, 'heartbeat', later + 1), false);
+  for (const duplicate of duplicates)
+    assert.equal(cluster.applyHeartbeat(duplicate, 'heartbeat', later + 1), false);
   assert.equal(cluster.machines.size, remaining - 1);
-  assert.equal(job.readyCount + job.activeAttempts.size, MACHINES);
+  assert.equal(job.readyCount + job.activeAttempts.size, LARGE_FLEET_SIZE);
 });
 
 test('after tombstones expire, only ids up to the highest expired one may belong to terminated machines', () => {
   const tombstones = new MachineTombstones(1000);
-  for (let n = 1; n <= MACHINES; n++) tombstones.add(machineId(n), 0);
-  assert.equal(tombstones.size, MACHINES);
+  for (let n = 1; n <= LARGE_FLEET_SIZE; n++) tombstones.add(machineId(n), 0);
+  assert.equal(tombstones.size, LARGE_FLEET_SIZE);
   assert.equal(tombstones.has(machineId(1)), true);
-  tombstones.add(machineId(MACHINES + 5), 2000);
+  tombstones.add(machineId(LARGE_FLEET_SIZE + 5), 2000);
   assert.equal(tombstones.size, 1);
   assert.equal(tombstones.has(machineId(1)), false);
   assert.equal(tombstones.mayBeTerminated(machineId(1)), true);
-  assert.equal(tombstones.mayBeTerminated(machineId(MACHINES + 1)), false);
+  assert.equal(tombstones.mayBeTerminated(machineId(LARGE_FLEET_SIZE + 1)), false);
 });
 
 function rosterEntry(n: number): RosterEntry {
   return { id: machineId(n), type: 'm16', zone: 'a', spot: true, address: '10.1.0.1:9000' };
 }
 
-test('a roster of thousands fits pages of the smallest value limit and is complete after each write', () => {
+test('a roster of thousands of machines fits pages of the smallest value limit and is complete after each write', () => {
   const pageBytes = 2 * 1024 * 0.9;
   const roster = new Roster(3, pageBytes);
   const stored = new Map<string, RosterEntry[]>();
   let revision = 0;
-  const entries = Array.from({ length: MACHINES }, (_, i) => rosterEntry(i + 1));
-  for (let from = 0; from < MACHINES; from += 500)
+  const entries = Array.from({ length: LARGE_FLEET_SIZE }, (_, i) => rosterEntry(i + 1));
+  for (let from = 0; from < LARGE_FLEET_SIZE; from += 500)
     for (const write of roster.add(entries.slice(from, from + 500))) {
       assert.ok(JSON.stringify({ machines: write.entries }).length <= 2 * 1024);
       stored.set(write.keySuffix, write.entries);
       write.applied(++revision);
     }
-  assert.equal([...stored.values()].flat().length, MACHINES);
+  assert.equal([...stored.values()].flat().length, LARGE_FLEET_SIZE);
   // A later leader reads the roster, loses half of the machines and adds as many. It reuses
-  // pages with room.
+  // pages with space.
   const nextRoster = new Roster(4, pageBytes);
   for (const [key, members] of stored) nextRoster.restore(key, 1, members);
-  for (let n = 1; n <= MACHINES; n += 2) nextRoster.removeMachine(machineId(n));
-  const added = Array.from({ length: MACHINES / 2 }, (_, i) => rosterEntry(MACHINES + i + 1));
+  for (let n = 1; n <= LARGE_FLEET_SIZE; n += 2) nextRoster.removeMachine(machineId(n));
+  const added = Array.from({ length: LARGE_FLEET_SIZE / 2 }, (_, i) =>
+    rosterEntry(LARGE_FLEET_SIZE + i + 1),
+  );
   for (const write of nextRoster.add(added)) {
     stored.set(write.keySuffix, write.entries);
     write.applied(++revision);
@@ -184,7 +187,7 @@
     [...entries.filter((_, i) => i % 2 === 1), ...added].map((member) => member.id),
   );
   assert.deepEqual(new Set([...stored.values()].flat().map((member) => member.id)), expected);
-  assert.ok(stored.size <= (MACHINES / 15) * 1.2, `${stored.size} pages`);
+  assert.ok(stored.size <= (LARGE_FLEET_SIZE / 15) * 1.2, `${stored.size} pages`);
 });
 
 /** Starts a server on loopback that runs until the test ends. */
@@ -207,7 +210,7 @@
   return { port: (server.address() as net.AddressInfo).port, stop };
 }
 
-test('a watch reply that exceeds the size limit returns null, like a revision that is too old', async (t) => {
+test('a watch whose response exceeds the size limit returns null, as for a revision that is too old', async (t) => {
   const events = Array.from({ length: 10_000 }, (_, i) => ({
     set: `live/req-${i}`,
     v: { spec: 'x'.repeat(500) },
@@ -264,7 +267,7 @@
   }
 }
 
-test('more agents than sockets are all served, most of them on their existing connections', async (t) => {
+test('more agents than sockets are all served, and most sockets keep the connection of one agent', async (t) => {
   const sockets = 40;
   const { port } = await startServer(t, () => ({ status: 200, body: {} }), sockets);
   const connections = Array.from({ length: sockets * 3 }, () => new AgentConnection(port));
@@ -282,7 +285,7 @@
   const clock = new FakeClock();
   const ctx = createContext('n-0', new FakeStateService(new FakeStore(clock)), clock);
   ctx.platform.settings.cloud.rps = 40;
-  const { cluster } = createFleet(MACHINES);
+  const { cluster } = createFleet(LARGE_FLEET_SIZE);
   for (const machine of cluster.machines.values()) machine.drainReason = 'quarantined';
   const calls: { count: number; at: number }[] = [];
   const stop = new AbortController();
@@ -307,7 +310,7 @@
   void controller.runScaling(stop.signal).catch(() => {});
   await clock.advance(ctx.timing.listMs + ctx.timing.heartbeatMs * 2);
   assert.equal(cluster.machines.size, 0);
-  assert.equal(calls.length, MACHINES / 100);
+  assert.equal(calls.length, LARGE_FLEET_SIZE / 100);
   assert.ok(calls.every((call) => call.count <= 100));
   const callsByTime = new Map<number, number>();
   for (const { at } of calls) callsByTime.set(at, (callsByTime.get(at) ?? 0) + 1);
--- a/test/scaling-plans.test.ts
+++ b/test/scaling-plans.test.ts
@@ -42,9 +42,9 @@
   assert.equal(plannedMachines(new ScaleOutPlanner(cluster), 0), 0);
 
   // Demand that is only forecast gets no machine.
-  const expecting = new ScaleOutPlanner(createCluster());
-  expecting.recordArrival(jobSpec(small));
-  assert.equal(plannedMachines(expecting, 0), 0);
+  const forecastOnly = new ScaleOutPlanner(createCluster());
+  forecastOnly.recordArrival(jobSpec(small));
+  assert.equal(plannedMachines(forecastOnly, 0), 0);
 });
 
 test('the back-off of a pool starts over once one of its machines has terminated', () => {
--- a/test/scheduler-history.test.ts
+++ b/test/scheduler-history.test.ts
@@ -29,12 +29,12 @@
   fence: number;
   commands: TaskCommand[];
   starts: TaskAttempt[];
-  /** Whether it was executed or rejected before. The next delivery is a duplicate, whose reply is dropped. */
+  /** Whether it was executed or refused before. The next delivery is a duplicate, whose reply is dropped. */
   duplicated: boolean;
 }
 
 /**
- * Simulates a few agents under changing leaders: heartbeats are delayed, replies
+ * Simulates a few agents under changing leaders: heartbeats are delayed, responses
  * are lost, commands are delayed or dropped, leases expire, machines terminate
  * and jobs are cancelled. The invariants are checked after every step.
  */
@@ -50,7 +50,7 @@
   /** Versions of the stored bitmaps, by job id. */
   private readonly bitmapVersions = new Map<string, number>();
   private revision = 0;
-  /** Writes that got no reply and may still be applied. */
+  /** Writes that received no response and may still be applied. */
   private delayedWrites: { cluster: ClusterState; write: DurableWrite }[] = [];
   /** Heartbeats in transit, each with the leader to which it was sent. */
   private delayedHeartbeats: { heartbeat: Heartbeat; cluster: ClusterState }[] = [];
@@ -109,7 +109,7 @@
     this.checkInvariants();
   }
 
-  /** Events that need no agent, by random number. Numbers in neither list are heartbeats with their replies. */
+  /** Events that need no agent, by random number. Numbers in neither list are heartbeats with their responses. */
   private readonly clusterEvents: Record<number, () => void> = {
     0: () => this.submitJob(),
     1: () => this.cancelJob(),
@@ -182,7 +182,7 @@
     const delayed = this.randomElement(this.delayedHeartbeats);
     if (!delayed) return;
     this.delayedHeartbeats.splice(this.delayedHeartbeats.indexOf(delayed), 1);
-    // The agent no longer waits for the reply, so it is dropped.
+    // The agent no longer waits for the response, so it is dropped.
     this.handleHeartbeat(delayed.heartbeat, delayed.cluster);
   }
 
@@ -321,12 +321,12 @@
     for (const zone of [null, 'a', 'b'])
       for (const spot of [true, false]) {
         const job = jobSpec({ zone, allowsSpot: spot });
-        const held = [...this.cluster.machines.values()].some(
+        const expected = [...this.cluster.machines.values()].some(
           (machine) => machine.inherited && satisfiesConstraints(machine, job),
         );
         assert.equal(
           this.cluster.inheritedMachines.mayRunTasksOf(job),
-          held,
+          expected,
           'inherited machines are miscounted',
         );
       }
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -145,7 +145,7 @@
     task.cause = cause;
   }
 
-  /** Simulates the expiry of its lease. */
+  /** Simulates the expiry of its lease, which ends all of its tasks. */
   expireLease(): void {
     this.agentEpoch++;
     this.tasks.clear();
@@ -174,7 +174,7 @@
   return agent;
 }
 
-/** Sends a heartbeat and executes the commands in its reply. */
+/** Sends a heartbeat and executes the commands in its response. */
 export function sendHeartbeat(
   cluster: ClusterState,
   agent: ScriptedAgent,
@@ -191,7 +191,7 @@
 /** Creates a cluster with one joined machine, n-1, and a new job with this many tasks. */
 export function clusterWithJob(tasks: number) {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks }), 5, 0, false);
-  return { cluster, w, job };
+  return { cluster, agent, job };
 }
--- a/test/task-attempt.test.ts
+++ b/test/task-attempt.test.ts
@@ -22,10 +22,10 @@
   exited.machine.removeAttempt(exited.attempt);
   assert.deepEqual([exited.machine.usedCpus, exited.machine.attempts.size], [0, 0]);
 
-  const left = assignOne();
-  left.machine.removeAttempt(left.attempt);
-  left.machine.removeAttempt(left.attempt);
-  assert.deepEqual([left.machine.usedCpus, left.machine.attempts.size], [0, 0]);
+  const removed = assignOne();
+  removed.machine.removeAttempt(removed.attempt);
+  removed.machine.removeAttempt(removed.attempt);
+  assert.deepEqual([removed.machine.usedCpus, removed.machine.attempts.size], [0, 0]);
 });
 
 test('the removal of an attempt that is not the active one of its task does not change the job', () => {
