--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -24,7 +24,7 @@
  */
 export class LeaderElection {
   /** Name of the leader as last observed; null when no leader is known. */
-  leader: string | null = null;
+  leaderNode: string | null = null;
   /** Term of the observed leader; null when no leader is known. */
   observedTerm: number | null = null;
   /**
@@ -33,7 +33,7 @@
    */
   highestTerm = 0;
   /** The term that this controller holds; null while it does not lead. */
-  current: LeaderTerm | null = null;
+  currentTerm: LeaderTerm | null = null;
   private outageLogged = false;
 
   constructor(
@@ -68,7 +68,8 @@
    */
   observeTerm(term: number): void {
     this.highestTerm = Math.max(this.highestTerm, term);
-    if (this.current && this.current.number < term) this.current.resign('later term observed');
+    if (this.currentTerm && this.currentTerm.number < term)
+      this.currentTerm.resign('later term observed');
   }
 
   /** Reads the leader record, then waits for it to change, or campaigns if there is none. */
@@ -78,7 +79,7 @@
     const entry = page.entries.find((entry) => entry.key === LEADER_KEY);
     const record = entry ? decodeLeaderRecord(entry.value) : null;
     if (!record) {
-      this.leader = null;
+      this.leaderNode = null;
       this.observedTerm = null;
       await this.campaign(signal);
     } else if (this.isOwnRecord(record)) await ctx.state.revoke(record.lease, signal);
@@ -97,7 +98,7 @@
 
   /** Follows another leader until its key changes or the watch times out. */
   private observe(record: LeaderRecord, revision: number, signal: AbortSignal): Promise<unknown> {
-    this.leader = record.node;
+    this.leaderNode = record.node;
     this.observedTerm = record.term;
     this.highestTerm = Math.max(this.highestTerm, record.term);
     return this.ctx.state.watch(LEADER_KEY, revision, this.ctx.timing.watchTimeoutMs, signal);
@@ -150,8 +151,8 @@
     } finally {
       term.end();
       signal.removeEventListener('abort', endTerm);
-      this.current = null;
-      this.leader = null;
+      this.currentTerm = null;
+      this.leaderNode = null;
       this.observedTerm = null;
       await routines;
     }
@@ -160,8 +161,8 @@
   }
 
   private beginTerm(term: LeaderTerm): void {
-    this.current = term;
-    this.leader = this.ctx.node;
+    this.currentTerm = term;
+    this.leaderNode = this.ctx.node;
     this.observedTerm = term.number;
     this.highestTerm = Math.max(this.highestTerm, term.number);
     this.ctx.log.info({ term: term.number }, 'leader term began');
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -37,7 +37,7 @@
 /** Dependencies of HeartbeatHandler. */
 export interface HeartbeatHandlerOptions {
   ctx: ControllerContext;
-  election: Pick<LeaderElection, 'leader' | 'observedTerm' | 'current'>;
+  election: Pick<LeaderElection, 'leaderNode' | 'observedTerm' | 'currentTerm'>;
   /** Returns the leader running in this process; null while this node does not lead. */
   leader: () => Leader | null;
   peers: HeartbeatRelay;
@@ -71,7 +71,7 @@
     }
     const { ctx, election, peers } = this.options;
     if (this.options.leader()) return this.handleAsLeader(heartbeat, false);
-    const { leader } = election;
+    const { leaderNode: leader } = election;
     if (leader === null || leader === ctx.node) return redirectTo(null);
     const nowMs = ctx.clock.now();
     this.redirected.forgetInactive(nowMs);
@@ -102,7 +102,7 @@
     // carry commands.
     await this.options.leader()?.waitUntilReady();
     const leader = this.options.leader();
-    const term = this.options.election.current;
+    const term = this.options.election.currentTerm;
     if (!leader || !term) return redirectTo(null);
     if (heartbeat.term > term.number) {
       // The agent has already accepted the token of a later leader.
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -81,11 +81,11 @@
     await w.run(5);
     const c = w.controllers.find((x) => x.leader);
     if (!c) continue;
-    assert.equal(c.leadership.current?.mayRenewAgentLeases(), false);
+    assert.equal(c.leadership.currentTerm?.mayRenewAgentLeases(), false);
     const answer = c.reports.handle(onWire(new ScriptedAgent('n-1').heartbeat()));
     await w.run(2);
     assert.equal((await answer).status, 503);
-    c.leadership.current?.resign('lease ended');
+    c.leadership.currentTerm?.resign('lease ended');
   }
   assert.ok(w.terms.length >= terms + 6, `${w.terms.length - terms} terms`);
   assert.equal(countRunning(w, ids[0] as string), 0);
@@ -107,7 +107,7 @@
   assert.ok(leader);
   // Only its first heartbeat arrives, so this one response has to stop the tasks.
   const heartbeat = m.worker.heartbeat();
-  assert.ok(heartbeat.term < (leader.leadership.current?.number ?? 0));
+  assert.ok(heartbeat.term < (leader.leadership.currentTerm?.number ?? 0));
   const { commands } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { commands: [] };
   const stops = commands.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
   assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
@@ -138,8 +138,8 @@
   assert.ok(await w.cancel(ids[0] as string, w.other));
   await w.run(22);
   // It still leads, since its renewals are answered, but starts nothing.
-  assert.ok(leader.leadership.current?.isProven());
-  assert.equal(leader.leadership.current?.mayStartTasks(), false);
+  assert.ok(leader.leadership.currentTerm?.isProven());
+  assert.equal(leader.leadership.currentTerm?.mayStartTasks(), false);
   // Finally another controller leads.
   await w.run(38);
   assert.equal(countRunning(w, ids[0] as string), 0);
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -29,7 +29,7 @@
       return Promise.resolve({ status: 200, body: { baton: fencingToken(7, 0), orders: [] } });
     },
   };
-  const leadership = { leader: 'n-0' as string | null, observedTerm: 7, current: null };
+  const leadership = { leaderNode: 'n-0' as string | null, observedTerm: 7, currentTerm: null };
   const machine = { id: 'n-000001', term: 7, responds: true };
   const fetchHeartbeat = () =>
     machine.responds
@@ -77,7 +77,7 @@
     await follower.sendHeartbeat();
   }
   assert.equal(follower.peers.forwarded, 7);
-  follower.leadership.leader = null;
+  follower.leadership.leaderNode = null;
   assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
 
@@ -211,7 +211,7 @@
   };
   const handler = new HeartbeatHandler({
     ctx,
-    election: { leader: 'n-1', observedTerm: 7, current: term } as never,
+    election: { leaderNode: 'n-1', observedTerm: 7, currentTerm: term } as never,
     leader: () => leader as never,
     peers,
     fetchHeartbeat,
@@ -261,6 +261,6 @@
 
 test('a node that is recorded as the leader but does not lead names no leader in its redirect', async () => {
   const follower = createFollower();
-  follower.leadership.leader = 'n-1';
+  follower.leadership.leaderNode = 'n-1';
   assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
--- a/test/leader-election.test.ts
+++ b/test/leader-election.test.ts
@@ -37,9 +37,9 @@
   const nodes = ['n-0', 'n-1', 'n-2'].map((n) => w.node(n));
   await w.clock.advance(5000);
   assert.equal(w.terms.length, 1);
-  const leaders = new Set(nodes.map((n) => n.election.leader));
+  const leaders = new Set(nodes.map((n) => n.election.leaderNode));
   assert.equal(leaders.size, 1);
-  assert.equal(nodes.filter((n) => n.election.current).length, 1);
+  assert.equal(nodes.filter((n) => n.election.currentTerm).length, 1);
   w.stop.abort();
 });
 
@@ -49,16 +49,16 @@
   await w.clock.advance(3000);
   const second = w.node('n-1');
   await w.clock.advance(3000);
-  const old = first.election.current;
+  const old = first.election.currentTerm;
   assert.ok(old);
   assert.ok(old.isProven());
   // Only this node loses the state service; its lease expires there.
   first.state.fault = 'refuse';
-  for (let i = 0; i < 200 && !second.election.current; i++) {
+  for (let i = 0; i < 200 && !second.election.currentTerm; i++) {
     await w.clock.advance(50);
-    assert.ok(!(old.isProven() && second.election.current));
+    assert.ok(!(old.isProven() && second.election.currentTerm));
   }
-  assert.equal(second.election.current?.number, old.number + 1);
+  assert.equal(second.election.currentTerm?.number, old.number + 1);
   assert.ok(old.mayRenewAgentLeases());
   // A peer reports the later term.
   first.election.observeTerm(old.number + 1);
@@ -76,7 +76,7 @@
   w.store.grant(1);
   const again = w.node('n-0', 'n-0-2');
   await w.clock.advance(500);
-  assert.equal(again.election.current?.number, 2);
+  assert.equal(again.election.currentTerm?.number, 2);
   w.stop.abort();
 });
 
@@ -105,7 +105,7 @@
   await w.clock.advance(8000);
   const record = w.store.entries.get(LEADER_KEY)?.value as { incarnation: string; term: number };
   assert.ok(['n-0-3', 'n-1-1'].includes(record.incarnation), record.incarnation);
-  assert.equal([third, other].filter((n) => n.election.current).length, 1);
+  assert.equal([third, other].filter((n) => n.election.currentTerm).length, 1);
   assert.equal(w.terms.at(-1)?.number, record.term);
   assert.equal(new Set(w.terms.map((term) => term.number)).size, w.terms.length);
   w.stop.abort();
@@ -139,7 +139,7 @@
   await w.clock.advance(3000);
   a.state.fault = null;
   await w.clock.advance(4000);
-  const term = a.election.current?.number;
+  const term = a.election.currentTerm?.number;
   assert.ok(term);
   const held = w.store.entries.get(LEADER_KEY)?.version;
   for (const late of a.state.late) {
@@ -157,7 +157,7 @@
   const w = createElections();
   const a = w.node('n-0');
   await w.clock.advance(3000);
-  const term = a.election.current;
+  const term = a.election.currentTerm;
   assert.ok(term);
   a.state.fault = 'refuse';
   await w.clock.advance(a.ctx.timing.leadershipProofMs);
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -303,10 +303,10 @@
   const leadership = new LeaderElection(ctx, () => new Promise(() => {}));
   void leadership.run(stop.signal);
   await settle();
-  assert.deepEqual([leadership.leader, leadership.observedTerm], ['n-1', 6]);
+  assert.deepEqual([leadership.leaderNode, leadership.observedTerm], ['n-1', 6]);
   store.transact([], [{ op: 'delete', key: 'leader' }]);
   await clock.advance(5000);
-  assert.equal(leadership.current?.number, 7);
+  assert.equal(leadership.currentTerm?.number, 7);
   stop.abort();
 });
 
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -79,7 +79,7 @@
 
   /** The controller that leads with restored state and proven leadership; undefined if there is none. */
   get leading(): ScriptedController | undefined {
-    return this.controllers.find((c) => c.leader?.ready && c.leadership.current?.isProven());
+    return this.controllers.find((c) => c.leader?.ready && c.leadership.currentTerm?.isProven());
   }
 
   /** A running controller that does not lead. */
@@ -320,7 +320,7 @@
 
   /** Records that the controllers which the leader reaches receive its status. */
   private recordLeaderStatus(leader: ScriptedController, now: number): void {
-    const { number: term } = leader.leadership.current ?? {};
+    const { number: term } = leader.leadership.currentTerm ?? {};
     for (const other of this.controllers)
       if (!other.cutFromPeers) this.leaderStatusAt.set(`${other.name} ${leader.name} ${term}`, now);
   }
