--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Records a term that any controller has observed. Ends the current term if it is
-   * an older one.
+   * Records a term that a peer reports as its highest. Ends the current term if it
+   * is an older one.
    */
   observeTerm(term: number): void {
     this.highestTerm = Math.max(this.highestTerm, term);
@@ -72,7 +72,10 @@
       this.currentTerm.resign('later term observed');
   }
 
-  /** Reads the leader record, then waits for it to change, or campaigns if there is none. */
+  /**
+   * Reads the leader record. Campaigns if there is none, revokes the lease of a
+   * record that this node wrote, and otherwise waits for the record to change.
+   */
   private async observeOrCampaign(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     const page = await ctx.state.listPage(LEADER_KEY, null, signal);
@@ -182,7 +185,7 @@
     try {
       while (!term.signal.aborted) {
         await clock.sleep(timing.renewMs, term.signal);
-        // Renewals overlap, so that one slow response does not end the proof, nor two the lease.
+        // Renewals overlap: one slow response must not end the proof, and two must not end the lease.
         void this.renew(term, lease);
       }
     } catch (error) {
@@ -204,7 +207,10 @@
         term.resign('cancellations unknown for too long');
     } catch (err) {
       if (term.signal.aborted) return;
-      log.debug({ err }, 'lease renewal failed; retrying at the next renewal interval');
+      log.debug(
+        { err },
+        'lease renewal failed; retrying at the next renewal interval while the term lasts',
+      );
       if (term.isUnprovenForTooLong()) term.resign('leadership unproven for too long');
     }
   }
--- a/src/controller/election/leader-key.ts
+++ b/src/controller/election/leader-key.ts
@@ -12,7 +12,10 @@
 import { RequestPriority } from '../../runtime/request-budget.js';
 import type { ControllerContext } from '../context.js';
 
-/** Key of the leader record, attached to the leader's lease. Writes of a leader are conditioned on its version. */
+/**
+ * Key of the leader record, which is attached to the leader's lease. The writes of
+ * progress and of the demand forecast are conditioned on the version of this key.
+ */
 export const LEADER_KEY = 'leader';
 
 /** Key of the number of the last term that was won. */
--- a/src/controller/election/leader-term.ts
+++ b/src/controller/election/leader-term.ts
@@ -22,7 +22,10 @@
   number: number;
   /** Version of the leader key. */
   version: number;
-  /** When the term's lease was requested, on the monotonic clock: the first proof of leadership. */
+  /**
+   * When the term's lease was requested, in milliseconds on the monotonic clock. It
+   * is the first proof of leadership.
+   */
   leaseRequestedAt: number;
 }
 
@@ -32,18 +35,21 @@
  */
 export class LeaderTerm {
   readonly number: number;
-  /** Version of the leader key: every write of this term is conditioned on it. */
+  /**
+   * Version of the leader key. Writes of progress and of the demand forecast are
+   * conditioned on it.
+   */
   readonly version: number;
   /** Aborted when the term ends; all routines of the leader run under it. */
   readonly signal: AbortSignal;
   private readonly abortController = new AbortController();
   private readonly leaseRequestedAt: number;
-  /** Send time of the latest successful renewal. */
+  /** Send time of the latest successful renewal; until the first one, `leaseRequestedAt`. */
   private provenAt: number;
   /**
-   * Until the jobs have been read, no cancellation is known, not even an old one.
-   * Several leaders in a row that all end before they have read the jobs must not
-   * keep renewing the agents' leases.
+   * Time up to which all cancellations are known. Until the jobs have been read, no
+   * cancellation is known, not even an old one. Several leaders in a row that all
+   * end before they have read the jobs must not keep renewing the agents' leases.
    */
   private cancellationsKnownAt = Number.NEGATIVE_INFINITY;
 
@@ -59,10 +65,10 @@
   }
 
   /**
-   * Reports whether leadership is proven now: a renewal that was sent within
-   * `leadershipProofMs`, three quarters of the lease, succeeded. Invariant: while
-   * this holds, the lease has not expired, so no other controller can have won an
-   * election.
+   * Reports whether leadership is proven now: the lease was granted or renewed by a
+   * request that was sent less than `leadershipProofMs` ago, which is three quarters
+   * of the lease less the clock drift. Invariant: while this holds, the lease has not
+   * expired, so no other controller can have won an election.
    *
    * It is an arrow property because clients take it as a guard that they evaluate
    * when a request is sent.
@@ -126,9 +132,9 @@
 
   /**
    * Reports whether cancellations have been unknown for as long as agents' leases
-   * may be renewed, counted from the start of the term or the last update. The
-   * state service then answers this leader's renewals but not its reads, so it can
-   * serve nobody, while another controller may.
+   * may be renewed, counted from the start of the term or the last update. While
+   * the state service answers this leader's renewals but not its reads, the leader
+   * can serve nobody, but another controller may be able to.
    */
   areCancellationsUnknownForTooLong(): boolean {
     const { clock, timing } = this.ctx;
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -64,7 +64,10 @@
 
 /** Sends the direct commands of one leader term. */
 export class AgentCommands {
-  /** Ids of the machines with a command in flight, at most one command each. */
+  /**
+   * Ids of the machines with a command or probe in flight, at most one each.
+   * Confirmations are not included.
+   */
   private readonly inFlight = new Set<string>();
   private readonly ctx: ControllerContext;
   private readonly term: LeaderTerm;
@@ -76,16 +79,16 @@
     this.cluster = options.cluster;
   }
 
-  /** Reports whether a command to this machine was sent and has no reply yet. */
+  /** Reports whether a command or probe to this machine is in flight. Confirmations do not count. */
   hasCommandInFlight(machineId: string): boolean {
     return this.inFlight.has(machineId);
   }
 
   /**
    * Sends the new fencing token to the inherited machines without waiting for their
-   * heartbeats; a response under it confirms the machine. Returns when every
-   * machine has been confirmed or sent a confirmation. Throws `AbortedError` when
-   * the signal is aborted.
+   * heartbeats; a reply under it confirms the machine. Returns when every machine
+   * with a known address has been confirmed or sent a confirmation; the others wait
+   * for their heartbeats. Throws `AbortedError` when the signal is aborted.
    */
   async confirmInheritedMachines(signal: AbortSignal): Promise<void> {
     const { clock, timing } = this.ctx;
@@ -105,8 +108,8 @@
   }
 
   /**
-   * Removes machines from the end of `unconfirmed` and confirms those that no
-   * heartbeat has confirmed meanwhile.
+   * Removes machines from the end of `unconfirmed` and sends confirmations to those
+   * that have a known address and that no heartbeat has confirmed meanwhile.
    */
   private startConfirmations(
     unconfirmed: Machine[],
@@ -131,7 +134,8 @@
 
   /**
    * Sends the commands and probes that should not wait for the next heartbeats, up
-   * to the socket limit.
+   * to the socket limit. Sends none while the term may not start tasks or this
+   * leader lags.
    */
   sendPending(): void {
     if (!this.term.mayStartTasks()) return;
@@ -204,7 +208,7 @@
       let agentEpoch = Math.max(FIRST_AGENT_EPOCH, machine.agentEpoch);
       for (let attempt = 0; attempt < CONFIRMATION_ATTEMPTS && this.term.isProven(); attempt++) {
         const { executed, heartbeat } = await this.send(machine, agentEpoch, []);
-        this.applyResponse(machine, heartbeat);
+        this.applyReply(machine, heartbeat);
         if (executed || heartbeat.agentEpoch === agentEpoch) return;
         agentEpoch = heartbeat.agentEpoch;
       }
@@ -228,7 +232,7 @@
     this.inFlight.add(machine.id);
     try {
       const { executed, heartbeat } = await this.send(machine, machine.agentEpoch, commands);
-      this.applyResponse(machine, heartbeat);
+      this.applyReply(machine, heartbeat);
       cluster.applyCommandResult(startedAttempts, executed, heartbeat.sequence);
       if (executed) cluster.markResponsive(machine);
     } catch (err) {
@@ -241,7 +245,7 @@
 
   /**
    * Handles a command without a reply. Its starts may have been executed or may
-   * still be, so they stay assigned.
+   * still be executed later, so they stay assigned.
    */
   private handleCommandFailure(
     machine: Machine,
@@ -260,7 +264,7 @@
     ctx.log.debug({ machine: machine.id, err }, 'agent command failed; its starts stay assigned');
   }
 
-  private applyResponse(machine: Machine, heartbeat: Heartbeat): void {
+  private applyReply(machine: Machine, heartbeat: Heartbeat): void {
     // The address may belong to another machine now, whose tasks are not this machine's.
     if (heartbeat.machineId !== machine.id) return;
     if (heartbeat.term > this.term.number)
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Splits the forecasts, largest first, into as many pages as one transaction
-   * takes; drops the rest.
+   * Splits the forecasts, largest first, into pages. Drops those that do not fit
+   * into the pages that one transaction may write.
    */
   private splitIntoPages(): StoredForecast[][] {
     const { limits } = this.ctx;
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -1,9 +1,9 @@
 /**
  * Removes stored dependency lists whose job has ended or was never accepted. Owns
  * the times at which lists were first found without a live job; deletes `lists/`
- * and `needs/` keys, each on the condition that the job is not live.
+ * and `needs/` keys. Each removal begins on the condition that the job is not live.
  *
- * A list without a live job is kept for a while, because the submission that
+ * A list without a live job is kept for `orphanListMs`, because the submission that
  * wrote it may still be in progress and would have to start over.
  */
 import { readPrefix } from '../../clients/key-ranges.js';
@@ -20,8 +20,8 @@
 export class DependencyListCleaner {
   private readonly lists: DependencyLists;
   /**
-   * Clock time in milliseconds at which a list was first found without a live job,
-   * by the key of its header.
+   * Time at which a list was first found without a live job, in milliseconds on the
+   * monotonic clock, by the key of its header.
    */
   private readonly orphanedSince = new Map<string, number>();
 
@@ -32,7 +32,7 @@
     this.lists = new DependencyLists(ctx);
   }
 
-  /** Removes orphaned lists at regular intervals until the signal is aborted. */
+  /** Removes orphaned lists at regular intervals; resolves when the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, timing, log } = this.ctx;
     while (!signal.aborted) {
@@ -67,7 +67,7 @@
 
   /**
    * Records when the list was first found without a live job; returns true once
-   * that is at least `orphanListMs` ago.
+   * that is at least `orphanListMs` ago. Forgets that time while the job is live.
    */
   private isDueForRemoval(headerKey: string, jobId: string): boolean {
     const { clock, timing } = this.ctx;
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -20,12 +20,12 @@
 const POLL_ROUND_INTERVALS = 2;
 
 /**
- * A dependency has neither a live record nor an end record: it was moved between
- * the two reads, or its record is lost.
+ * A dependency is not among the leader's live jobs and has no end record. It was
+ * moved between the two reads, or its record is lost or can't be decoded.
  */
 export class MissingDependencyError extends Error {
   constructor(readonly jobId: string) {
-    super(`job ${jobId} has neither a live record nor an end record`);
+    super(`job ${jobId} is not among the live jobs and has no end record`);
   }
 }
 
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -108,7 +108,8 @@
     const { clock, timing } = ctx;
     let statusLoggedAt = 0;
     let planningMs = 0;
-    // Leaves time for a machine list, so that no machine of an earlier leader is provisioned again.
+    // Leaves time for a machine list, which shows the machines that an earlier leader provisioned.
+    // Otherwise they would be provisioned a second time.
     await clock.sleep(timing.listMs, signal);
     while (!signal.aborted) {
       await clock.sleep(Math.max(timing.scalingMs, planningMs * SCALING_PAUSE_RATIO), signal);
@@ -201,8 +202,8 @@
   }
 
   /**
-   * Records the result of a provision request. `machines` has their ids, or is null
-   * when the cloud has no capacity.
+   * Records the result of a provision request. `machines` lists the ids of the
+   * provisioned machines; it is null when the cloud has no capacity.
    */
   private recordProvisioned(
     plan: ScaleOutPlan,
--- a/src/controller/leader/heartbeat-processing.ts
+++ b/src/controller/leader/heartbeat-processing.ts
@@ -59,12 +59,12 @@
     machine.relayed = relayed;
     if (machine.unresponsiveSince !== null)
       this.recheckUnresponsive(machine, machine.unresponsiveSince, now);
-    // Without proof, or before the machine's tasks are known, a start could run a task twice.
+    // Without proof of leadership, or before the machine's tasks are known, a start could run a task twice.
     if (!machine.confirmed || !term.mayStartTasks())
       return { commands: cluster.stopsOfEndedJobs(heartbeat), fence: machine.fence };
     // Resources that this heartbeat frees are assigned in its own response.
     placeOnMachine(cluster, machine, policy.startsPerMachine, now);
-    // A command in flight would be refused under the new fencing token.
+    // The agent would refuse a command in flight after it has received a higher fence.
     if (!commands.hasCommandInFlight(machine.id)) raiseFenceIfDue(machine, cluster.timing, now);
     return { commands: cluster.heartbeatCommands(machine), fence: machine.fence };
   }
--- a/src/controller/leader/job-watch.ts
+++ b/src/controller/leader/job-watch.ts
@@ -31,7 +31,7 @@
 export class JobWatch {
   constructor(private readonly options: JobWatchOptions) {}
 
-  /** Applies all changes after the revision until the signal is aborted. */
+  /** Applies all changes after the revision; throws `AbortedError` when the signal is aborted. */
   async run(revision: number, signal: AbortSignal): Promise<void> {
     const { ctx, term, cluster } = this.options;
     let appliedRevision = revision;
@@ -45,8 +45,8 @@
         for (const event of changes.events) this.applyEvent(event);
         appliedRevision = changes.revision;
       } else {
-        // The revision is too old to be watched, which says nothing about the jobs, so all of them
-        // are read again.
+        // The revision is too old to be watched, or too much has changed since. That says nothing
+        // about the jobs, so all of them are read again.
         requestedAt = ctx.clock.now();
         const live = await readPrefixSnapshot(ctx, LIVE_JOB_PREFIX, signal);
         this.applyCompleteList(live.entries);
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -3,8 +3,11 @@
  * restores the state left by earlier leaders, and runs the routines until the
  * term ends. Owns the `ClusterState` of the term, which is dropped with it.
  *
- * Serves docs/design.md "Safety" 1 and 2: everything sent or written here carries
- * this term's fencing token or is conditioned on the version of its leader key.
+ * Serves docs/design.md "Safety" 1 and 2: agent commands carry this term's fencing
+ * token, requests that change the fleet are sent only while the term is proven, and
+ * progress and the demand forecast are written on the condition that the leader key
+ * has the version of this term. Machine types and removals of dependency lists have
+ * conditions on their own keys.
  */
 import { setMaxListeners } from 'node:events';
 import type { AgentClient } from '../../clients/agent-client.js';
@@ -43,7 +46,7 @@
   agents: Pick<AgentClient, 'command' | 'retainOnly' | 'close'>;
 }
 
-/** Finished and running tasks of a job for display, in the form that is sent to peers. */
+/** Numbers of finished and running tasks of a job for display, in the form that is sent to peers. */
 export type JobTaskCounts = [jobId: string, finished: number, running: number];
 
 /** The leader of one term. Its constructor is the composition root of the term's routines. */
@@ -60,7 +63,7 @@
   private readonly restoration: StateRestoration;
   private readonly jobWatch: JobWatch;
   private readonly schedulingLoop: SchedulingLoop;
-  private readonly heartbeats: HeartbeatProcessor;
+  private readonly heartbeatProcessor: HeartbeatProcessor;
   private readonly commands: AgentCommands;
   private readonly progressWriter: ProgressWriter;
   private readonly dependencyResolver: DependencyResolver;
@@ -113,12 +116,13 @@
     });
     this.jobWatch = new JobWatch({ ctx, term, cluster, liveJobLoader, commands });
     this.schedulingLoop = new SchedulingLoop({ ctx, term, cluster, policy, commands });
-    this.heartbeats = new HeartbeatProcessor({ ctx, term, cluster, policy, commands });
+    this.heartbeatProcessor = new HeartbeatProcessor({ ctx, term, cluster, policy, commands });
     this.progressWriter = new ProgressWriter(ctx, term, cluster);
     this.dependencyResolver = new DependencyResolver(ctx, cluster, new JobStore(ctx));
     this.listCleaner = new DependencyListCleaner(ctx, cluster.jobs);
     this.fleet = new FleetController({ ctx, term, cluster, scaleOut, scaleIn, cloud, agents });
-    // Each request in flight adds a listener, far more than the number at which Node.js warns.
+    // Each request in flight adds a listener, so there are far more than the number at which
+    // Node.js warns of a leak.
     setMaxListeners(0, term.signal);
     term.signal.addEventListener('abort', () => agents.close(), { once: true });
   }
@@ -173,7 +177,10 @@
     this.commands.deferSendPending();
   }
 
-  /** Waits until the state has been restored, but no longer than a heartbeat response may take. */
+  /**
+   * Waits until the state has been restored, but no longer than `commandTimeoutMs`,
+   * which is below the agents' time-out of a heartbeat.
+   */
   async waitUntilReady(): Promise<void> {
     if (this.ready) return;
     const timeout = this.ctx.clock.sleep(this.ctx.timing.commandTimeoutMs).catch(() => {});
@@ -186,12 +193,13 @@
    * heartbeat.
    */
   handleHeartbeat(heartbeat: Heartbeat, relayed: boolean): HeartbeatResponse {
-    return this.heartbeats.process(heartbeat, relayed);
+    return this.heartbeatProcessor.process(heartbeat, relayed);
   }
 
   /**
-   * Returns the finished and running tasks of at most `limit` live jobs that have
-   * any, for display.
+   * Returns the numbers of finished and running tasks, for display, of at most
+   * `limit` live jobs that have any. Tasks whose start is not confirmed count as
+   * running.
    */
   taskCounts(limit: number): JobTaskCounts[] {
     const counts: JobTaskCounts[] = [];
--- a/src/controller/leader/live-jobs.ts
+++ b/src/controller/leader/live-jobs.ts
@@ -61,8 +61,8 @@
 }
 
 /**
- * Returns the dependencies that the record itself contains; the dependency
- * resolver reads the others.
+ * Returns the dependencies that the record itself contains and the keys of its
+ * dependency pages. The dependency resolver reads the other dependencies.
  */
 function dependenciesOf(record: LiveJobRecord) {
   const pages = Array.from({ length: record.dependencyPages ?? 0 }, (_, page) => page);
--- a/src/controller/leader/prefix-snapshot.ts
+++ b/src/controller/leader/prefix-snapshot.ts
@@ -1,6 +1,6 @@
 /**
  * Reads all keys below a prefix for a leader, page by page, and retries each page
- * until it is answered.
+ * until the read succeeds.
  */
 import type { Entry } from '../../protocol/key-value-protocol.js';
 import type { ControllerContext } from '../context.js';
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -39,10 +39,10 @@
  * Outcome of a batch. The callbacks of its writes have already been called,
  * except for writes given up.
  *
- * - `settled`: applied, in conflict with what is stored, or rejected permanently.
- *   The next batch may follow.
- * - `postponed`: refused, without a response, or superseded by another leader. The
- *   remaining writes wait for the next interval.
+ * - `settled`: applied, in conflict with what is stored, rejected permanently, or
+ *   sent again as separate writes. The next batch may follow.
+ * - `postponed`: refused, without a response, or not applied because the leader key
+ *   has changed. The remaining writes wait for the next interval.
  */
 type BatchOutcome = 'settled' | 'postponed';
 
@@ -103,9 +103,9 @@
   }
 
   /**
-   * Reads the versions of bitmap chunks whose last write got no response. The
-   * stored version is unknown then, and a write conditioned on a wrong version
-   * would only fail.
+   * Reads the versions of bitmap chunks whose last write got no response or was in
+   * conflict with the stored chunk. The stored version is unknown then, and a write
+   * conditioned on a wrong version would only fail.
    */
   private async rereadUnknownChunkVersions(signal: AbortSignal): Promise<void> {
     for (const { job, chunk } of chunksWithUnknownVersion(this.cluster)) {
@@ -135,7 +135,7 @@
       return 'settled';
     } catch (err) {
       if (err instanceof RequestRejectedError) return this.splitOrGiveUp(batch, err);
-      // A refused request was not applied; one without a response may have been, or may still be.
+      // A refused request was not applied. One without a response may have been applied, or may be later.
       const mayBeApplied = !(err instanceof RequestRefusedError);
       for (const write of batch) write.retry(mayBeApplied);
       if (!term.signal.aborted)
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Handles failed conditions on these keys, because of which nothing of the batch was applied. */
+  /** Handles a transaction that was not applied because its conditions on `failedKeys` did not hold. */
   private handleFailedConditions(
     batch: readonly DurableWrite[],
     failedKeys: string[],
--- a/src/controller/leader/scheduling-loop.ts
+++ b/src/controller/leader/scheduling-loop.ts
@@ -52,8 +52,8 @@
       if (now - dueAt > timing.lagThresholdMs) cluster.markLagging(now);
       if (!term.mayStartTasks() || !this.isRoundDue(now)) continue;
       if (this.runRound(now)) cluster.roundDue = true;
-      // The pause grows with the round, and so with the cluster, so that heartbeats and users are
-      // served in between.
+      // The larger the cluster, the longer a round takes. The pause grows with it, so that
+      // heartbeats and users are served in between.
       pauseMs = Math.max(pauseMs, (clock.now() - now) * ROUND_PAUSE_RATIO);
     }
   }
@@ -83,7 +83,10 @@
     return result.started.length >= limit;
   }
 
-  /** Under overload a round makes more decisions, which spreads its fixed cost. */
+  /**
+   * Returns how many tasks the next round may start. Under overload it starts more,
+   * which spreads its fixed cost.
+   */
   private startLimit(): number {
     const { cluster, policy } = this.options;
     let readyTasks = 0;
--- a/src/controller/leader/state-restoration.ts
+++ b/src/controller/leader/state-restoration.ts
@@ -34,7 +34,7 @@
   /** The revision from which to watch the live jobs. */
   revision: number;
   /**
-   * When the live jobs were requested, as clock time in milliseconds. All
+   * When the live jobs were requested, in milliseconds on the monotonic clock. All
    * cancellations confirmed before it are known.
    */
   requestedAt: number;
@@ -61,9 +61,10 @@
   }
 
   /**
-   * Reads, in this order: machine types, roster, live jobs, demand forecast,
-   * bitmaps of finished tasks, pages of dependencies. Each read is retried until it
-   * succeeds. Throws `AbortedError` once the term has ended.
+   * Reads, in this order: machine types (unless this process has them already),
+   * roster, live jobs, demand forecast, bitmaps of finished tasks, pages of
+   * dependencies. Each read is retried until it succeeds. Throws `AbortedError` once
+   * the term has ended.
    */
   async run(): Promise<RestoredState> {
     const { ctx, cluster } = this;
@@ -79,7 +80,8 @@
     this.restoreRoster(roster.entries);
     const requestedAt = ctx.clock.now();
     const live = await this.readAll(LIVE_JOB_PREFIX);
-    // Read before the jobs are added: jobs that arrived after the save are added to the forecast.
+    // The forecast is read before the jobs are added, because adding a job that arrived after the
+    // forecast was saved counts it.
     await demandStore.read();
     liveJobLoader.addAll(live.entries);
     const bitmaps = await this.readAll(BITMAP_PREFIX);
--- a/test/agent-commands.test.ts
+++ b/test/agent-commands.test.ts
@@ -106,7 +106,7 @@
   assert.deepEqual(node.resignReasons, ['command reply carries a higher fencing token']);
 });
 
-test('a start counts as unsent only if its direct command was certainly not sent', async () => {
+test('a start counts as unsent only if its direct command was certainly not sent, and only an attempted command makes the machine unresponsive', async () => {
   for (const [error, fence, unresponsive] of [
     [new NotAttemptedError('every socket is in use'), null, false],
     [new NotSentError('no connection'), null, true],
@@ -139,7 +139,7 @@
   node.stop.abort();
 });
 
-test('a machine has one command in flight at a time', async () => {
+test('a machine with a command in flight is sent no second command', async () => {
   const node = createAgentCommands(() => {
     throw new NoResponseError('timed out');
   });
--- a/test/combined-failures-history.test.ts
+++ b/test/combined-failures-history.test.ts
@@ -45,7 +45,7 @@
     await world.run(260);
     for (const id of this.jobIds) await world.poll(id);
     for (const [id, told] of world.told)
-      assert.notEqual(told.standing, 'live', `${id} was accepted and is not over`);
+      assert.notEqual(told.standing, 'live', `${id} was accepted and has not ended`);
   }
 
   /**
@@ -192,14 +192,17 @@
     for (const m of this.world.machines) m.gone = true;
   }
 
-  /** Counts the jobs whose state was reported to users. */
-  counts(): { downstream: number; cancelled: number; orphans: number } {
+  /**
+   * Counts, among the jobs whose state was reported to users, those with
+   * dependencies, the cancelled ones, and those cancelled without a user's request.
+   */
+  counts(): { dependent: number; cancelled: number; cascaded: number } {
     const { told, needs, calledOff } = this.world;
     const cancelled = [...told].filter(([, { standing }]) => standing === 'cancelled');
     return {
-      downstream: [...told.keys()].filter((id) => (needs.get(id) ?? []).length > 0).length,
+      dependent: [...told.keys()].filter((id) => (needs.get(id) ?? []).length > 0).length,
       cancelled: cancelled.length,
-      orphans: cancelled.filter(([id]) => !calledOff.has(id)).length,
+      cascaded: cancelled.filter(([id]) => !calledOff.has(id)).length,
     };
   }
 
@@ -211,8 +214,8 @@
 test('in random histories of overlapping failures the invariants hold and all accepted jobs end', async (t) => {
   let started = 0;
   let cancelled = 0;
-  let downstream = 0;
-  let orphans = 0;
+  let dependent = 0;
+  let cascaded = 0;
   for (let seed = 1; seed <= SEEDS; seed++) {
     const rng = xoroshiro128plus(seed);
     const random = () => uniformInt(rng, 0, RANDOM_RANGE - 1) / RANDOM_RANGE;
@@ -229,12 +232,12 @@
     }
     started += history.world.started;
     const counts = history.counts();
-    downstream += counts.downstream;
+    dependent += counts.dependent;
     cancelled += counts.cancelled;
-    orphans += counts.orphans;
+    cascaded += counts.cascaded;
   }
   assert.ok(started > SEEDS * 30, `only ${started} starts`);
   assert.ok(cancelled > SEEDS, `only ${cancelled} jobs cancelled`);
-  assert.ok(downstream > SEEDS * 3, `only ${downstream} jobs that need others`);
-  assert.ok(orphans > SEEDS, `only ${orphans} jobs cancelled with what they need`);
+  assert.ok(dependent > SEEDS * 3, `only ${dependent} jobs with dependencies`);
+  assert.ok(cascaded > SEEDS, `only ${cascaded} jobs cancelled because a dependency was cancelled`);
 });
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -68,7 +68,7 @@
   assert.ok(first);
   first.crash();
   assert.ok(await w.cancel(ids[0] as string, w.other));
-  // Each leader wins an election and is refused before it has read anything.
+  // Each leader wins an election, but its read of the roster gets no response, so it never reads the jobs.
   for (const c of w.controllers) {
     const { listPage } = c.state;
     c.state.listPage = (prefix, after, signal) =>
@@ -82,21 +82,21 @@
     const c = w.controllers.find((x) => x.leader);
     if (!c) continue;
     assert.equal(c.leadership.currentTerm?.mayRenewAgentLeases(), false);
-    const answer = c.reports.handle(onWire(new ScriptedAgent('n-1').heartbeat()));
+    const reply = c.reports.handle(onWire(new ScriptedAgent('n-1').heartbeat()));
     await w.run(2);
-    assert.equal((await answer).status, 503);
+    assert.equal((await reply).status, 503);
     c.leadership.currentTerm?.resign('lease ended');
   }
   assert.ok(w.terms.length >= terms + 6, `${w.terms.length - terms} terms`);
   assert.equal(countRunning(w, ids[0] as string), 0);
 });
 
-test('the first response of a new leader to a machine it does not know stops the tasks of cancelled jobs', async () => {
+test('the first response of a new leader to a machine that is not confirmed stops the tasks of cancelled jobs', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 3);
   const first = w.leading;
   assert.ok(first);
-  // One machine is unreachable while the leader changes and the job is cancelled.
+  // The agent of one machine is suspended while the leader changes and the job is cancelled.
   const m = w.machines.find((x) => x.worker.running().some((t) => t.startsWith(ids[0] as string)));
   assert.ok(m);
   m.hangs = true;
@@ -105,7 +105,7 @@
   for (let i = 0; i < 20 && !w.leading; i++) await w.run(1);
   const leader = w.leading;
   assert.ok(leader);
-  // Only its first heartbeat arrives, so this one response has to stop the tasks.
+  // Only one heartbeat of it arrives, so the response to that has to stop the tasks.
   const heartbeat = m.worker.heartbeat();
   assert.ok(heartbeat.term < (leader.leadership.currentTerm?.number ?? 0));
   const { commands } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { commands: [] };
