--- a/test/combined-failures-history.test.ts
+++ b/test/combined-failures-history.test.ts
@@ -44,8 +44,8 @@
     // Longer than the longest failure, the leases and the remaining work together.
     await world.run(260);
     for (const id of this.jobIds) await world.poll(id);
-    for (const [id, told] of world.reportedStates)
-      assert.notEqual(told.state, 'live', `${id} was accepted and is not over`);
+    for (const [id, reported] of world.reportedStates)
+      assert.notEqual(reported.state, 'live', `${id} was accepted and has not ended`);
   }
 
   /**
@@ -195,18 +195,19 @@
     for (const m of this.world.machines) m.isTerminated = true;
   }
 
-  /** Counts the jobs whose state was reported to users. */
-  counts(): { downstream: number; cancelled: number; orphans: number } {
-    const {
-      reportedStates: told,
-      dependenciesByJob: needs,
-      cancellationRequests: calledOff,
-    } = this.world;
-    const cancelled = [...told].filter(([, { state: standing }]) => standing === 'cancelled');
+  /**
+   * Counts, among the jobs whose state was reported to users, those with
+   * dependencies, the cancelled ones, and those cancelled without a user's request.
+   */
+  counts(): { dependent: number; cancelled: number; cascaded: number } {
+    const { reportedStates, dependenciesByJob, cancellationRequests } = this.world;
+    const cancelled = [...reportedStates].filter(([, { state }]) => state === 'cancelled');
     return {
-      downstream: [...told.keys()].filter((id) => (needs.get(id) ?? []).length > 0).length,
+      dependent: [...reportedStates.keys()].filter(
+        (id) => (dependenciesByJob.get(id) ?? []).length > 0,
+      ).length,
       cancelled: cancelled.length,
-      orphans: cancelled.filter(([id]) => !calledOff.has(id)).length,
+      cascaded: cancelled.filter(([id]) => !cancellationRequests.has(id)).length,
     };
   }
 
@@ -218,8 +219,8 @@
 test('in random histories of overlapping failures the invariants hold and all accepted jobs end', async (t) => {
   let started = 0;
   let cancelled = 0;
-  let downstream = 0;
-  let orphans = 0;
+  let dependent = 0;
+  let cascaded = 0;
   for (let seed = 1; seed <= SEEDS; seed++) {
     const rng = xoroshiro128plus(seed);
     const random = () => uniformInt(rng, 0, RANDOM_RANGE - 1) / RANDOM_RANGE;
@@ -236,12 +237,12 @@
     }
     started += history.world.startCount;
     const counts = history.counts();
-    downstream += counts.downstream;
+    dependent += counts.dependent;
     cancelled += counts.cancelled;
-    orphans += counts.orphans;
+    cascaded += counts.cascaded;
   }
   assert.ok(started > SEEDS * 30, `only ${started} starts`);
   assert.ok(cancelled > SEEDS, `only ${cancelled} jobs cancelled`);
-  assert.ok(downstream > SEEDS * 3, `only ${downstream} jobs that need others`);
-  assert.ok(orphans > SEEDS, `only ${orphans} jobs cancelled with what they need`);
+  assert.ok(dependent > SEEDS * 3, `only ${dependent} jobs with dependencies`);
+  assert.ok(cascaded > SEEDS, `only ${cascaded} jobs cancelled because a dependency was cancelled`);
 });
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -68,7 +68,7 @@
   assert.ok(first);
   first.crash();
   assert.ok(await w.cancel(ids[0] as string, w.follower));
-  // Each leader wins an election and is refused before it has read anything.
+  // Each leader wins an election, but its read of the roster gets no response, so it never reads the jobs.
   for (const c of w.controllers) {
     const { listPage } = c.state;
     c.state.listPage = (prefix, after, signal) =>
@@ -81,22 +81,22 @@
     await w.run(5);
     const c = w.controllers.find((x) => x.leader);
     if (!c) continue;
-    assert.equal(c.election.current?.mayRenewAgentLeases(), false);
-    const answer = c.heartbeatHandler.handle(encodeHeartbeat(new ScriptedAgent('n-1').heartbeat()));
+    assert.equal(c.election.currentTerm?.mayRenewAgentLeases(), false);
+    const reply = c.heartbeatHandler.handle(encodeHeartbeat(new ScriptedAgent('n-1').heartbeat()));
     await w.run(2);
-    assert.equal((await answer).status, 503);
-    c.election.current?.resign('lease ended');
+    assert.equal((await reply).status, 503);
+    c.election.currentTerm?.resign('lease ended');
   }
   assert.ok(w.termWinners.length >= terms + 6, `${w.termWinners.length - terms} terms`);
   assert.equal(countRunning(w, ids[0] as string), 0);
 });
 
-test('the first response of a new leader to a machine it does not know stops the tasks of cancelled jobs', async () => {
+test('the first response of a new leader to a machine that is not confirmed stops the tasks of cancelled jobs', async () => {
   const w = new World(alwaysMiddle, 3, () => 500_000);
   const ids = await startJobs(w, 3);
   const first = w.currentLeader;
   assert.ok(first);
-  // One machine is unreachable while the leader changes and the job is cancelled.
+  // The agent of one machine is suspended while the leader changes and the job is cancelled.
   const m = w.machines.find((x) => x.agent.running().some((t) => t.startsWith(ids[0] as string)));
   assert.ok(m);
   m.isSuspended = true;
@@ -105,9 +105,9 @@
   for (let i = 0; i < 20 && !w.currentLeader; i++) await w.run(1);
   const leader = w.currentLeader;
   assert.ok(leader);
-  // Only its first heartbeat arrives, so this one response has to stop the tasks.
+  // Only one heartbeat of it arrives, so the response to that has to stop the tasks.
   const heartbeat = m.agent.heartbeat();
-  assert.ok(heartbeat.term < (leader.election.current?.number ?? 0));
+  assert.ok(heartbeat.term < (leader.election.currentTerm?.number ?? 0));
   const { commands } = leader.leader?.handleHeartbeat(heartbeat, false) ?? { commands: [] };
   const stops = commands.filter((command) => command.op === 'stop' && command.jobId === ids[0]);
   assert.equal(stops.length, heartbeat.tasks.filter((task) => task.jobId === ids[0]).length);
@@ -138,8 +138,8 @@
   assert.ok(await w.cancel(ids[0] as string, w.follower));
   await w.run(22);
   // It still leads, since its renewals are answered, but starts nothing.
-  assert.ok(leader.election.current?.isProven());
-  assert.equal(leader.election.current?.mayStartTasks(), false);
+  assert.ok(leader.election.currentTerm?.isProven());
+  assert.equal(leader.election.currentTerm?.mayStartTasks(), false);
   // Finally another controller leads.
   await w.run(38);
   assert.equal(countRunning(w, ids[0] as string), 0);
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -316,10 +316,10 @@
   const election = new LeaderElection(ctx, () => new Promise(() => {}));
   void election.run(stop.signal);
   await settle();
-  assert.deepEqual([election.leader, election.observedTerm], ['n-1', 6]);
+  assert.deepEqual([election.leaderNode, election.observedTerm], ['n-1', 6]);
   store.transact([], [{ op: 'delete', key: 'leader' }]);
   await clock.advance(5000);
-  assert.equal(election.current?.number, 7);
+  assert.equal(election.currentTerm?.number, 7);
   stop.abort();
 });
 
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -79,7 +79,7 @@
 
   /** The controller that leads with restored state and proven leadership; undefined if there is none. */
   get currentLeader(): ScriptedController | undefined {
-    return this.controllers.find((c) => c.leader?.ready && c.election.current?.isProven());
+    return this.controllers.find((c) => c.leader?.ready && c.election.currentTerm?.isProven());
   }
 
   /** A running controller that does not lead. */
@@ -321,7 +321,7 @@
 
   /** Records that the controllers which the leader reaches receive its status. */
   private recordLeaderStatus(leader: ScriptedController, now: number): void {
-    const { number: term } = leader.election.current ?? {};
+    const { number: term } = leader.election.currentTerm ?? {};
     for (const other of this.controllers)
       if (!other.isPartitionedFromPeers)
         this.leaderStatusAt.set(`${other.name} ${leader.name} ${term}`, now);
