--- a/src/controller/api/dependency-lists.ts
+++ b/src/controller/api/dependency-lists.ts
@@ -1,6 +1,6 @@
 /**
  * Dependency lists that are too long for one transaction. Their pages are
- * written before the record of the job, which then refers to them.
+ * written before the job's record, which refers to the list.
  *
  * The version of the list's header isolates writing from removal. A page is
  * added, and the record is written, only while the header has the version that
@@ -47,10 +47,10 @@
   header: DependencyListHeader;
 }
 
-/** Another node is writing or removing the same list. */
+/** The header of the list was changed concurrently, by another submission or a removal. */
 export class DependencyListContendedError extends Error {
   constructor(jobId: string) {
-    super(`dependency list of job ${jobId} was changed concurrently by another node`);
+    super(`dependency list of job ${jobId} was changed concurrently`);
   }
 }
 
@@ -105,9 +105,9 @@
 
   /**
    * Removes a list whose job is not live: marks its header, then deletes the
-   * pages and finally the header. Stops without an error when the header has a
-   * different version by now or the job is live. An interrupted removal is
-   * continued by the next one.
+   * pages and finally the header. Stops without an error when the header has
+   * changed or the job is live. An interrupted removal is continued by the next
+   * call.
    */
   async remove(
     list: ObservedDependencyList,
--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -3,9 +3,9 @@
  * on a cancelled job, directly or transitively.
  *
  * Reading a snapshot takes one request for every few hundred live jobs, whatever
- * the depth of their dependency chains, and serves all requests for a while.
- * The dependencies and the end of a job never change, so the next snapshot
- * reuses what this one has read of them.
+ * the depth of their dependency chains, and serves all requests until the
+ * snapshot expires. The dependencies and the end of a job never change, so the
+ * next snapshot reuses those that this one has read.
  */
 import { readPrefix, SINGLE_READS } from '../../clients/key-ranges.js';
 import type { EndedJobRecord } from '../../records/job-end-record.js';
@@ -149,7 +149,10 @@
   return endStates;
 }
 
-/** Adds the final states already known. Returns the jobs neither live nor known to have ended. */
+/**
+ * Copies the final states that the previous snapshot already has. Returns the
+ * jobs that are neither live nor known to have ended.
+ */
 function addKnownEndStates(
   endStates: EndStates,
   ids: Iterable<string>,
--- a/src/controller/api/dependency-status.ts
+++ b/src/controller/api/dependency-status.ts
@@ -35,7 +35,10 @@
 export interface DependencySummary {
   /** Dependencies that were never accepted by any node. */
   missing: string[];
-  /** Whether one of them was cancelled or depends on a cancelled job. */
+  /**
+   * Whether one of them was cancelled or depends on a cancelled job. When some
+   * are missing, dependencies of the others are not checked.
+   */
   cancelled: boolean;
   /** Dependencies that were live when they were read. */
   pending: string[];
@@ -47,13 +50,13 @@
 /** Jobs read individually for one request before all live jobs are read in a snapshot. */
 const MAX_SINGLE_READS = 16;
 
-/** The request needs more individual reads than it may make. */
+/** The request may not make another individual read: its budget is used up, or too many are in flight. */
 class ReadBudgetExceededError extends Error {}
 
 /** Limits the individual reads of one request. */
 interface ReadBudget {
   remaining: number;
-  /** Allows a read while many others are in flight. Otherwise a snapshot is preferred then. */
+  /** Whether to read even while many others are in flight, when a snapshot is usually preferred. */
   ignoreReadsInFlight: boolean;
 }
 
@@ -94,7 +97,11 @@
     return { missing, cancelled, pending };
   }
 
-  /** Reports whether a direct or transitive dependency of this live job was cancelled. */
+  /**
+   * Reports whether a direct or transitive dependency of this live job was
+   * cancelled. Returns false when the job has ended and its dependencies were
+   * removed meanwhile.
+   */
   async isCancelledByDependency(
     id: string,
     record: LiveJobRecord,
@@ -176,7 +183,10 @@
     }
   }
 
-  /** Returns the job from the cache or the state service; null when it was never accepted. */
+  /**
+   * Returns the job from the cache or the state service; null when it was never
+   * accepted. Throws ReadBudgetExceededError.
+   */
   private async getOrRead(
     id: string,
     priority: RequestPriority,
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -1,7 +1,8 @@
 /**
  * Submission, query and cancellation of jobs on any node, leader or follower.
- * Every reply is based on the state service rather than on this node's memory,
- * so an accepted job is visible at every node at once.
+ * Whether a job was accepted and how it ended are always read from the state
+ * service, never from this node's memory, so an accepted job is visible at every
+ * node at once.
  */
 import type { Reply } from '../../http/server.js';
 import type { JobSpec } from '../../model/job.js';
@@ -59,7 +60,7 @@
   refusal: Reply;
 }
 
-/** The job API of one controller. Its methods never reject; a failure is answered with 503. */
+/** The job API of one controller. Its methods never reject; they reply 503 to a request that fails. */
 export class JobApi {
   private readonly store: JobStore;
   private readonly dependencies: DependencyStatus;
@@ -81,9 +82,9 @@
   }
 
   /**
-   * Accepts a job and replies 201 with its state. Idempotent: an id that was
-   * accepted before is answered with 200 and the job's state, even when the rest
-   * of the repeated submission would be refused.
+   * Accepts a job and replies 201 with its state. Idempotent: replies 200 with the
+   * job's state when its id was accepted before, even when the rest of the
+   * repeated submission would be refused.
    */
   async submit(body: Buffer): Promise<Reply> {
     let json: unknown;
@@ -152,7 +153,7 @@
     }
   }
 
-  /** Checks everything in a submission that can be checked without the state service. */
+  /** Parses and checks a submission without requests to the state service. */
   private validate(json: unknown): Submission | RefusedSubmission {
     try {
       const spec = parseSubmission(json);
@@ -192,7 +193,10 @@
     return { status: 201, body: jobStateBody(spec.id, 'cancelled') };
   }
 
-  /** Writes the job. A failed transaction means that another request has accepted the id. */
+  /**
+   * Writes the job. The transaction fails when another request has accepted the
+   * id, or when the job's dependency list is being removed.
+   */
   private async accept(spec: JobSpec, dependencies: SubmittedDependencies): Promise<Reply> {
     const record: LiveJobRecord = { spec, acceptedAt: this.ctx.clock.wall() };
     try {
--- a/src/controller/api/job-creation.ts
+++ b/src/controller/api/job-creation.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the transaction that accepts a job: its record and, when that can't
- * hold the ids of all its dependencies, pages with the remaining ones.
+ * Builds the transaction that accepts a job: its record and, when the record
+ * can't hold the ids of all dependencies, pages with the remaining ones.
  */
 import type { StateLimits } from '../../config/state-limits.js';
 import type { Change } from '../../protocol/key-value-protocol.js';
@@ -45,7 +45,7 @@
 ): Change[] | null {
   const { id } = record.spec;
   const capacityBytes = valueCapacityBytes(limits);
-  // The record at its largest, without the ids of dependencies.
+  // The record with the largest page count, before the ids of its dependencies are added.
   const base: LiveJobRecord =
     pending.length === 0
       ? record
--- a/src/controller/api/job-lookups.ts
+++ b/src/controller/api/job-lookups.ts
@@ -12,8 +12,8 @@
 /**
  * Looks up jobs. Up to SINGLE_READS lookups are read individually at the same
  * time. Further ones wait until one of these reads ends and are then read in one
- * batch, each job once. So the requests caused by a flood of queries depend on the number of
- * jobs that are queried, not on the number of queries.
+ * batch, each job once. So the number of requests depends on how many jobs are
+ * queried, not on how many queries arrive.
  *
  * Nothing is cached: each result comes from a read that began after its query,
  * so a query never returns a state older than an end that its user has seen.
--- a/src/controller/api/job-status.ts
+++ b/src/controller/api/job-status.ts
@@ -18,7 +18,7 @@
   running: number;
 }
 
-/** Provides task counts from the leader on this node, or as a leading peer last sent them. */
+/** Provides task counts from the leader on this node, or those that a leading peer last sent. */
 export interface TaskCountSource {
   /** Returns null when the job's counts are unknown. */
   taskCountsOf(jobId: string): TaskCounts | null;
@@ -44,7 +44,7 @@
 
 /**
  * Determines the states of jobs. Invariant: no node later contradicts what any
- * node has reported of a job's end, so 'done' and 'cancelled' are reported only
+ * node has reported about a job's end, so 'done' and 'cancelled' are reported only
  * once the end is durable.
  */
 export class JobStatusReader {
@@ -59,7 +59,10 @@
     return job && this.statusOf(id, job, priority);
   }
 
-  /** Returns the status of a job just read. Cancels it first if a dependency was cancelled. */
+  /**
+   * Returns the status of a job that was just read. If the job has not started
+   * and one of its dependencies was cancelled, cancels it first.
+   */
   async statusOf(id: string, job: StoredJob, priority: RequestPriority): Promise<JobStatus> {
     if (!job.live) return endedStatus(job);
     const counts = this.sources.taskCounts.taskCountsOf(id);
@@ -96,7 +99,7 @@
       const { tasks } = job.record.spec;
       return { state: 'cancelled', tasks, version: cancelled.revision, live: null };
     }
-    // The live record never changes, so the transaction failed because another node ended the job.
+    // The live record never changes, so the transaction failed because the job has ended meanwhile.
     const end = await store.findEnded(id, priority);
     if (!end) throw new MissingJobEndError(id);
     return endedStatus(end);
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -5,11 +5,11 @@
 
 /**
  * How long requests must have failed for the state service to count as failing,
- * in state service time-outs. A single slow response takes less time.
+ * in state service time-outs. A single slow response explains a shorter failure.
  */
 const FAILING_AFTER_TIMEOUTS = 0.5;
 
-/** How long requests must have failed before waiting for a response is useless, in state service time-outs. */
+/** How long requests must have failed for the state service to count as unresponsive, in its time-outs. */
 const UNRESPONSIVE_AFTER_TIMEOUTS = 1;
 
 /** Derives the health of this controller from what other components record. Stateless. */
@@ -29,7 +29,7 @@
    * Reports whether the state service does not respond at all, not even with a
    * refusal, so that a request to it would only make a user wait. Returns false
    * when no request was sent within the last time-out, so that the next request
-   * finds out whether the outage has ended.
+   * is sent and shows whether the outage has ended.
    */
   isStateServiceSilent(): boolean {
     const { clock, timing } = this.ctx;
--- a/src/controller/heartbeats/delegated-renewal.ts
+++ b/src/controller/heartbeats/delegated-renewal.ts
@@ -54,7 +54,10 @@
 
 /** Reports when a node last announced that it leads. */
 export interface LeaderActivity {
-  /** By this node's clock, in ms; null when the node made no announcement in this term. */
+  /**
+   * Returns when the announcement was sent, in milliseconds on this node's clock;
+   * null when the node's latest status does not say that it leads in this term.
+   */
   lastLedAt(node: string, term: number): number | null;
 }
 
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -26,7 +26,7 @@
 
 /** Relays heartbeats from a follower to the leader. */
 export interface HeartbeatRelay extends LeaderActivity {
-  /** Reports whether the node's status messages arrive. */
+  /** Reports whether the node is connected and its status messages arrive. */
   isReachable(node: string): boolean;
   /** Relays a heartbeat through a peer connection; rejects when no reply arrives. */
   forwardHeartbeat(node: string, body: Buffer): Promise<Reply>;
@@ -96,7 +96,7 @@
     return this.delegatedRenewal.renew(heartbeat, agent);
   }
 
-  /** Handles a heartbeat as the leader. `relayed`: it arrived through a peer or the mailbox. */
+  /** Handles a heartbeat as the leader. `relayed` is true when it arrived through a peer or the mailbox. */
   async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
     // No lease may be renewed before the jobs are read. Waiting for that also lets the first reply
     // carry commands.
@@ -116,10 +116,10 @@
   }
 
   /**
-   * Reports whether to redirect the agent: the leader is reachable from here and
-   * the agent has not just returned from a redirect. An agent served here for
-   * longer than a lease is redirected once nevertheless, since the partition may
-   * have ended.
+   * Records the heartbeat and reports whether to redirect the agent: the leader
+   * is reachable from here, and the agent has not just returned from a redirect.
+   * An agent served here for longer than a lease is redirected once nevertheless,
+   * since the partition may have ended.
    */
   private shouldRedirect(agent: RedirectedAgent, reachable: boolean, nowMs: number): boolean {
     const { heartbeatMs, agentLeaseMs } = this.options.ctx.timing;
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -3,8 +3,8 @@
  * the state service, which both can still reach.
  *
  * A request and its response each have a key, named by recipient, sender and
- * slot, which the next message overwrites. All keys are attached to a lease that
- * expires when nothing has been sent for a while, so no key remains.
+ * slot, which the next message overwrites. Each key is attached to a short lease
+ * that is never renewed, so no key remains when messages stop.
  *
  * A response is accepted only for the request with its number and the process
  * with its incarnation. A late response, or one to a previous process of this
@@ -26,20 +26,20 @@
 
 const MAILBOX_PREFIX = 'mail/';
 
-/** Fraction of a lease in which messages are attached to it; the rest covers the response. */
+/** Fraction of a lease in which new messages are attached to it. The rest leaves time to receive the last of them. */
 const LEASE_REUSE_FRACTION = 0.5;
 
-/** No response arrived within the request's timeout. */
+/** No response arrived within the request's time-out. */
 export class MailboxTimeoutError extends Error {
   constructor(node: string, timeoutMs: number) {
     super(`mailbox request to ${node} not answered within ${timeoutMs} ms`);
   }
 }
 
-/** The message is larger than a value of the state service may be. */
+/** A response is larger than a value of the state service may be. */
 export class MessageTooLargeError extends Error {
   constructor(bytes: number, maxBytes: number) {
-    super(`mailbox message of ${bytes} bytes exceeds ${maxBytes} bytes`);
+    super(`mailbox response of ${bytes} bytes exceeds the limit of ${maxBytes} bytes`);
   }
 }
 
@@ -65,7 +65,7 @@
 
   constructor(
     private readonly ctx: ControllerContext,
-    /** Handles another node's request; the resolved value is stored unchanged. */
+    /** Handles another node's request and resolves to the response in its stored form. */
     private readonly onRequest: (text: string) => Promise<unknown>,
   ) {}
 
@@ -75,7 +75,7 @@
     const inbox = `${MAILBOX_PREFIX}${ctx.node}/`;
     while (!signal.aborted) {
       try {
-        // Skips messages written before the start; their senders have timed out.
+        // Skips messages written before the watch starts. Their senders time out.
         let revision = (await ctx.state.listPage(inbox, null, signal)).revision;
         for (;;) {
           const changes = await ctx.state.watch(inbox, revision, ctx.timing.watchTimeoutMs, signal);
@@ -93,8 +93,8 @@
 
   /**
    * Sends a request to a node and resolves to its response, in its stored form.
-   * A later request in the same slot replaces this one. Throws
-   * MailboxTimeoutError and the errors of the state service's client.
+   * A later request in the same slot replaces this one, which then times out.
+   * Throws MailboxTimeoutError and the errors of the state service's client.
    */
   async request(node: string, slot: string, text: string, timeoutMs: number): Promise<unknown> {
     const { ctx } = this;
--- a/src/controller/heartbeats/redirected-agents.ts
+++ b/src/controller/heartbeats/redirected-agents.ts
@@ -10,7 +10,7 @@
 /** Proof that an agent did not know a leader term. */
 export interface TermUnawareness {
   term: number;
-  /** By this node's clock; nothing from that term's leader had reached the agent before. */
+  /** By this node's clock, in ms; until then nothing from that term's leader had reached the agent. */
   provenAtMs: number;
 }
 
@@ -33,7 +33,7 @@
     return returned;
   }
 
-  /** Marks the agent as served here: this node relays or answers its heartbeats. */
+  /** Marks the agent as served here: this node relays its heartbeats or renews its lease. */
   startServing(nowMs: number): void {
     this.servedSince ??= nowMs;
   }
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -76,7 +76,7 @@
   const entry = await ctx.state.get(MACHINE_TYPES_KEY, RequestPriority.progress, signal);
   const stored = entry && storedMachineTypes(entry.value);
   const value = encodeMachineTypes(types);
-  // The list exceeds the size of a value, so starting controllers can read it from the cloud only.
+  // A list that exceeds the size of a value is not stored; starting controllers can only read it from the cloud.
   if (Buffer.byteLength(JSON.stringify(value)) > ctx.limits.valueBytes) {
     ctx.machineTypes = types;
     return;
--- a/src/controller/membership/peer-errors.ts
+++ b/src/controller/membership/peer-errors.ts
@@ -1,6 +1,6 @@
 /** Errors of requests between controllers, except those of the connection. */
 
-/** A peer sent a request or response that this version does not understand. */
+/** A peer sent a request or response that this version does not support. */
 export class PeerProtocolError extends Error {}
 
 /** A recent mailbox request to the node failed, and no further one is sent before the back-off ends. */
@@ -10,9 +10,9 @@
   }
 }
 
-/** A heartbeat exceeds the size that fits a mailbox message. */
+/** A heartbeat is too large for a mailbox message. */
 export class MailboxMessageTooLargeError extends Error {
   constructor(readonly bytes: number) {
-    super(`heartbeat of ${bytes} bytes exceeds the size of a mailbox message`);
+    super(`heartbeat of ${bytes} bytes is too large for a mailbox message`);
   }
 }
--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -22,11 +22,11 @@
 export interface PeerHandlers {
   /** Returns this controller's status, which is sent to every peer each renewal interval. */
   currentStatus(): PeerStatus;
-  /** Processes a leader term that a peer reports. An older term that this controller holds has ended. */
+  /** Processes a leader term that a peer reports. If this controller holds an older term, that term has ended. */
   observeTerm(term: number): void;
   /** Serves a user's request that a peer could not serve and has forwarded. Must not forward it again. */
   serveUser(method: string, target: string, body: Buffer): Promise<Reply>;
-  /** Handles an agent's heartbeat that a peer has forwarded to the leader. `body` is as the agent sent it. */
+  /** Handles an agent's heartbeat that a peer relays to the leader. `body` is as the agent sent it. */
   handleHeartbeat(body: Buffer): Promise<Reply>;
   /**
    * Processes a cancellation that is durable as of `revision` and that a peer is
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -28,7 +28,7 @@
 
   /** Records a well-formed status, unless a newer one of the same peer has been recorded. */
   record(status: PeerStatus): void {
-    // A status that a network partition delayed describes the time when it was sent, and may arrive after a newer one.
+    // A status delayed by a network partition describes the time at which it was sent, and may arrive after a newer one.
     const { clock } = this.ctx;
     const sentAt = clock.now() - Math.max(0, clock.wall() - status.sentAt);
     if (sentAt < (this.received.get(status.node)?.sentAt ?? Number.NEGATIVE_INFINITY)) return;
@@ -51,20 +51,20 @@
   }
 
   /**
-   * Returns when the node last sent that it leads in this term, in milliseconds
-   * on the monotonic clock; null when its latest status does not say so.
+   * Returns when the node's latest status was sent, in milliseconds on this node's
+   * monotonic clock; null unless it says that the node leads in this term.
    */
   lastLedAt(node: string, term: number): number | null {
     const received = this.received.get(node);
     return received?.status.leading && received.status.term === term ? received.sentAt : null;
   }
 
-  /** Returns the task counts of a live job as the leader last sent them; null if it sent none. */
+  /** Returns the task counts of a live job in the last status of a leader; null if it has none for the job. */
   taskCountsOf(jobId: string): TaskCounts | null {
     return this.taskCounts.get(jobId) ?? null;
   }
 
-  /** Reports whether a recent status of a leading peer says that it has no memory for further jobs. */
+  /** Reports whether a leading peer's recent status says that its memory is low, so that it takes no further jobs. */
   isLeaderMemoryShort(): boolean {
     for (const received of this.received.values())
       if (received.status.leading && received.status.memoryShort === true && this.isFresh(received))
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,4 +1,4 @@
-/** Communication between controllers: periodic statuses, forwarded requests and cancellation announcements. */
+/** Communication between controllers: statuses, forwarded requests, relayed heartbeats and cancellation announcements. */
 import { parseAddress } from '../../config/settings.js';
 import type { Reply } from '../../http/reply.js';
 import { PeerNetwork } from '../../peer/peer-network.js';
@@ -135,7 +135,7 @@
   }
 
   /**
-   * Forwards an agent's heartbeat to the leader and returns the leader's reply.
+   * Relays an agent's heartbeat to the leader and returns the leader's reply.
    *
    * @throws PeerUnavailableError when no response arrives in time; PeerProtocolError when the response is malformed.
    */
@@ -147,13 +147,13 @@
   }
 
   /**
-   * Forwards an agent's heartbeat through the state service, to a leader that
-   * this node cannot reach. A node that does not respond has most likely
-   * terminated, so no further request is sent to it during a back-off.
+   * Relays an agent's heartbeat through the state service, to a leader that this
+   * node cannot reach. When a request fails, the node has most likely stopped, so
+   * no further request is sent to it during a back-off.
    *
    * @throws MailboxBackoffError during the back-off; MailboxMessageTooLargeError;
-   * PeerProtocolError when the response is malformed; the mailbox's error when no
-   * response arrives in time.
+   * PeerProtocolError when the response is malformed; the errors of
+   * {@link Mailbox.request}.
    */
   async forwardThroughMailbox(node: string, machine: string, body: Buffer): Promise<Reply> {
     const { clock, limits, timing } = this.ctx;
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -55,10 +55,11 @@
   }
 
   /**
-   * Serves a user's request on this node or, while the state service fails for
-   * this node but not for a peer, through that peer. When the state service does
-   * not respond at all and no peer can serve the request, the user gets a refusal
-   * at once instead of waiting for a time-out.
+   * Serves a user's request on this node. While the state service fails for this
+   * node but not for a peer, or when the reply of this node is 503, forwards the
+   * request to such a peer. When the state service does not respond at all and no
+   * peer can serve the request, the user gets a refusal at once instead of waiting
+   * for a time-out.
    */
   private async serveUserOrForward(method: string, target: string, body: Buffer): Promise<Reply> {
     const { health } = this.parts;
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -163,7 +163,7 @@
   cluster.end(1, 'cancelled');
   await cluster.clock.advance(a.ctx.timing.dependencyFreshMs);
   const { transact } = a.state;
-  a.state.transact = () => Promise.reject(new Error('not answered'));
+  a.state.transact = () => Promise.reject(new Error('timed out'));
   assert.equal((await a.api.query(jobId(2))).status, 503);
   a.state.transact = transact;
   assert.equal(await a.stateOf(2), 'cancelled');
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -23,7 +23,7 @@
     forwardThroughMailbox: (): Promise<Reply> =>
       peers.mailboxReply
         ? Promise.resolve(peers.mailboxReply)
-        : Promise.reject(new Error('not answered')),
+        : Promise.reject(new Error('timed out')),
     forwardHeartbeat: (): Promise<Reply> => {
       peers.forwarded++;
       return Promise.resolve({ status: 200, body: { baton: fencingToken(7, 0), orders: [] } });
@@ -34,7 +34,7 @@
   const fetchHeartbeat = () =>
     machine.responds
       ? Promise.resolve({ ...new ScriptedAgent(machine.id).heartbeat(), term: machine.term })
-      : Promise.reject(new Error('not answered'));
+      : Promise.reject(new Error('timed out'));
   const handler = new HeartbeatHandler({
     ctx,
     election: leadership,
@@ -170,7 +170,7 @@
   assert.equal((await follower.sendHeartbeat(6)).status, 200);
 });
 
-test('a renewal for the leader keeps the machine’s fence of the same term, not of an earlier one', async () => {
+test('a delegated renewal keeps the machine’s fence from the same term but not from an earlier one', async () => {
   const follower = createFollower();
   follower.peers.reachable = false;
   const tokenAfter = async (term: number) =>
@@ -216,34 +216,37 @@
     peers,
     fetchHeartbeat,
   });
-  const agent = (token: number) => ({ ...new ScriptedAgent('n-000001').heartbeat(), term: token });
-  return { term, leader, handler, agent };
+  const heartbeat = (termNumber: number) => ({
+    ...new ScriptedAgent('n-000001').heartbeat(),
+    term: termNumber,
+  });
+  return { term, leader, handler, heartbeat };
 }
 
 test('a heartbeat with a later term makes the leader resign and is not processed', async () => {
-  const { term, leader, handler, agent } = createLeader();
-  assert.deepEqual(await handler.handleAsLeader(agent(7), false), {
+  const { term, leader, handler, heartbeat } = createLeader();
+  assert.deepEqual(await handler.handleAsLeader(heartbeat(7), false), {
     status: 200,
     body: { baton: fencingToken(7, 2), orders: [] },
   });
-  assert.deepEqual(await handler.handleAsLeader(agent(8), false), { status: 421, body: {} });
+  assert.deepEqual(await handler.handleAsLeader(heartbeat(8), false), { status: 421, body: {} });
   assert.deepEqual([term.resigned, leader.handled], [true, 1]);
 });
 
 test('a heartbeat waits until the leader has read the jobs', async () => {
-  const { leader, handler, agent } = createLeader();
+  const { leader, handler, heartbeat } = createLeader();
   let jobsRead = () => {};
   leader.ready = new Promise((resolve) => {
     jobsRead = resolve;
   });
-  const reply = handler.handleAsLeader(agent(7), false);
+  const reply = handler.handleAsLeader(heartbeat(7), false);
   await settle();
   assert.equal(leader.handled, 0);
   jobsRead();
   assert.equal((await reply).status, 200);
 });
 
-test('an agent that was redirected after a lease is served again when it returns', async () => {
+test('an agent that is redirected after being served for a lease is served again when it returns', async () => {
   const follower = createFollower();
   await follower.sendHeartbeat();
   let served = 0;
--- a/test/mailbox.test.ts
+++ b/test/mailbox.test.ts
@@ -14,7 +14,7 @@
     void mailbox.run(stop.signal);
     return mailbox;
   };
-  const requester = node('n-0', () => Promise.reject(new Error('not asked')));
+  const requester = node('n-0', () => Promise.reject(new Error('unexpected call')));
   node('n-1', (text) => Promise.resolve({ got: text }));
   await settle();
   const [first, second] = await Promise.all([
@@ -37,7 +37,7 @@
   const store = new FakeStore(clock);
   const stop = new AbortController();
   const requester = new Mailbox(createContext('n-0', new FakeStateService(store), clock), () =>
-    Promise.reject(new Error('not asked')),
+    Promise.reject(new Error('unexpected call')),
   );
   const context = createContext('n-1', new FakeStateService(store), clock);
   const responder = new Mailbox(context, async () => 'x'.repeat(context.limits.valueBytes));
@@ -54,7 +54,7 @@
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const ctx = createContext('n-0', new FakeStateService(store), clock);
-  const mailbox = new Mailbox(ctx, () => Promise.reject(new Error('not asked')));
+  const mailbox = new Mailbox(ctx, () => Promise.reject(new Error('unexpected call')));
   const leases = new Set<unknown>();
   const send = async () => {
     const timedOut = assert.rejects(mailbox.request('n-1', 'm-1', 'x', 1), MailboxTimeoutError);
--- a/test/request-router.test.ts
+++ b/test/request-router.test.ts
@@ -84,7 +84,7 @@
   assert.deepEqual(calls, ['forward n-1 GET /v1/jobs/req-000001']);
 });
 
-test('a 503 reply stands without a better one from a peer, and is immediate if the state service is unresponsive', async () => {
+test('a 503 is returned when no peer has a better reply, and at once while the state service is unresponsive', async () => {
   const { behavior, calls, request } = createRouter();
   behavior.ownReply = UNAVAILABLE;
   assert.deepEqual(await request('POST', '/v1/jobs'), FORWARDED);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -32,7 +32,7 @@
 const NEXT_LIMITS = { value_kb: 2, txn_ops: 4, write_rps: 30 };
 const PREVIOUS_TASKS_PER_CHUNK = 32_768;
 
-/** Records that the previous version wrote: a live job and the bitmaps of its completed tasks. */
+/** Records that the previous version wrote: a live job and the bitmaps of its finished tasks. */
 const STORED_LIVE_JOB = {
   spec: {
     id: 'req-000412',
@@ -140,7 +140,7 @@
   assert.ok(JSON.stringify(value).length <= NEXT_LIMITS.value_kb * KIB);
 });
 
-/** A leader of the previous version reads all bitmaps, then writes those of the tasks that complete in its term. */
+/** A leader of the previous version reads all bitmaps, then writes those of the tasks that finish in its term. */
 function leadAsPreviousVersion(
   store: Map<string, Uint8Array>,
   done: ReadonlySet<number>,
@@ -175,7 +175,7 @@
   }
 }
 
-test('no completed task is lost while leaders of both versions alternate', () => {
+test('no finished task is lost while leaders of both versions alternate', () => {
   const tasks = 100_000;
   for (const valueKib of [0.7, 2, 3, 8]) {
     const layout = BitmapLayout.forValues(8 * KIB, valueKib * KIB);
@@ -229,7 +229,7 @@
   roster.removeMachine('n-000001');
   const moves = roster.rewriteStalePages(9);
   assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.keySuffix !== '3-1'));
-  // The writes get no response, so it is unknown whether they were applied and both pages keep the machines.
+  // It is unknown whether the writes were applied, so both pages keep the machines.
   for (const pageWrite of moves) pageWrite.outcomeUnknown();
   for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.keySuffix, '3-1');
 });
