--- a/src/controller/api/dependency-snapshot.ts
+++ b/src/controller/api/dependency-snapshot.ts
@@ -156,12 +156,12 @@
 function addKnownEndStates(
   endStates: EndStates,
   ids: Iterable<string>,
-  known: EndStates,
+  previousEndStates: EndStates,
   live: JobIdLists,
 ): string[] {
   const unknown: string[] = [];
   for (const id of ids) {
-    const endState = known.get(id);
+    const endState = previousEndStates.get(id);
     if (endState) endStates.set(id, endState);
     else if (!live.has(id) && !endStates.has(id)) unknown.push(id);
   }
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -97,7 +97,7 @@
     }
     try {
       const submission = this.validate(json);
-      if ('refusal' in submission) return (await this.replyIfKnown(id)) ?? submission.refusal;
+      if ('refusal' in submission) return (await this.replyIfAccepted(id)) ?? submission.refusal;
       const { spec, dependencies } = submission;
       return dependencies.length === 0
         ? await this.accept(spec, NO_DEPENDENCIES)
@@ -171,7 +171,7 @@
   }
 
   /** Returns a 200 with the job's state; null when its id was never accepted. */
-  private async replyIfKnown(id: string): Promise<Reply | null> {
+  private async replyIfAccepted(id: string): Promise<Reply | null> {
     const status = await this.statusReader.find(id, RequestPriority.submissions);
     return status && { status: 200, body: jobStateBody(id, status.state) };
   }
@@ -181,15 +181,15 @@
    * before. When one of them is cancelled, the job is accepted as cancelled.
    */
   private async acceptWithDependencies(spec: JobSpec, dependencies: string[]): Promise<Reply> {
-    const known = await this.replyIfKnown(spec.id);
-    if (known) return known;
+    const existing = await this.replyIfAccepted(spec.id);
+    if (existing) return existing;
     if (dependencies.includes(spec.id)) return refuse('dependsOnItself');
     const summary = await this.dependencies.summarize(dependencies, RequestPriority.submissions);
     if (summary.missing.length > 0) return refuseUnknownDependencies(summary.missing);
     if (!summary.cancelled)
       return this.accept(spec, { pending: summary.pending, all: dependencies });
     const created = await this.store.createCancelled(spec, RequestPriority.submissions);
-    if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
+    if (!created.ok) return (await this.replyIfAccepted(spec.id)) ?? refuse('changedMeanwhile');
     return { status: 201, body: jobStateBody(spec.id, 'cancelled') };
   }
 
@@ -201,11 +201,11 @@
     const record: LiveJobRecord = { spec, acceptedAt: this.ctx.clock.wall() };
     try {
       const created = await this.store.create(record, dependencies, RequestPriority.submissions);
-      if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
+      if (!created.ok) return (await this.replyIfAccepted(spec.id)) ?? refuse('changedMeanwhile');
     } catch (error) {
       if (error instanceof DependencyListContendedError) return refuse('sameJobAtAnotherNode');
       if (!(error instanceof JobTooLargeError)) throw error;
-      return (await this.replyIfKnown(spec.id)) ?? refuse('jobTooLarge');
+      return (await this.replyIfAccepted(spec.id)) ?? refuse('jobTooLarge');
     }
     this.ctx.log.debug({ job: spec.id, team: spec.team }, 'job accepted');
     return { status: 201, body: jobStateBody(spec.id, 'queued') };
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -31,7 +31,7 @@
    * when no request was sent within the last time-out, so that the next request
    * is sent and shows whether the outage has ended.
    */
-  isStateServiceSilent(): boolean {
+  isStateServiceUnresponsive(): boolean {
     const { clock, timing } = this.ctx;
     const triedRecently = clock.now() - this.state.lastAttemptAt < timing.stateTimeoutMs;
     return triedRecently && this.hasLasted(this.state.unansweredSince, UNRESPONSIVE_AFTER_TIMEOUTS);
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -37,7 +37,7 @@
 }
 
 /** A response is larger than a value of the state service may be. */
-export class MessageTooLargeError extends Error {
+export class MailboxResponseTooLargeError extends Error {
   constructor(bytes: number, maxBytes: number) {
     super(`mailbox response of ${bytes} bytes exceeds the limit of ${maxBytes} bytes`);
   }
@@ -165,7 +165,8 @@
     const { n, incarnation } = request;
     const response = encodeMailboxResponse({ kind: 'answer', n, incarnation, value });
     const bytes = Buffer.byteLength(JSON.stringify(response));
-    if (bytes > ctx.limits.valueBytes) throw new MessageTooLargeError(bytes, ctx.limits.valueBytes);
+    if (bytes > ctx.limits.valueBytes)
+      throw new MailboxResponseTooLargeError(bytes, ctx.limits.valueBytes);
     // The response goes to the sender's inbox, under this node's name and the same slot.
     const slot = senderSlot.slice(senderSlot.indexOf('/') + 1);
     await this.write(`${MAILBOX_PREFIX}${request.from}/${ctx.node}/${slot}`, response);
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -73,7 +73,7 @@
   }
 
   /** Returns a connected peer whose recent status says that the state service serves it; null if there is none. */
-  servedPeer(): string | null {
+  findServedPeer(): string | null {
     for (const [node, received] of this.received)
       if (received.status.stateOk && this.isFresh(received) && this.isConnected(node)) return node;
     return null;
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -155,7 +155,7 @@
    * PeerProtocolError when the response is malformed; the errors of
    * {@link Mailbox.request}.
    */
-  async forwardThroughMailbox(node: string, machine: string, body: Buffer): Promise<Reply> {
+  async forwardThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply> {
     const { clock, limits, timing } = this.ctx;
     if (clock.now() < (this.mailboxBackoffUntil.get(node) ?? 0))
       throw new MailboxBackoffError(node);
@@ -163,7 +163,7 @@
       throw new MailboxMessageTooLargeError(body.length);
     try {
       return decodeReply(
-        await this.mailbox.request(node, machine, body.toString(), timing.stateTimeoutMs),
+        await this.mailbox.request(node, machineId, body.toString(), timing.stateTimeoutMs),
       );
     } catch (error) {
       const backoffMs = timing.leaseMs * MAILBOX_BACKOFF_LEASES;
@@ -181,9 +181,9 @@
    * because the peer's knowledge of cancellations expires, and what it may do
    * then is bounded (docs/design.md, "One bound for cancellations").
    */
-  async announceCancellation(job: string, revision: number): Promise<void> {
+  async announceCancellation(jobId: string, revision: number): Promise<void> {
     const { platform, timing } = this.ctx;
-    const notice = encodeCancellationNotice({ job, revision });
+    const notice = encodeCancellationNotice({ job: jobId, revision });
     const reachable = platform.peers.filter((peer) => this.statuses.isReachable(peer.node));
     const timeoutMs = timing.stateTimeoutMs * ANNOUNCE_TIMEOUTS;
     await Promise.allSettled(
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -14,8 +14,11 @@
 export interface RequestRouterParts {
   jobApi: Pick<JobApi, 'submit' | 'query' | 'cancel'>;
   heartbeats: Pick<HeartbeatHandler, 'handle'>;
-  health: Pick<ControllerHealth, 'isStateServiceFailing' | 'isStateServiceSilent' | 'isHealthy'>;
-  peers: Pick<Peers, 'forwardRequest'> & { statuses: Pick<PeerStatuses, 'servedPeer'> };
+  health: Pick<
+    ControllerHealth,
+    'isStateServiceFailing' | 'isStateServiceUnresponsive' | 'isHealthy'
+  >;
+  peers: Pick<Peers, 'forwardRequest'> & { statuses: Pick<PeerStatuses, 'findServedPeer'> };
 }
 
 /** Dispatches each request to its handler. Stateless. */
@@ -66,7 +69,7 @@
     if (health.isStateServiceFailing() && target.startsWith(PATHS.jobs)) {
       const forwarded = await this.forwardToPeer(method, target, body);
       if (forwarded) return forwarded;
-      if (health.isStateServiceSilent()) return refuse('stateServiceUnreachable');
+      if (health.isStateServiceUnresponsive()) return refuse('stateServiceUnreachable');
     }
     const reply = await this.serveUser(method, target, body);
     if (reply.status !== 503) return reply;
@@ -79,7 +82,7 @@
    */
   private async forwardToPeer(method: string, target: string, body: Buffer): Promise<Reply | null> {
     const { peers } = this.parts;
-    const peer = peers.statuses.servedPeer();
+    const peer = peers.statuses.findServedPeer();
     if (peer === null) return null;
     try {
       const reply = await peers.forwardRequest(peer, method, target, body);
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -182,8 +182,8 @@
     // The end of a dependency in between does not make the repetition start over.
     fixture.endJob(dependencies[0] as string, 'done');
     const repeat = await second.submit(jobId(1), other);
-    const known = fixture.store.entries.get(`live/${jobId(1)}`);
-    assert.ok([200, 201].includes(repeat.status) && known);
+    const storedEntry = fixture.store.entries.get(`live/${jobId(1)}`);
+    assert.ok([200, 201].includes(repeat.status) && storedEntry);
     // The lost write is applied late, and the user of the first node repeats the submission.
     for (const work of first.state.late.splice(0)) assert.doesNotThrow(work);
     first.state.fault = null;
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -296,14 +296,17 @@
   state.failingSince = clock.now();
   state.unansweredSince = clock.now();
   await clock.advance(timing.stateTimeoutMs * 0.4);
-  assert.deepEqual([health.isStateServiceFailing(), health.isStateServiceSilent()], [false, false]);
+  assert.deepEqual(
+    [health.isStateServiceFailing(), health.isStateServiceUnresponsive()],
+    [false, false],
+  );
   await clock.advance(timing.stateTimeoutMs);
   // After a while without requests, the next request is attempted.
-  assert.equal(health.isStateServiceSilent(), false);
+  assert.equal(health.isStateServiceUnresponsive(), false);
   state.lastAttemptAt = clock.now();
   // An outage: the peers are reachable, users get an immediate response and the node stays healthy.
   assert.deepEqual(
-    [health.isStateServiceFailing(), health.isStateServiceSilent(), health.isHealthy],
+    [health.isStateServiceFailing(), health.isStateServiceUnresponsive(), health.isHealthy],
     [true, true, true],
   );
   peers.reachable = false;
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -182,7 +182,7 @@
     assert.equal(m.peers.statuses.isLeaderMemoryShort(), false);
     assert.deepEqual(m.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
     assert.equal(m.peers.lastLedAt('n-1', 3), m.clock.now());
-    assert.equal(m.peers.statuses.servedPeer(), 'n-1');
+    assert.equal(m.peers.statuses.findServedPeer(), 'n-1');
   } finally {
     m.end();
   }
--- a/test/request-router.test.ts
+++ b/test/request-router.test.ts
@@ -18,7 +18,7 @@
     peerReply: FORWARDED as Reply | Error,
     servedPeer: 'n-1' as string | null,
     isFailing: false,
-    isSilent: false,
+    isUnresponsive: false,
     isHealthy: true,
   };
   const serve = (name: string) => async () => {
@@ -35,13 +35,13 @@
     heartbeats: { handle: serve('heartbeat') },
     health: {
       isStateServiceFailing: () => behavior.isFailing,
-      isStateServiceSilent: () => behavior.isSilent,
+      isStateServiceUnresponsive: () => behavior.isUnresponsive,
       get isHealthy() {
         return behavior.isHealthy;
       },
     },
     peers: {
-      statuses: { servedPeer: () => behavior.servedPeer },
+      statuses: { findServedPeer: () => behavior.servedPeer },
       forwardRequest: async (node, method, target) => {
         calls.push(`forward ${node} ${method} ${target}`);
         if (behavior.peerReply instanceof Error) throw behavior.peerReply;
@@ -93,7 +93,7 @@
     assert.deepEqual(await request('POST', '/v1/jobs'), UNAVAILABLE);
   }
   behavior.isFailing = true;
-  behavior.isSilent = true;
+  behavior.isUnresponsive = true;
   behavior.servedPeer = null;
   calls.length = 0;
   const reply = await request('POST', '/v1/jobs');
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -57,7 +57,7 @@
   },
   at: 1_800_000_000_000,
 };
-const COMPLETED_TASKS = [0, 1, 9, 8191, 8192, 20_000, 32_767, 32_768, 39_999];
+const FINISHED_TASKS = [0, 1, 9, 8191, 8192, 20_000, 32_767, 32_768, 39_999];
 const STORED_BITMAPS = [
   {
     key: 'bits/req-000412/0000',
@@ -92,19 +92,19 @@
  * is the number in its key times the chunk size, whatever follows the number.
  */
 class PreviousVersionBitmaps {
-  readonly completed = new Set<number>();
+  readonly finished = new Set<number>();
 
   read(key: string, bytes: Uint8Array): void {
     const [, , number = ''] = key.split('/');
     const first = Number(number) * PREVIOUS_TASKS_PER_CHUNK;
     for (let i = 0; i < bytes.length * 8; i++)
-      if (((bytes[i >> 3] as number) >> (i & 7)) & 1) this.completed.add(first + i);
+      if (((bytes[i >> 3] as number) >> (i & 7)) & 1) this.finished.add(first + i);
   }
 
   chunk(number: number, tasks: number): Uint8Array {
     const first = number * PREVIOUS_TASKS_PER_CHUNK;
     const bytes = new Uint8Array(Math.ceil(Math.min(PREVIOUS_TASKS_PER_CHUNK, tasks - first) / 8));
-    for (const i of this.completed)
+    for (const i of this.finished)
       if (Math.floor(i / PREVIOUS_TASKS_PER_CHUNK) === number)
         bytes[(i - first) >> 3] = (bytes[(i - first) >> 3] as number) | (1 << (i & 7));
     return bytes;
@@ -125,7 +125,7 @@
   for (const stored of STORED_BITMAPS) loadBitmap(job, layout, stored.key, bitmapBytes(stored));
   assert.deepEqual(
     [...Array(STORED_LIVE_JOB.spec.tasks).keys()].filter((i) => job.isDone(i)),
-    COMPLETED_TASKS,
+    FINISHED_TASKS,
   );
   assert.ok(STORED_BITMAPS.every((stored) => layout.parse(stored.key)?.chunk === null));
   const last = layout.chunkOf(39_999);
@@ -149,8 +149,8 @@
 ): void {
   const bitmaps = new PreviousVersionBitmaps();
   for (const [key, bytes] of store) bitmaps.read(key, bytes);
-  assert.deepEqual(bitmaps.completed, done);
-  for (const i of finished) bitmaps.completed.add(i);
+  assert.deepEqual(bitmaps.finished, done);
+  for (const i of finished) bitmaps.finished.add(i);
   for (const chunk of new Set(finished.map((i) => Math.floor(i / PREVIOUS_TASKS_PER_CHUNK))))
     store.set(`bits/req-1/${String(chunk).padStart(4, '0')}`, bitmaps.chunk(chunk, tasks));
 }
