--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -9,7 +9,7 @@
  */
 const FAILING_AFTER_TIMEOUTS = 0.5;
 
-/** How long requests must have failed for the state service to count as unresponsive, in its time-outs. */
+/** How long requests must have failed before waiting for a response is pointless, in state service time-outs. */
 const UNRESPONSIVE_AFTER_TIMEOUTS = 1;
 
 /** Derives the health of this controller from what other components record. Stateless. */
@@ -20,7 +20,10 @@
     private readonly peers: Pick<PeerStatuses, 'isIsolated'>,
   ) {}
 
-  /** Reports whether the state service has not served this controller for a while. It may still serve peers. */
+  /**
+   * Reports whether the state service has served no request of this controller
+   * for more than FAILING_AFTER_TIMEOUTS. It may still serve peers.
+   */
   isStateServiceFailing(): boolean {
     return this.hasLasted(this.state.failingSince, FAILING_AFTER_TIMEOUTS);
   }
@@ -40,7 +43,7 @@
   /**
    * Reports whether this controller reaches neither the state service nor any
    * peer, so that users are better served by another controller. In an outage of
-   * the state service that affects all controllers they stay healthy: controllers
+   * the state service that affects all controllers, they stay healthy: controllers
    * that had to pass health checks again would return later than the state service.
    */
   isIsolated(): boolean {
--- a/src/controller/membership/peer-handlers.ts
+++ b/src/controller/membership/peer-handlers.ts
@@ -24,7 +24,7 @@
   currentStatus(): PeerStatus;
   /** Processes a leader term that a peer reports. If this controller holds an older term, that term has ended. */
   observeTerm(term: number): void;
-  /** Serves a user's request that a peer could not serve and has forwarded. Must not forward it again. */
+  /** Serves a user's request that a peer could not serve. The request must not be forwarded again. */
   serveUser(method: string, target: string, body: Buffer): Promise<Reply>;
   /** Handles an agent's heartbeat that a peer relays to the leader. `body` is as the agent sent it. */
   handleHeartbeat(body: Buffer): Promise<Reply>;
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -28,7 +28,8 @@
 
   /** Records a well-formed status, unless a newer one of the same peer has been recorded. */
   record(status: PeerStatus): void {
-    // A status delayed by a network partition describes the time at which it was sent, and may arrive after a newer one.
+    // A status delayed by a network partition describes the time at which it was sent, and may arrive
+    // after a newer one.
     const { clock } = this.ctx;
     const sentAt = clock.now() - Math.max(0, clock.wall() - status.sentAt);
     if (sentAt < (this.received.get(status.node)?.sentAt ?? Number.NEGATIVE_INFINITY)) return;
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,4 +1,4 @@
-/** Communication between controllers: statuses, forwarded requests, relayed heartbeats and cancellation announcements. */
+/** Communication between controllers: statuses, forwarded requests, relayed heartbeats and cancellations. */
 import { parseAddress } from '../../config/settings.js';
 import type { Reply } from '../../http/reply.js';
 import { PeerNetwork } from '../../peer/peer-network.js';
--- a/src/controller/memory-guard.ts
+++ b/src/controller/memory-guard.ts
@@ -3,7 +3,10 @@
 import { sleepUntilAborted } from '../runtime/clock.js';
 import type { ControllerContext } from './context.js';
 
-/** Returns the share in use of the platform's memory limit or of the heap limit, whichever share is higher; 1 is the limit. */
+/**
+ * Returns the share in use, 0 to 1, of the platform's memory limit or of the heap
+ * limit, whichever share is higher.
+ */
 export type MemoryMeter = () => number;
 
 /** Memory is low from this share on, and new jobs are refused. */
@@ -14,7 +17,10 @@
 const LOW_MEMORY_CHECKS = 2;
 const MIB = 1024 * 1024;
 
-/** Creates a meter of this process's memory against `limitMb`, in MiB, and of its heap against the engine's heap limit. */
+/**
+ * Creates a meter of this process's memory against `limitMb`, in MiB, and of its
+ * heap against the heap limit of the engine.
+ */
 export function createProcessMemoryMeter(limitMb: number): MemoryMeter {
   return () => {
     const heap = getHeapStatistics();
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -297,12 +297,12 @@
       tree.push(fixture.addJob(1000 + i, [shape === 'deep' ? (tree.at(-1) ?? root) : root]));
     const pollAll = async () => {
       const before = node.state.requests;
-      const answers = await Promise.all(tree.map((job) => node.stateOf(job)));
+      const states = await Promise.all(tree.map((job) => node.stateOf(job)));
       const requests = node.state.requests - before;
-      return { requests, answers: [...new Set(answers)] };
+      return { requests, states: [...new Set(states)] };
     };
     const polled = await pollAll();
-    assert.deepEqual(polled.answers, ['queued'], shape);
+    assert.deepEqual(polled.states, ['queued'], shape);
     assert.ok(polled.requests < 100, `${polled.requests} requests, ${shape}`);
     // A single query does not read the whole chain either.
     const freshNode = fixture.createNode();
@@ -311,7 +311,7 @@
     fixture.endJob(root, 'cancelled');
     await fixture.clock.advance(node.ctx.timing.dependencyFreshMs);
     assert.equal(await freshNode.stateOf(tree.at(-1) as string), 'cancelled', shape);
-    assert.deepEqual((await pollAll()).answers, ['cancelled'], shape);
+    assert.deepEqual((await pollAll()).states, ['cancelled'], shape);
     assert.equal(fixture.keys('live/').length, 0);
   }
 });
@@ -378,19 +378,19 @@
 test('a job written by the version before lists is read, waits for its dependencies and is cancelled with them', async () => {
   const fixture = new Fixture();
   const node = fixture.createNode();
-  const needed = [500, 501, 502, 503, 504, 505].map((n) => fixture.addJob(n));
+  const dependencies = [500, 501, 502, 503, 504, 505].map((n) => fixture.addJob(n));
   for (const { key, value } of EARLIER_ENTRIES)
     fixture.store.transact([], [{ op: 'put', key, value }]);
   const record = fixture.record('req-000412');
-  assert.deepEqual(await node.dependenciesOf('req-000412', record), needed);
-  const repeated = await node.submit('req-000412', needed);
+  assert.deepEqual(await node.dependenciesOf('req-000412', record), dependencies);
+  const repeated = await node.submit('req-000412', dependencies);
   assert.deepEqual(repeated, { status: 200, body: { id: 'req-000412', standing: 'queued' } });
-  for (const job of needed.slice(0, 5)) {
+  for (const job of dependencies.slice(0, 5)) {
     // Ends written by that version carry the time; those of the version before it do not.
     const end = {
       state: 'done',
       tasks: 2,
-      ...(job === needed[0] ? {} : { at: 1_800_000_000_000 }),
+      ...(job === dependencies[0] ? {} : { at: 1_800_000_000_000 }),
     };
     fixture.store.transact(
       [],
