--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -1,7 +1,8 @@
 /**
  * Submission, query and cancellation of jobs on any node, leader or follower.
- * Every reply is based on the state service rather than on this node's memory,
- * so an accepted job is visible at every node at once.
+ * Whether a job was accepted and how it ended are always read from the state
+ * service, never from this node's memory, so an accepted job is visible at every
+ * node at once.
  */
 import type { Reply } from '../../http/server.js';
 import type { JobSpec } from '../../model/job.js';
@@ -59,7 +60,7 @@
   refusal: Reply;
 }
 
-/** The job API of one controller. Its methods never reject; a failure is answered with 503. */
+/** The job API of one controller. Its methods never reject; they reply 503 to a request that fails. */
 export class JobApi {
   private readonly store: JobStore;
   private readonly dependencies: DependencyStatus;
@@ -81,9 +82,9 @@
   }
 
   /**
-   * Accepts a job and replies 201 with its state. Idempotent: an id that was
-   * accepted before is answered with 200 and the job's state, even when the rest
-   * of the repeated submission would be refused.
+   * Accepts a job and replies 201 with its state. Idempotent: replies 200 with the
+   * job's state when its id was accepted before, even when the rest of the
+   * repeated submission would be refused.
    */
   async submit(body: Buffer): Promise<Reply> {
     let json: unknown;
@@ -96,7 +97,7 @@
     }
     try {
       const submission = this.validate(json);
-      if ('refusal' in submission) return (await this.replyIfKnown(id)) ?? submission.refusal;
+      if ('refusal' in submission) return (await this.replyIfAccepted(id)) ?? submission.refusal;
       const { spec, dependencies } = submission;
       return dependencies.length === 0
         ? await this.accept(spec, NO_DEPENDENCIES)
@@ -152,7 +153,7 @@
     }
   }
 
-  /** Checks everything in a submission that can be checked without the state service. */
+  /** Parses and checks a submission without requests to the state service. */
   private validate(json: unknown): Submission | RefusedSubmission {
     try {
       const spec = parseSubmission(json);
@@ -170,7 +171,7 @@
   }
 
   /** Returns a 200 with the job's state; null when its id was never accepted. */
-  private async replyIfKnown(id: string): Promise<Reply | null> {
+  private async replyIfAccepted(id: string): Promise<Reply | null> {
     const status = await this.statusReader.find(id, RequestPriority.submissions);
     return status && { status: 200, body: jobStateBody(id, status.state) };
   }
@@ -180,28 +181,31 @@
    * before. When one of them is cancelled, the job is accepted as cancelled.
    */
   private async acceptWithDependencies(spec: JobSpec, dependencies: string[]): Promise<Reply> {
-    const known = await this.replyIfKnown(spec.id);
-    if (known) return known;
+    const existing = await this.replyIfAccepted(spec.id);
+    if (existing) return existing;
     if (dependencies.includes(spec.id)) return refuse('dependsOnItself');
     const summary = await this.dependencies.summarize(dependencies, RequestPriority.submissions);
     if (summary.missing.length > 0) return refuseUnknownDependencies(summary.missing);
     if (!summary.cancelled)
       return this.accept(spec, { pending: summary.pending, all: dependencies });
     const created = await this.store.createCancelled(spec, RequestPriority.submissions);
-    if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
+    if (!created.ok) return (await this.replyIfAccepted(spec.id)) ?? refuse('changedMeanwhile');
     return { status: 201, body: jobStateBody(spec.id, 'cancelled') };
   }
 
-  /** Writes the job. A failed transaction means that another request has accepted the id. */
+  /**
+   * Writes the job. The transaction fails when another request has accepted the
+   * id, or when the job's dependency list is being removed.
+   */
   private async accept(spec: JobSpec, dependencies: SubmittedDependencies): Promise<Reply> {
     const record: LiveJobRecord = { spec, acceptedAt: this.ctx.clock.wall() };
     try {
       const created = await this.store.create(record, dependencies, RequestPriority.submissions);
-      if (!created.ok) return (await this.replyIfKnown(spec.id)) ?? refuse('changedMeanwhile');
+      if (!created.ok) return (await this.replyIfAccepted(spec.id)) ?? refuse('changedMeanwhile');
     } catch (error) {
       if (error instanceof DependencyListContendedError) return refuse('sameJobAtAnotherNode');
       if (!(error instanceof JobTooLargeError)) throw error;
-      return (await this.replyIfKnown(spec.id)) ?? refuse('jobTooLarge');
+      return (await this.replyIfAccepted(spec.id)) ?? refuse('jobTooLarge');
     }
     this.ctx.log.debug({ job: spec.id, team: spec.team }, 'job accepted');
     return { status: 201, body: jobStateBody(spec.id, 'queued') };
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -5,11 +5,11 @@
 
 /**
  * How long requests must have failed for the state service to count as failing,
- * in state service time-outs. A single slow response takes less time.
+ * in state service time-outs. A single slow response explains a shorter failure.
  */
 const FAILING_AFTER_TIMEOUTS = 0.5;
 
-/** How long requests must have failed before waiting for a response is useless, in state service time-outs. */
+/** How long requests must have failed before waiting for a response is pointless, in state service time-outs. */
 const UNRESPONSIVE_AFTER_TIMEOUTS = 1;
 
 /** Derives the health of this controller from what other components record. Stateless. */
@@ -20,7 +20,10 @@
     private readonly peers: Pick<PeerStatuses, 'isIsolated'>,
   ) {}
 
-  /** Reports whether the state service has not served this controller for a while. It may still serve peers. */
+  /**
+   * Reports whether the state service has served no request of this controller
+   * for more than FAILING_AFTER_TIMEOUTS. It may still serve peers.
+   */
   isStateServiceFailing(): boolean {
     return this.hasLasted(this.state.failingSince, FAILING_AFTER_TIMEOUTS);
   }
@@ -29,9 +32,9 @@
    * Reports whether the state service does not respond at all, not even with a
    * refusal, so that a request to it would only make a user wait. Returns false
    * when no request was sent within the last time-out, so that the next request
-   * finds out whether the outage has ended.
+   * is sent and shows whether the outage has ended.
    */
-  isStateServiceSilent(): boolean {
+  isStateServiceUnresponsive(): boolean {
     const { clock, timing } = this.ctx;
     const triedRecently = clock.now() - this.state.lastAttemptAt < timing.stateTimeoutMs;
     return triedRecently && this.hasLasted(this.state.unansweredSince, UNRESPONSIVE_AFTER_TIMEOUTS);
@@ -40,7 +43,7 @@
   /**
    * Reports whether this controller reaches neither the state service nor any
    * peer, so that users are better served by another controller. In an outage of
-   * the state service that affects all controllers they stay healthy: controllers
+   * the state service that affects all controllers, they stay healthy: controllers
    * that had to pass health checks again would return later than the state service.
    */
   isIsolated(): boolean {
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -1,4 +1,4 @@
-/** Communication between controllers: periodic statuses, forwarded requests and cancellation announcements. */
+/** Communication between controllers: statuses, forwarded requests, relayed heartbeats and cancellations. */
 import { parseAddress } from '../../config/settings.js';
 import type { Reply } from '../../http/reply.js';
 import { PeerNetwork } from '../../peer/peer-network.js';
@@ -135,7 +135,7 @@
   }
 
   /**
-   * Forwards an agent's heartbeat to the leader and returns the leader's reply.
+   * Relays an agent's heartbeat to the leader and returns the leader's reply.
    *
    * @throws PeerUnavailableError when no response arrives in time; PeerProtocolError when the response is malformed.
    */
@@ -147,15 +147,15 @@
   }
 
   /**
-   * Forwards an agent's heartbeat through the state service, to a leader that
-   * this node cannot reach. A node that does not respond has most likely
-   * terminated, so no further request is sent to it during a back-off.
+   * Relays an agent's heartbeat through the state service, to a leader that this
+   * node cannot reach. When a request fails, the node has most likely stopped, so
+   * no further request is sent to it during a back-off.
    *
    * @throws MailboxBackoffError during the back-off; MailboxMessageTooLargeError;
-   * PeerProtocolError when the response is malformed; the mailbox's error when no
-   * response arrives in time.
+   * PeerProtocolError when the response is malformed; the errors of
+   * {@link Mailbox.request}.
    */
-  async forwardThroughMailbox(node: string, machine: string, body: Buffer): Promise<Reply> {
+  async forwardThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply> {
     const { clock, limits, timing } = this.ctx;
     if (clock.now() < (this.mailboxBackoffUntil.get(node) ?? 0))
       throw new MailboxBackoffError(node);
@@ -163,7 +163,7 @@
       throw new MailboxMessageTooLargeError(body.length);
     try {
       return decodeReply(
-        await this.mailbox.request(node, machine, body.toString(), timing.stateTimeoutMs),
+        await this.mailbox.request(node, machineId, body.toString(), timing.stateTimeoutMs),
       );
     } catch (error) {
       const backoffMs = timing.leaseMs * MAILBOX_BACKOFF_LEASES;
@@ -181,9 +181,9 @@
    * because the peer's knowledge of cancellations expires, and what it may do
    * then is bounded (docs/design.md, "One bound for cancellations").
    */
-  async announceCancellation(job: string, revision: number): Promise<void> {
+  async announceCancellation(jobId: string, revision: number): Promise<void> {
     const { platform, timing } = this.ctx;
-    const notice = encodeCancellationNotice({ jobId: job, revision });
+    const notice = encodeCancellationNotice({ jobId, revision });
     const reachable = platform.peers.filter((peer) => this.statuses.isReachable(peer.node));
     const timeoutMs = timing.stateTimeoutMs * ANNOUNCE_TIMEOUTS;
     await Promise.allSettled(
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -14,8 +14,11 @@
 export interface RequestRouterParts {
   jobApi: Pick<JobApi, 'submit' | 'query' | 'cancel'>;
   heartbeats: Pick<HeartbeatHandler, 'handle'>;
-  health: Pick<ControllerHealth, 'isStateServiceFailing' | 'isStateServiceSilent' | 'isHealthy'>;
-  peers: Pick<Peers, 'forwardRequest'> & { statuses: Pick<PeerStatuses, 'servedPeer'> };
+  health: Pick<
+    ControllerHealth,
+    'isStateServiceFailing' | 'isStateServiceUnresponsive' | 'isHealthy'
+  >;
+  peers: Pick<Peers, 'forwardRequest'> & { statuses: Pick<PeerStatuses, 'findServedPeer'> };
 }
 
 /** Dispatches each request to its handler. Stateless. */
@@ -55,17 +58,18 @@
   }
 
   /**
-   * Serves a user's request on this node or, while the state service fails for
-   * this node but not for a peer, through that peer. When the state service does
-   * not respond at all and no peer can serve the request, the user gets a refusal
-   * at once instead of waiting for a time-out.
+   * Serves a user's request on this node. While the state service fails for this
+   * node but not for a peer, or when the reply of this node is 503, forwards the
+   * request to such a peer. When the state service does not respond at all and no
+   * peer can serve the request, the user gets a refusal at once instead of waiting
+   * for a time-out.
    */
   private async serveUserOrForward(method: string, target: string, body: Buffer): Promise<Reply> {
     const { health } = this.parts;
     if (health.isStateServiceFailing() && target.startsWith(PATHS.jobs)) {
       const forwarded = await this.forwardToPeer(method, target, body);
       if (forwarded) return forwarded;
-      if (health.isStateServiceSilent()) return refuse('stateServiceUnreachable');
+      if (health.isStateServiceUnresponsive()) return refuse('stateServiceUnreachable');
     }
     const reply = await this.serveUser(method, target, body);
     if (reply.status !== 503) return reply;
@@ -78,7 +82,7 @@
    */
   private async forwardToPeer(method: string, target: string, body: Buffer): Promise<Reply | null> {
     const { peers } = this.parts;
-    const peer = peers.statuses.servedPeer();
+    const peer = peers.statuses.findServedPeer();
     if (peer === null) return null;
     try {
       const reply = await peers.forwardRequest(peer, method, target, body);
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -189,7 +189,7 @@
     assert.equal(setup.peers.statuses.isLeaderMemoryShort(), false);
     assert.deepEqual(setup.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
     assert.equal(setup.peers.lastLedAt('n-1', 3), setup.clock.now());
-    assert.equal(setup.peers.statuses.servedPeer(), 'n-1');
+    assert.equal(setup.peers.statuses.findServedPeer(), 'n-1');
   } finally {
     setup.close();
   }
