--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -5,7 +5,7 @@
 import { Command } from 'commander';
 import { type Logger, pino } from 'pino';
 import { DEFAULT_POLICY, parsePolicy } from '../config/policy.js';
-import { parsePlatform, SettingsError } from '../config/settings.js';
+import { parsePlatformSettings, SettingsError } from '../config/settings.js';
 import { createController } from '../controller/wiring.js';
 import { systemClock } from '../runtime/clock.js';
 import { VERSION } from '../version.js';
@@ -56,7 +56,7 @@
 }
 
 async function runController(options: Options): Promise<void> {
-  const platform = parsePlatform(readTextFile(options.config), options.config);
+  const platform = parsePlatformSettings(readTextFile(options.config), options.config);
   const policy = options.properties
     ? parsePolicy(readTextFile(options.properties), options.properties)
     : DEFAULT_POLICY;
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -92,7 +92,7 @@
 });
 
 /** The settings as they are in the file, with defaults for optional fields. */
-export type Platform = v.InferOutput<typeof SettingsSchema>;
+export type PlatformSettings = v.InferOutput<typeof SettingsSchema>;
 
 /**
  * Parses and validates the settings. Unknown fields are ignored, so that later
@@ -101,7 +101,7 @@
  * @param file The file name for error messages.
  * @throws SettingsError that names the file, the field and what was expected.
  */
-export function parsePlatform(text: string, file: string): Platform {
+export function parsePlatformSettings(text: string, file: string): PlatformSettings {
   let json: unknown;
   try {
     json = JSON.parse(text);
@@ -117,7 +117,7 @@
 }
 
 /** Returns the teams' quotas by team name. */
-export function quotasOf(platform: Platform): Map<string, TeamQuota> {
+export function quotasOf(platform: PlatformSettings): Map<string, TeamQuota> {
   return new Map(
     platform.settings.teams.map((team) => [
       team.name,
--- a/src/config/state-limits.ts
+++ b/src/config/state-limits.ts
@@ -1,5 +1,5 @@
 /** Limits of the state service that every write must respect. */
-import type { Platform } from './settings.js';
+import type { PlatformSettings } from './settings.js';
 
 /**
  * The current limits of the state service, combined with those that the settings
@@ -22,7 +22,7 @@
 const KIB = 1024;
 
 /** Returns the limits that result from the settings. */
-export function stateLimitsOf(platform: Platform): StateLimits {
+export function stateLimitsOf(platform: PlatformSettings): StateLimits {
   const { state } = platform.settings;
   const next = state.next;
   return {
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -4,7 +4,7 @@
  * keeps the margins that safety depends on (docs/design.md, "One bound for
  * cancellations").
  */
-import type { Platform } from './settings.js';
+import type { PlatformSettings } from './settings.js';
 
 /** The protocol guarantees that the clocks of two machines drift apart by at most this ratio. */
 export const MAX_CLOCK_DRIFT = 0.0005;
@@ -16,7 +16,7 @@
   /** Length of the leader's lease in the state service. */
   leaseMs: number;
   /** Interval between renewals of the leader's lease and between status messages to peers; the unit of most retry delays. */
-  renewMs: number;
+  renewalIntervalMs: number;
   /** Leadership counts as proven for this long after a successful renewal was sent. */
   leadershipProofMs: number;
   /** Agents' leases are no longer renewed once leadership has been unproven, or cancellations unknown, for this long. */
@@ -28,31 +28,31 @@
   /** Maximum time that the leader's watch of jobs waits. Its response proves that all cancellations up to its request are known. */
   jobWatchMs: number;
   /** Half of the time that a request may take to arrive, and that its reply may take to be read by the client. */
-  userTimeoutMs: number;
+  halfTransferTimeoutMs: number;
   /** Timeout of a request to the cloud. */
   cloudTimeoutMs: number;
   /** Timeout of a command to an agent. */
   commandTimeoutMs: number;
   /** Pause between two lists of the cloud's machines. */
-  listMs: number;
+  machineListIntervalMs: number;
   /** A machine has been terminated if a list that was requested more than this long after its last sign of existence lacks it. */
   listProofMs: number;
   /** Pause between two reads of the machine types and prices. */
-  typesMs: number;
+  machineTypesIntervalMs: number;
   /** Pause between two writes of the demand forecast, which the next leader reads. */
-  demandSaveMs: number;
+  demandSaveIntervalMs: number;
   /** Minimum pause between two placement rounds. */
-  roundMs: number;
+  placementIntervalMs: number;
   /** The event loop counts as lagging when a timer fires later than this. */
   lagThresholdMs: number;
   /** Pause between two writes of finished tasks and ends of jobs. */
-  progressWriteMs: number;
+  progressWriteIntervalMs: number;
   /** A controller caches what it has read of a live dependency for this long. */
   dependencyFreshMs: number;
   /** A stored dependency list is removed when its job has not been live for this long. */
   orphanListMs: number;
   /** Minimum pause between two plans of scale-out and scale-in. */
-  scalingMs: number;
+  scalingIntervalMs: number;
   /** A machine that has sent no heartbeat for this long counts as unreachable. */
   unreachableAfterMs: number;
   /** Length of an agent's lease. An agent whose lease expires ends its tasks. */
@@ -60,11 +60,11 @@
   /** A follower renews agents' leases for an unreachable leader until this long after the leader last said that it leads. */
   delegatedRenewalMs: number;
   /** Interval between log lines about the state of the fleet. */
-  fleetLogMs: number;
+  fleetLogIntervalMs: number;
 }
 
 /** Returns the timers that result from the settings. */
-export function timingOf(platform: Platform): Timing {
+export function timingOf(platform: PlatformSettings): Timing {
   const { workers, cloud, state } = platform.settings;
   const heartbeatMs = workers.report_s * 1000;
   const agentLeaseMs = workers.lease_s * 1000;
@@ -78,7 +78,7 @@
     leaseMs,
     // The proof of leadership lasts three intervals, so that it outlives one failed renewal and a
     // response to the next renewal that takes a whole interval.
-    renewMs: leaseMs * 0.25,
+    renewalIntervalMs: leaseMs * 0.25,
     // The proof ends well before the lease can expire by any clock, because another leader may be
     // elected once the lease has expired.
     leadershipProofMs: leaseMs * 0.75 * (1 - MAX_CLOCK_DRIFT),
@@ -97,29 +97,29 @@
     // One renewal interval, because tasks may start only while the knowledge of cancellations is as
     // recent as the proof of leadership must be.
     jobWatchMs: leaseMs * 0.25,
-    userTimeoutMs: heartbeatMs * 0.8,
+    halfTransferTimeoutMs: heartbeatMs * 0.8,
     cloudTimeoutMs: heartbeatMs * 2,
     commandTimeoutMs: heartbeatMs * 0.5,
     // At one page per list, listing uses at most two thirds of the cloud's request rate.
-    listMs: Math.max(listLagMs * 0.6, 1500 / cloud.rps),
+    machineListIntervalMs: Math.max(listLagMs * 0.6, 1500 / cloud.rps),
     // The actual lag of the list is at times up to twice the configured one.
     listProofMs: listLagMs * 3 + heartbeatMs,
-    typesMs: listLagMs * 6 + heartbeatMs,
-    demandSaveMs: agentLeaseMs / 3,
+    machineTypesIntervalMs: listLagMs * 6 + heartbeatMs,
+    demandSaveIntervalMs: agentLeaseMs / 3,
     // A small fraction of the shortest wait that an objective allows, however long the heartbeat
     // interval is.
-    roundMs: shortestObjectiveWaitMs(platform, heartbeatMs) / 30,
+    placementIntervalMs: shortestObjectiveWaitMs(platform, heartbeatMs) / 30,
     lagThresholdMs: heartbeatMs / 20,
     // Users should see the end of a job well within a heartbeat interval. The pause is at least the
     // time that the state service needs for five changes, so that the share of the change rate that
     // progress may use suffices for one change.
-    progressWriteMs: Math.max(heartbeatMs / 30, 5000 / state.write_rps),
+    progressWriteIntervalMs: Math.max(heartbeatMs / 30, 5000 / state.write_rps),
     // Well within cancel_s, because for this long after a dependency was cancelled a user may still
     // get the reply that the dependent is waiting.
     dependencyFreshMs: cancelMs * 0.2,
     // Removal is safe at any time. The delay avoids that submissions in progress have to start over.
     orphanListMs: cancelMs * 2,
-    scalingMs: heartbeatMs / 3,
+    scalingIntervalMs: heartbeatMs / 3,
     // Allows for two lost heartbeats in a row.
     unreachableAfterMs: heartbeatMs * 3,
     agentLeaseMs,
@@ -127,12 +127,12 @@
     // renewed, so renewal must end early enough for the tasks of a cancelled job to end within
     // cancel_s. The three heartbeat intervals allow for a late arrival of the first command.
     delegatedRenewalMs: Math.max(0, (cancelMs - agentLeaseMs) * 0.9 - heartbeatMs * 3),
-    fleetLogMs: agentLeaseMs / 2,
+    fleetLogIntervalMs: agentLeaseMs / 2,
   };
 }
 
 /** Returns the shortest wait that an objective allows, at most one heartbeat interval. */
-function shortestObjectiveWaitMs(platform: Platform, heartbeatMs: number): number {
+function shortestObjectiveWaitMs(platform: PlatformSettings, heartbeatMs: number): number {
   const waits = (platform.settings.objectives ?? []).flatMap((objective) =>
     (objective.kind === 'wait' || objective.kind === 'guarantee') && objective.within_s
       ? [objective.within_s * 1000]
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,7 +1,7 @@
 /** The context that the components of one controller share. */
 import type { Logger } from 'pino';
 import type { KeyValueStore } from '../clients/key-value-store.js';
-import type { Platform } from '../config/settings.js';
+import type { PlatformSettings } from '../config/settings.js';
 import type { StateLimits } from '../config/state-limits.js';
 import type { Timing } from '../config/timing.js';
 import type { MachineType } from '../model/machine.js';
@@ -15,7 +15,7 @@
   /** Unique to each start of the process, so that a restarted process does not claim its predecessor's keys. */
   incarnation: string;
   /** The platform's settings file, as parsed. */
-  platform: Platform;
+  platform: PlatformSettings;
   /** Timers and time-outs, derived from the settings. */
   timing: Timing;
   /** Limits of the state service on values and changes. */
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -57,7 +57,7 @@
       port,
       handler: (request) => router.route(request),
       maxConnections: Math.floor(platform.settings.quota.max_sockets * (1 - RESERVED_SOCKET_SHARE)),
-      requestTimeoutMs: timing.userTimeoutMs * 2,
+      requestTimeoutMs: timing.halfTransferTimeoutMs * 2,
       idleTimeoutMs: timing.agentLeaseMs * 3,
       // Active agents and users send requests more often than this.
       minEvictableIdleMs: timing.unreachableAfterMs * 0.5,
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -56,7 +56,7 @@
         this.outageLogged = true;
       }
       const delayMs =
-        ctx.timing.renewMs *
+        ctx.timing.renewalIntervalMs *
         (RETRY_DELAY_RENEW_INTERVALS + Math.random() * RETRY_JITTER_RENEW_INTERVALS);
       await sleepUntilAborted(ctx.clock, delayMs, signal);
     }
@@ -184,7 +184,7 @@
     const { clock, timing } = this.ctx;
     try {
       while (!term.signal.aborted) {
-        await clock.sleep(timing.renewMs, term.signal);
+        await clock.sleep(timing.renewalIntervalMs, term.signal);
         // Renewals overlap: one slow response must not end the proof, and two must not end the lease.
         void this.renew(term, lease);
       }
--- a/src/controller/election/leader-key.ts
+++ b/src/controller/election/leader-key.ts
@@ -60,7 +60,7 @@
   { term, lease }: LeaderRecord,
   signal: AbortSignal,
 ): Promise<number | null> {
-  await ctx.clock.sleep(ctx.timing.renewMs * READ_BACK_DELAY_RENEW_INTERVALS, signal);
+  await ctx.clock.sleep(ctx.timing.renewalIntervalMs * READ_BACK_DELAY_RENEW_INTERVALS, signal);
   const entry = await ctx.state.get(LEADER_KEY, RequestPriority.leadership, signal);
   const storedRecord = entry ? decodeLeaderRecord(entry.value) : null;
   if (entry && storedRecord?.incarnation === ctx.incarnation && storedRecord.term === term)
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -29,9 +29,9 @@
   /** Reports whether the node is connected and its status messages arrive. */
   isReachable(node: string): boolean;
   /** Relays a heartbeat through a peer connection; rejects when no reply arrives. */
-  forwardHeartbeat(node: string, body: Buffer): Promise<Reply>;
+  relayHeartbeat(node: string, body: Buffer): Promise<Reply>;
   /** Relays a heartbeat through the state service's mailbox; rejects when no reply arrives. */
-  forwardThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply>;
+  relayThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply>;
 }
 
 /** Dependencies of HeartbeatHandler. */
@@ -84,8 +84,8 @@
     agent.startServing(nowMs);
     try {
       return reachable
-        ? await peers.forwardHeartbeat(leader, body)
-        : await peers.forwardThroughMailbox(leader, heartbeat.machineId, body);
+        ? await peers.relayHeartbeat(leader, body)
+        : await peers.relayThroughMailbox(leader, heartbeat.machineId, body);
     } catch (error) {
       ctx.log.debug(
         { err: error },
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -86,7 +86,7 @@
       } catch (error) {
         if (signal.aborted || error instanceof AbortedError) return;
         ctx.log.debug({ err: error }, 'mailbox read failed; retrying after a pause');
-        await sleepUntilAborted(ctx.clock, ctx.timing.renewMs, signal);
+        await sleepUntilAborted(ctx.clock, ctx.timing.renewalIntervalMs, signal);
       }
     }
   }
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -95,7 +95,7 @@
     const unconfirmed = [...this.cluster.machines.values()].filter((machine) => machine.inherited);
     let concurrency = 1;
     while (unconfirmed.length > 0) {
-      await waitWhileLagging(clock, timing.roundMs, timing.agentLeaseMs, signal);
+      await waitWhileLagging(clock, timing.placementIntervalMs, timing.agentLeaseMs, signal);
       const batch = this.startConfirmations(unconfirmed, concurrency, signal);
       const startedAt = clock.now();
       // A machine that does not answer must not delay the others.
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -70,7 +70,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     while (!signal.aborted) {
-      await ctx.clock.sleep(ctx.timing.demandSaveMs, signal);
+      await ctx.clock.sleep(ctx.timing.demandSaveIntervalMs, signal);
       try {
         await ctx.state.transact(
           [{ key: LEADER_KEY, version: this.term.version }],
--- a/src/controller/leader/dependency-resolver.ts
+++ b/src/controller/leader/dependency-resolver.ts
@@ -42,7 +42,10 @@
     const { clock, timing } = this.ctx;
     while (!signal.aborted) {
       const failed = await this.resolvePending(signal);
-      await clock.sleep(failed ? timing.renewMs : timing.roundMs * POLL_ROUND_INTERVALS, signal);
+      await clock.sleep(
+        failed ? timing.renewalIntervalMs : timing.placementIntervalMs * POLL_ROUND_INTERVALS,
+        signal,
+      );
     }
   }
 
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -81,7 +81,7 @@
         if (signal.aborted) return;
         ctx.log.debug({ err }, 'machine list request failed; retrying at the next interval');
       }
-      await ctx.clock.sleep(ctx.timing.listMs, signal);
+      await ctx.clock.sleep(ctx.timing.machineListIntervalMs, signal);
     }
   }
 
@@ -110,10 +110,13 @@
     let planningMs = 0;
     // Leaves time for a machine list, which shows the machines that an earlier leader provisioned.
     // Otherwise they would be provisioned a second time.
-    await clock.sleep(timing.listMs, signal);
+    await clock.sleep(timing.machineListIntervalMs, signal);
     while (!signal.aborted) {
-      await clock.sleep(Math.max(timing.scalingMs, planningMs * SCALING_PAUSE_RATIO), signal);
-      await waitWhileLagging(clock, timing.roundMs, timing.heartbeatMs, signal);
+      await clock.sleep(
+        Math.max(timing.scalingIntervalMs, planningMs * SCALING_PAUSE_RATIO),
+        signal,
+      );
+      await waitWhileLagging(clock, timing.placementIntervalMs, timing.heartbeatMs, signal);
       if (!this.term.isProven()) continue;
       const now = clock.now();
       // Scale-out first: its plan marks the machines that are candidates for scale-in.
@@ -123,7 +126,7 @@
       for (let from = 0; from < terminations.length; from += MAX_MACHINES_PER_TERMINATION)
         await this.terminate(terminations.slice(from, from + MAX_MACHINES_PER_TERMINATION), signal);
       for (const plan of provisions) await this.provision(plan, signal);
-      if (now - statusLoggedAt > timing.fleetLogMs) {
+      if (now - statusLoggedAt > timing.fleetLogIntervalMs) {
         statusLoggedAt = now;
         this.logFleetStatus(now);
       }
@@ -144,7 +147,8 @@
    */
   private maxTerminations(): number {
     const { platform, timing } = this.ctx;
-    const calls = (platform.settings.cloud.rps * timing.scalingMs * TERMINATION_CALL_SHARE) / 1000;
+    const calls =
+      (platform.settings.cloud.rps * timing.scalingIntervalMs * TERMINATION_CALL_SHARE) / 1000;
     return MAX_MACHINES_PER_TERMINATION * Math.max(1, Math.floor(calls));
   }
 
@@ -190,7 +194,7 @@
           { name: request.name, err },
           'provision request failed; retrying while attempts remain',
         );
-        await ctx.clock.sleep(ctx.timing.scalingMs * PROVISION_RETRY_INTERVALS, signal);
+        await ctx.clock.sleep(ctx.timing.scalingIntervalMs * PROVISION_RETRY_INTERVALS, signal);
       }
     }
   }
@@ -237,7 +241,7 @@
         if (signal.aborted) return;
         ctx.log.debug({ err }, 'machine types refresh failed; retrying at the next interval');
       }
-      await ctx.clock.sleep(ctx.timing.typesMs, signal);
+      await ctx.clock.sleep(ctx.timing.machineTypesIntervalMs, signal);
     }
   }
 }
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -61,7 +61,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, cluster } = this;
     const { loweredChangesPerS } = ctx.limits;
-    const intervalMs = ctx.timing.progressWriteMs;
+    const intervalMs = ctx.timing.progressWriteIntervalMs;
     const changesPerInterval = (loweredChangesPerS * PROGRESS_SHARE * intervalMs) / 1000;
     let budget = 0;
     while (!signal.aborted) {
@@ -140,7 +140,10 @@
       for (const write of batch) write.retry(mayBeApplied);
       if (!term.signal.aborted)
         ctx.log.debug({ err }, 'progress write refused or failed; retrying after a pause');
-      await ctx.clock.sleep(ctx.timing.progressWriteMs * FAILURE_BACKOFF_INTERVALS, term.signal);
+      await ctx.clock.sleep(
+        ctx.timing.progressWriteIntervalMs * FAILURE_BACKOFF_INTERVALS,
+        term.signal,
+      );
       return 'postponed';
     }
   }
--- a/src/controller/leader/scheduler-configuration.ts
+++ b/src/controller/leader/scheduler-configuration.ts
@@ -4,7 +4,7 @@
  * pure.
  */
 import type { Policy } from '../../config/policy.js';
-import type { Platform } from '../../config/settings.js';
+import type { PlatformSettings } from '../../config/settings.js';
 import type { ClassObjectives, SchedulerPolicy, ServiceObjectives } from '../../model/policy.js';
 import type { CommandSockets } from './agent-commands.js';
 
@@ -46,7 +46,7 @@
 }
 
 /** Returns how many sockets each kind of a leader's commands may use. */
-export function commandSocketsOf(platform: Platform): CommandSockets {
+export function commandSocketsOf(platform: PlatformSettings): CommandSockets {
   return {
     commands: socketsOf(platform, COMMAND_SOCKET_SHARE),
     confirmations: socketsOf(platform, CONFIRMATION_SOCKET_SHARE),
@@ -54,16 +54,16 @@
 }
 
 /** Returns how many sockets all commands of a leader may use together. */
-export function totalCommandSockets(platform: Platform): number {
+export function totalCommandSockets(platform: PlatformSettings): number {
   const { commands, confirmations } = commandSocketsOf(platform);
   return commands + confirmations;
 }
 
-function socketsOf(platform: Platform, share: number): number {
+function socketsOf(platform: PlatformSettings, share: number): number {
   return Math.ceil(platform.settings.quota.max_sockets * share);
 }
 
-type Objectives = Platform['settings']['objectives'];
+type Objectives = PlatformSettings['settings']['objectives'];
 type Objective = NonNullable<Objectives>[number];
 
 /** Returns the service-level objectives of the settings by job class. */
--- a/src/controller/leader/scheduling-loop.ts
+++ b/src/controller/leader/scheduling-loop.ts
@@ -42,11 +42,11 @@
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, term, cluster } = this.options;
     const { clock, timing } = ctx;
-    let pauseMs = timing.roundMs;
+    let pauseMs = timing.placementIntervalMs;
     while (!signal.aborted) {
       const dueAt = clock.now() + pauseMs;
       await clock.sleep(pauseMs, signal);
-      pauseMs = timing.roundMs;
+      pauseMs = timing.placementIntervalMs;
       const now = clock.now();
       // Machines may seem silent only because this process was not running.
       if (now - dueAt > timing.lagThresholdMs) cluster.markLagging(now);
@@ -64,7 +64,10 @@
    */
   private isRoundDue(now: number): boolean {
     const { ctx, cluster } = this.options;
-    return cluster.roundDue || now - this.lastRoundAt >= ctx.timing.roundMs * IDLE_ROUND_INTERVALS;
+    return (
+      cluster.roundDue ||
+      now - this.lastRoundAt >= ctx.timing.placementIntervalMs * IDLE_ROUND_INTERVALS
+    );
   }
 
   /**
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -33,7 +33,11 @@
       ctx.log.debug({ err }, 'machine type read failed; retrying after a pause');
     }
     if (!ctx.machineTypes)
-      await sleepUntilAborted(ctx.clock, ctx.timing.renewMs * READ_RETRY_INTERVALS, signal);
+      await sleepUntilAborted(
+        ctx.clock,
+        ctx.timing.renewalIntervalMs * READ_RETRY_INTERVALS,
+        signal,
+      );
   }
 }
 
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -67,7 +67,7 @@
   }
 
   /** Reports whether a leading peer's recent status says that its memory is low, so that it takes no further jobs. */
-  isLeaderMemoryShort(): boolean {
+  isLeaderMemoryLow(): boolean {
     for (const received of this.received.values())
       if (received.status.leading && received.status.memoryShort === true && this.isFresh(received))
         return true;
@@ -84,6 +84,6 @@
 
   private isFresh(received: ReceivedStatus): boolean {
     const { clock, timing } = this.ctx;
-    return clock.now() - received.sentAt < timing.renewMs * MAX_STATUS_AGE_INTERVALS;
+    return clock.now() - received.sentAt < timing.renewalIntervalMs * MAX_STATUS_AGE_INTERVALS;
   }
 }
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -60,7 +60,7 @@
       address: parseAddress(peer.address),
     })),
     clock,
-    reconnectDelayMs: timing.renewMs * RECONNECT_INTERVALS,
+    reconnectDelayMs: timing.renewalIntervalMs * RECONNECT_INTERVALS,
     onStatus: (status) => peers.receiveStatus(status),
     onRequest: (operation, payload) => servePeerRequest(handlers, operation, payload),
     onError: (err) => log.debug({ err }, 'peer connection or request failed'),
@@ -139,7 +139,7 @@
    *
    * @throws PeerUnavailableError when no response arrives in time; PeerProtocolError when the response is malformed.
    */
-  async forwardHeartbeat(node: string, body: Buffer): Promise<Reply> {
+  async relayHeartbeat(node: string, body: Buffer): Promise<Reply> {
     const timeoutMs = this.ctx.timing.stateTimeoutMs;
     return decodeReply(
       await this.network.request(node, PEER_OPERATIONS.handleHeartbeat, body, timeoutMs),
@@ -155,7 +155,7 @@
    * PeerProtocolError when the response is malformed; the errors of
    * {@link Mailbox.request}.
    */
-  async forwardThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply> {
+  async relayThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply> {
     const { clock, limits, timing } = this.ctx;
     if (clock.now() < (this.mailboxBackoffUntil.get(node) ?? 0))
       throw new MailboxBackoffError(node);
@@ -196,7 +196,7 @@
   private async broadcastStatus(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.network.broadcast(this.handlers.currentStatus());
-      await sleepUntilAborted(this.ctx.clock, this.ctx.timing.renewMs, signal);
+      await sleepUntilAborted(this.ctx.clock, this.ctx.timing.renewalIntervalMs, signal);
     }
   }
 }
--- a/src/controller/retry.ts
+++ b/src/controller/retry.ts
@@ -29,7 +29,7 @@
     } catch (err) {
       if (signal.aborted) throw new AbortedError();
       const backoffMs =
-        ctx.timing.renewMs *
+        ctx.timing.renewalIntervalMs *
         Math.min(LONGEST_PAUSE_INTERVALS, FIRST_PAUSE_INTERVALS * 2 ** failures);
       const pauseMs =
         err instanceof RequestRefusedError ? Math.min(err.retryMs, backoffMs) : backoffMs;
--- a/src/controller/wiring.ts
+++ b/src/controller/wiring.ts
@@ -4,7 +4,7 @@
 import { CloudClient } from '../clients/cloud-client.js';
 import { StateClient } from '../clients/state-client.js';
 import type { Policy } from '../config/policy.js';
-import { type Platform, parseAddress, quotasOf } from '../config/settings.js';
+import { type PlatformSettings, parseAddress, quotasOf } from '../config/settings.js';
 import { stateLimitsOf } from '../config/state-limits.js';
 import { timingOf } from '../config/timing.js';
 import { parseHeartbeat } from '../protocol/agent-protocol.js';
@@ -46,7 +46,7 @@
 /** Settings and dependencies of a new controller. */
 export interface ControllerOptions {
   /** The platform's settings file, as parsed. */
-  platform: Platform;
+  platform: PlatformSettings;
   /** Scheduling policy from the operators' properties file. */
   policy: Policy;
   clock: Clock;
@@ -93,7 +93,7 @@
         return peers.announceCancellation(jobId, revision);
       },
     },
-    isMemoryLow: () => memory.isLow || peers.statuses.isLeaderMemoryShort(),
+    isMemoryLow: () => memory.isLow || peers.statuses.isLeaderMemoryLow(),
   });
   const heartbeats = new HeartbeatHandler({
     ctx,
@@ -108,7 +108,7 @@
   return new Controller({ ctx, state, cloud, election, peers, memory, router });
 }
 
-function createStateClient(platform: Platform, clock: Clock): StateClient {
+function createStateClient(platform: PlatformSettings, clock: Clock): StateClient {
   const { state, size } = platform.settings;
   const limits = stateLimitsOf(platform);
   return new StateClient({
@@ -122,7 +122,7 @@
   });
 }
 
-function createCloudClient(platform: Platform, clock: Clock): CloudClient {
+function createCloudClient(platform: PlatformSettings, clock: Clock): CloudClient {
   return new CloudClient({
     address: parseAddress(platform.external.cloud),
     requestsPerS: platform.settings.cloud.rps * CLOUD_REQUESTS_SHARE,
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DEFAULT_POLICY, parsePolicy } from '../src/config/policy.js';
-import { parsePlatform } from '../src/config/settings.js';
+import { parsePlatformSettings } from '../src/config/settings.js';
 import { MAX_CLOCK_DRIFT, timingOf } from '../src/config/timing.js';
 
 export const PLATFORM_SETTINGS = {
@@ -26,15 +26,15 @@
 };
 
 test('invalid settings are rejected with the file and the field, and unknown fields are ignored', () => {
-  assert.equal(parsePlatform(JSON.stringify(PLATFORM_SETTINGS), 'f').settings.size, 3);
+  assert.equal(parsePlatformSettings(JSON.stringify(PLATFORM_SETTINGS), 'f').settings.size, 3);
   const invalid = structuredClone(PLATFORM_SETTINGS);
   invalid.settings.workers.lease_s = -1;
   assert.throws(
-    () => parsePlatform(JSON.stringify(invalid), 's.json'),
+    () => parsePlatformSettings(JSON.stringify(invalid), 's.json'),
     /s\.json: settings\.workers\.lease_s/,
   );
-  assert.throws(() => parsePlatform('{', 's.json'), /s\.json: not JSON/);
-  assert.throws(() => parsePlatform('{}', 's.json'), /s\.json: /);
+  assert.throws(() => parsePlatformSettings('{', 's.json'), /s\.json: not JSON/);
+  assert.throws(() => parsePlatformSettings('{}', 's.json'), /s\.json: /);
 });
 
 test('policy properties override the defaults, and unknown keys and invalid values are rejected', () => {
@@ -54,10 +54,10 @@
   ] as const) {
     const platform = structuredClone(PLATFORM_SETTINGS);
     platform.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
-    const timing = timingOf(parsePlatform(JSON.stringify(platform), 'f'));
+    const timing = timingOf(parsePlatformSettings(JSON.stringify(platform), 'f'));
     // The proof of leadership ends before another controller can hold the lease.
     assert.ok(timing.leadershipProofMs < timing.leaseMs * (1 - MAX_CLOCK_DRIFT));
-    assert.ok(timing.renewMs * 2 < timing.leadershipProofMs);
+    assert.ok(timing.renewalIntervalMs * 2 < timing.leadershipProofMs);
     // After the last reply to a heartbeat, agents' leases expire within cancel_s.
     assert.ok((timing.agentRenewalMs + leaseS * 1000) * (1 + MAX_CLOCK_DRIFT) < cancelS * 1000);
     assert.ok((timing.delegatedRenewalMs + leaseS * 1000) * (1 + MAX_CLOCK_DRIFT) < cancelS * 1000);
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -150,7 +150,7 @@
   const resolver = new DependencyResolver(node.ctx, cluster, node.jobs);
   void resolver.run(stop.signal).catch(() => {});
   const before = node.state.requests;
-  await fixture.clock.advance(node.ctx.timing.renewMs * 4);
+  await fixture.clock.advance(node.ctx.timing.renewalIntervalMs * 4);
   assert.ok(node.state.requests - before < 20, `${node.state.requests - before} requests`);
   assert.deepEqual([...(cluster.jobs.get(jobId(1))?.pendingDependencies ?? [])], [dependencies[0]]);
   assert.deepEqual(
--- a/test/fleet-controller.test.ts
+++ b/test/fleet-controller.test.ts
@@ -42,7 +42,10 @@
   const agents = { retainOnly: () => {} };
   const fleet = new FleetController({ ctx, term, cluster, scaleOut, scaleIn, cloud, agents });
   const run = () => void fleet.runScaling(stop.signal).catch(() => {});
-  const firstPlanMs = ctx.timing.listMs + ctx.timing.scalingMs + ctx.timing.roundMs;
+  const firstPlanMs =
+    ctx.timing.machineListIntervalMs +
+    ctx.timing.scalingIntervalMs +
+    ctx.timing.placementIntervalMs;
   return { clock, ctx, cluster, requests, validityChecks, stop, proof, run, firstPlanMs };
 }
 
@@ -54,7 +57,7 @@
     return machineIds(request.count);
   });
   node.run();
-  await node.clock.advance(node.firstPlanMs + node.ctx.timing.scalingMs * 1.5);
+  await node.clock.advance(node.firstPlanMs + node.ctx.timing.scalingIntervalMs * 1.5);
   node.stop.abort();
   assert.equal(node.requests.length, 3);
   assert.deepEqual(
@@ -89,7 +92,7 @@
     const first = node.requests.length;
     assert.ok(first > 0);
     assert.ok((node.requests[0]?.count ?? 0) > 1);
-    await node.clock.advance(node.ctx.timing.scalingMs * 3);
+    await node.clock.advance(node.ctx.timing.scalingIntervalMs * 3);
     assert.equal(node.requests.length, first, `${given} given`);
     node.stop.abort();
   }
@@ -98,7 +101,7 @@
 test('no machines are provisioned in the first machine list interval', async () => {
   const node = createFleetController(() => null);
   node.run();
-  await node.clock.advance(node.ctx.timing.listMs);
+  await node.clock.advance(node.ctx.timing.machineListIntervalMs);
   assert.equal(node.requests.length, 0);
   await node.clock.advance(node.firstPlanMs);
   assert.ok(node.requests.length > 0);
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -16,16 +16,16 @@
   const peers = {
     reachable: true,
     announcedAt: clock.now() as number | null,
-    forwarded: 0,
+    relayedCount: 0,
     isReachable: () => peers.reachable,
     lastLedAt: () => peers.announcedAt,
     mailboxReply: null as Reply | null,
-    forwardThroughMailbox: (): Promise<Reply> =>
+    relayThroughMailbox: (): Promise<Reply> =>
       peers.mailboxReply
         ? Promise.resolve(peers.mailboxReply)
         : Promise.reject(new Error('timed out')),
-    forwardHeartbeat: (): Promise<Reply> => {
-      peers.forwarded++;
+    relayHeartbeat: (): Promise<Reply> => {
+      peers.relayedCount++;
       return Promise.resolve({ status: 200, body: { baton: fencingToken(7, 0), orders: [] } });
     },
   };
@@ -70,13 +70,13 @@
   assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: { steward: 'n-0' } });
   await follower.clock.advance(6000);
   assert.equal((await follower.sendHeartbeat()).status, 200);
-  assert.equal(follower.peers.forwarded, 1);
+  assert.equal(follower.peers.relayedCount, 1);
   // The agent is still redirected from time to time, since the partition may have ended.
   for (let i = 0; i < 7; i++) {
     await follower.clock.advance(3000);
     await follower.sendHeartbeat();
   }
-  assert.equal(follower.peers.forwarded, 7);
+  assert.equal(follower.peers.relayedCount, 7);
   follower.leadership.leaderNode = null;
   assert.deepEqual(await follower.sendHeartbeat(), { status: 421, body: {} });
 });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -29,7 +29,7 @@
 
 test('after a mailbox request times out, requests to the same node are refused during a back-off', async () => {
   const { clock, ctx, store, peers } = setUp();
-  const forward = () => peers.forwardThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
+  const forward = () => peers.relayThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
   const first = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
   await clock.advance(ctx.timing.stateTimeoutMs);
   await first;
@@ -37,7 +37,7 @@
   await assert.rejects(forward(), MailboxBackoffError);
   // Requests to another node are still sent, and those to this node again after the back-off.
   const other = assert.rejects(
-    peers.forwardThroughMailbox('n-2', 'm-1', Buffer.from('{}')),
+    peers.relayThroughMailbox('n-2', 'm-1', Buffer.from('{}')),
     (error) => !(error instanceof MailboxBackoffError),
   );
   await clock.advance(ctx.timing.leaseMs * 0.5);
@@ -54,7 +54,7 @@
   const large = Buffer.alloc(ctx.limits.valueBytes);
   for (let i = 0; i < 2; i++)
     await assert.rejects(
-      peers.forwardThroughMailbox('n-1', 'm-1', large),
+      peers.relayThroughMailbox('n-1', 'm-1', large),
       MailboxMessageTooLargeError,
     );
   assert.equal(store.revision, revision);
--- a/test/progress-writer.test.ts
+++ b/test/progress-writer.test.ts
@@ -43,7 +43,7 @@
   const node = withCompleteJob();
   node.store.transact([], [{ op: 'put', key: 'leader', value: {} }]);
   node.run();
-  await node.clock.advance(node.ctx.timing.progressWriteMs * 1.5);
+  await node.clock.advance(node.ctx.timing.progressWriteIntervalMs * 1.5);
   node.stop.abort();
   assert.deepEqual(node.resignReasons, ['leader key held by another controller']);
   assert.equal(node.store.entries.has('over/req-000001'), false);
@@ -54,7 +54,7 @@
   const node = withCompleteJob();
   node.state.fault = 'refuse';
   node.run();
-  const { progressWriteMs } = node.ctx.timing;
+  const { progressWriteIntervalMs: progressWriteMs } = node.ctx.timing;
   await node.clock.advance(progressWriteMs * 1.5);
   const { requests } = node.state;
   // The pause is longer than one write interval.
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -82,7 +82,7 @@
   void peers.run(stop.signal);
   await waitUntil(
     () => peerSockets.length > 0,
-    () => clock.advance(ctx.timing.renewMs),
+    () => clock.advance(ctx.timing.renewalIntervalMs),
   );
   const socket = net.connect(port, '127.0.0.1');
   await once(socket, 'connect');
@@ -116,7 +116,7 @@
   try {
     await waitUntil(
       () => setup.sentByNode().length > 0,
-      () => setup.clock.advance(setup.ctx.timing.renewMs),
+      () => setup.clock.advance(setup.ctx.timing.renewalIntervalMs),
     );
     assert.equal(setup.sentByNode().slice(0, PEER_FRAMES.status.length), PEER_FRAMES.status);
     setup.send(PEER_FRAMES.peerStatus);
@@ -148,7 +148,7 @@
     );
     assert.deepEqual(
       await request(
-        () => setup.peers.forwardHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
+        () => setup.peers.relayHeartbeat('n-1', Buffer.from('{"cart":"m-7"}')),
         PEER_FRAMES.report,
         PEER_FRAMES.reportReply,
       ),
@@ -186,7 +186,7 @@
   try {
     setup.send(PEER_FRAMES.earlierStatus);
     await waitUntil(() => setup.peers.isReachable('n-1'), settle);
-    assert.equal(setup.peers.statuses.isLeaderMemoryShort(), false);
+    assert.equal(setup.peers.statuses.isLeaderMemoryLow(), false);
     assert.deepEqual(setup.peers.statuses.taskCountsOf('req-000412'), { done: 9, running: 4 });
     assert.equal(setup.peers.lastLedAt('n-1', 3), setup.clock.now());
     assert.equal(setup.peers.statuses.findServedPeer(), 'n-1');
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -257,7 +257,7 @@
   assert.ok(found?.live);
   demandStore.recordArrival(found.record.spec, 99);
   void demandStore.run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.demandSaveMs + 1);
+  await clock.advance(ctx.timing.demandSaveIntervalMs + 1);
   stop.abort();
   await settle();
   const { spec } = JSON.parse(live) as { spec: object };
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -159,7 +159,7 @@
     13,
   );
   void demandStore.run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.demandSaveMs + 1);
+  await clock.advance(ctx.timing.demandSaveIntervalMs + 1);
   stop.abort();
   await settle();
   assertWritten(state.written, 'loads');
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -308,13 +308,13 @@
     agents: { retainOnly: () => {} },
   });
   void controller.runScaling(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.listMs + ctx.timing.heartbeatMs * 2);
+  await clock.advance(ctx.timing.machineListIntervalMs + ctx.timing.heartbeatMs * 2);
   assert.equal(cluster.machines.size, 0);
   assert.equal(calls.length, LARGE_FLEET_SIZE / 100);
   assert.ok(calls.every((call) => call.count <= 100));
   const callsByTime = new Map<number, number>();
   for (const { at } of calls) callsByTime.set(at, (callsByTime.get(at) ?? 0) + 1);
-  const maxCallsPerInterval = (40 * ctx.timing.scalingMs * 0.5) / 1000;
+  const maxCallsPerInterval = (40 * ctx.timing.scalingIntervalMs * 0.5) / 1000;
   assert.ok([...callsByTime.values()].every((n) => n <= maxCallsPerInterval));
   stop.abort();
 });
--- a/test/support/context.ts
+++ b/test/support/context.ts
@@ -1,5 +1,5 @@
 import { pino } from 'pino';
-import { parsePlatform, quotasOf } from '../../src/config/settings.js';
+import { parsePlatformSettings, quotasOf } from '../../src/config/settings.js';
 import { stateLimitsOf } from '../../src/config/state-limits.js';
 import { timingOf } from '../../src/config/timing.js';
 import type { ControllerContext } from '../../src/controller/context.js';
@@ -31,7 +31,7 @@
   clock: FakeClock,
   nextLimits: NextLimits | null = null,
 ): ControllerContext {
-  const platform = parsePlatform(
+  const platform = parsePlatformSettings(
     JSON.stringify({
       node,
       zone: 'a',
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -77,12 +77,12 @@
       peers: {
         isReachable: (node) => peer(node) !== undefined,
         lastLedAt: (node) => world.lastLedAt(this, node),
-        forwardHeartbeat: async (node, body) => {
+        relayHeartbeat: async (node, body) => {
           const recipient = peer(node);
           if (!recipient) throw new Error('peer is not reachable');
           return recipient.heartbeatHandler.handle(body);
         },
-        forwardThroughMailbox: () => Promise.reject(new Error('the mailbox is not simulated')),
+        relayThroughMailbox: () => Promise.reject(new Error('the mailbox is not simulated')),
       },
       fetchHeartbeat: async (address) => {
         const m = world.findMachine(address);
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -1,7 +1,7 @@
 import { setMaxListeners } from 'node:events';
 import { pino } from 'pino';
 import { DEFAULT_POLICY } from '../../../src/config/policy.js';
-import { parsePlatform } from '../../../src/config/settings.js';
+import { parsePlatformSettings } from '../../../src/config/settings.js';
 import { createController } from '../../../src/controller/wiring.js';
 import { type CloudMachine, SimulatedCloud } from './cloud.js';
 import { draw } from './draw.js';
@@ -178,7 +178,7 @@
     const stop = new AbortController();
     setMaxListeners(0, stop.signal);
     this.controllers.set(i, { host, stop });
-    const platform = parsePlatform(
+    const platform = parsePlatformSettings(
       JSON.stringify(settingsOf(i, this.stateSettings)),
       'simulated settings',
     );
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -276,7 +276,7 @@
   for (let i = 1; i <= 12; i++)
     demandStore.recordArrival(jobSpec({ jobClass: `class-${i}`, tasks: i }), i);
   void demandStore.run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.demandSaveMs + 1);
+  await clock.advance(ctx.timing.demandSaveIntervalMs + 1);
   stop.abort();
   await settle();
   assert.deepEqual(store.oversizedKeys, []);
@@ -351,7 +351,7 @@
   };
   const term = { number: 1, version: 0, signal: stop.signal, resign: () => {} } as never;
   void new ProgressWriter(ctx, term, cluster).run(stop.signal).catch(() => {});
-  await clock.advance(ctx.timing.progressWriteMs * 1.5);
+  await clock.advance(ctx.timing.progressWriteIntervalMs * 1.5);
   assert.ok(store.entries.has('over/req-000002'));
   // Once in a transaction with the other write, and once alone.
   assert.equal(rejections, 2);
