--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -75,7 +75,10 @@
     );
   }
 
-  /** Returns one page of the machine list, with the machines whose ids sort after the given one. */
+  /**
+   * Returns one page of the machine list, with the machines whose ids sort after
+   * the given one, or the first page when it is null.
+   */
   async list(after: string | null, signal?: AbortSignal): Promise<MachineListPage> {
     const target = machineListTarget(after, MAX_PAGE_MACHINES);
     const priority = LIST_PRIORITY;
--- a/src/clients/key-value-store.ts
+++ b/src/clients/key-value-store.ts
@@ -55,7 +55,10 @@
   /** Returns the entry of a key, or null when the key does not exist. */
   get(key: string, priority: RequestPriority, signal?: AbortSignal): Promise<Entry | null>;
 
-  /** Returns one page of the entries under the prefix whose keys sort after the given one, in key order. */
+  /**
+   * Returns one page of the entries under the prefix whose keys sort after the
+   * given one, or the first page when it is null, in key order.
+   */
   listPage(
     prefix: string,
     after: string | null,
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -26,7 +26,10 @@
 
 interface OpenConnection {
   socket: net.Socket;
-  /** Start of the idle time, in `Date.now` time; null while a request is served. */
+  /**
+   * Start of the idle time, in `Date.now` time. Null from `markBusy` until `markIdle`,
+   * so also while the last reply is sent.
+   */
   idleSince: number | null;
   /** Deadline of the current time-out, in `Date.now` time; infinite while a request is served. */
   deadline: number;
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -60,9 +60,12 @@
 
 /** The dependencies of a job, according to its record. */
 export interface DependencyList {
-  /** Ids of dependencies that were not done when the job was accepted. */
+  /**
+   * Ids in the record itself: dependencies that were not done when the job was accepted.
+   * Not used when `unread` is true, since all ids are then read together.
+   */
   ids: readonly string[];
-  /** Whether further ids are in records that have not been read yet. */
+  /** Whether ids are stored outside the record, in pages or a list, and still have to be read. */
   unread: boolean;
   /** Keys in the state service to delete when the job ends. */
   keys: readonly string[];
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -8,7 +8,8 @@
   agentLeaseMs: number;
   /**
    * A machine that is missing from the cloud's list is proven to be terminated when the
-   * list was requested more than this long after the machine was last known to exist.
+   * list was requested after its last heartbeat and more than this long after the leader
+   * first learned of it.
    */
   listProofMs: number;
   /** A machine is considered unreachable when it has sent no heartbeat for longer than this. */
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -83,6 +83,6 @@
 
   /** Handles a frame from the peer. A response whose request is no longer pending is dropped. */
   receive(frame: PeerFrame | null): void {
-    if (frame?.kind === 'answer') this.pendingRequests.get(frame.n)?.(frame.payload);
+    if (frame?.kind === 'answer') this.pendingRequests.get(frame.requestNumber)?.(frame.payload);
   }
 }
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -158,7 +158,7 @@
     try {
       const response = await this.options.onRequest(operation, payload);
       if (!socket.destroyed)
-        sendBytes(socket, frameBytes({ kind: 'answer', n: requestNumber, payload: response }));
+        sendBytes(socket, frameBytes({ kind: 'answer', requestNumber, payload: response }));
     } catch (error) {
       // No response is sent, so the peer's request times out.
       this.options.onError(error);
--- a/src/protocol/paths.ts
+++ b/src/protocol/paths.ts
@@ -5,23 +5,29 @@
 
 /** Paths without ids, queries and suffixes. */
 export const PATHS = {
-  /** Of the controller, for users: submission, and below it query and cancellation. */
+  /** Job submission, served by the controller to users. Queries and cancellations use paths below it. */
   jobs: '/v1/jobs',
-  /** Of the controller, for the platform: health. */
+  /** Health check, served by the controller to the platform. */
   health: '/healthz',
-  /** Of the controller, for agents: heartbeats. */
+  /** Heartbeats, served by the controller to agents. */
   heartbeat: '/agent/beat',
-  /** Of an agent: commands and its current heartbeat. */
+  /** Commands, served by agents. */
   commands: '/do',
+  /** The current heartbeat, served by agents. */
   currentHeartbeat: '/show',
-  /** Of the cloud: machine types, machine list and provisioning, termination. */
+  /** Machine types, served by the cloud. */
   machineTypes: '/flavors',
+  /** Machine list (GET) and provisioning (POST), served by the cloud. */
   machines: '/machines',
+  /** Termination of machines, served by the cloud. */
   termination: '/machines/return',
-  /** Of the state service: keys, transactions, leases, watches. */
+  /** Single keys and lists of keys, served by the state service. */
   keys: '/store',
+  /** Transactions, served by the state service. */
   transaction: '/multi',
+  /** Leases, served by the state service. */
   leases: '/grants',
+  /** Watches, served by the state service. */
   watch: '/follow',
 } as const;
 
--- a/src/records/bitmap-layout.ts
+++ b/src/records/bitmap-layout.ts
@@ -5,10 +5,7 @@
 
 import { BITMAP_PREFIX } from './keys.js';
 
-/**
- * Digits to which a chunk's number is padded in its key. The earlier version pads to the
- * same number.
- */
+/** Digits to which a chunk's number is padded in its key. The earlier version pads it likewise. */
 const CHUNK_NUMBER_DIGITS = 4;
 
 /** The parts of a chunk's key. */
--- a/src/records/machine-type-record.ts
+++ b/src/records/machine-type-record.ts
@@ -3,8 +3,10 @@
  *
  * - Keys: `types` holds a list.
  * - Access: The leader writes it when more than prices has changed. A controller reads it
- *   at start, so that it can start while the cloud is unreachable.
- * - Absence: The key is absent until the first leader has read the types from the cloud.
+ *   at start, and a new leader on failover, so that both work while the cloud is
+ *   unreachable.
+ * - Absence: The key is absent until the first leader has read the types from the cloud. A
+ *   list that exceeds the limit on a value is not stored.
  * - Versions: All versions write all fields.
  */
 
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -38,7 +38,10 @@
    * earlier version.
    */
   memoryShort?: boolean;
-  /** Progress of live jobs, for display only. Empty unless the controller is the leader. */
+  /**
+   * Progress of live jobs with finished or running tasks, for display only. The number of
+   * jobs is limited. Empty unless the controller is the leader.
+   */
   taskCounts: SentJobProgress[];
 }
 
@@ -62,7 +65,7 @@
 export type PeerFrame =
   | { kind: 'status'; status: PeerStatus }
   | { kind: 'ask'; requestNumber: number; operation: string; payload: unknown }
-  | { kind: 'answer'; n: number; payload: unknown };
+  | { kind: 'answer'; requestNumber: number; payload: unknown };
 
 /** The form in which a `PeerFrame` is sent. peer-requests defines the payloads. */
 export type SentPeerFrame =
@@ -106,7 +109,7 @@
     case 'ask':
       return { kind: 'ask', n: frame.requestNumber, op: frame.operation, payload: frame.payload };
     case 'answer':
-      return { kind: 'answer', n: frame.n, payload: frame.payload };
+      return { kind: 'answer', n: frame.requestNumber, payload: frame.payload };
   }
 }
 
@@ -124,7 +127,7 @@
     case 'ask':
       return { kind: 'ask', requestNumber: sent.n, operation: sent.op, payload: sent.payload };
     case 'answer':
-      return { kind: 'answer', n: sent.n, payload: sent.payload };
+      return { kind: 'answer', requestNumber: sent.n, payload: sent.payload };
     default:
       return null;
   }
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -26,15 +26,19 @@
 /** One of the values of `RequestPriority`. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
-/** Share of the burst that is reserved for higher priorities: its increase with each priority, and its maximum. */
+/**
+ * A priority leaves this share of the burst, times its number, to higher
+ * priorities.
+ */
 const RESERVE_SHARE_PER_PRIORITY = 0.15;
+/** Maximum share of the burst that a priority leaves to higher ones. */
 const MAX_RESERVE_SHARE = 0.5;
 
 /** Added to each wait, so that rounding does not end it before the tokens are available. */
 const ROUNDING_MARGIN_MS = 1;
 
 /**
- * A token bucket that a refusal by the service (429) empties. Lower priorities
+ * A token bucket. A refusal by the service (429) empties it. Lower priorities
  * leave a reserve of tokens for higher ones. The `leadership` priority never
  * waits and may overdraw the bucket. All times are monotonic, in milliseconds.
  */
--- a/test/combined-failures-history.test.ts
+++ b/test/combined-failures-history.test.ts
@@ -124,10 +124,10 @@
         });
         break;
       case 8:
-        this.setMachineFault(m, 'deaf', ms);
+        this.setMachineFault(m, 'dropsInbound', ms);
         break;
       case 9:
-        this.setMachineFault(m, 'mute', ms);
+        this.setMachineFault(m, 'dropsOutbound', ms);
         break;
       case 10:
         m.isSuspended = true;
@@ -148,7 +148,11 @@
     this.applyLateWrites();
   }
 
-  private setMachineFault(m: ScriptedMachine, fault: 'deaf' | 'mute', ms: number): void {
+  private setMachineFault(
+    m: ScriptedMachine,
+    fault: 'dropsInbound' | 'dropsOutbound',
+    ms: number,
+  ): void {
     m[fault] = true;
     this.world.runLater(ms, () => {
       m[fault] = false;
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -169,7 +169,7 @@
   await startJobs(w, 2);
   const mute = w.machines[0];
   assert.ok(mute);
-  mute.mute = true;
+  mute.dropsOutbound = true;
   await w.run(20);
   const ids: string[] = [];
   for (let i = 0; i < 12; i++) ids.push(await w.submit());
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -106,7 +106,7 @@
       timeoutMs: 5000,
       isStillValid,
     });
-    // Waits for the only connection; meanwhile the handler of the first request makes it invalid.
+    // This request waits for the only connection. Meanwhile the handler of the first one makes it invalid.
     const second = client.request({
       method: 'POST',
       target: '/',
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -123,18 +123,18 @@
           socket.write(`GET ${path} HTTP/1.1\r\nHost: x\r\n\r\n`),
         );
         socket.on('error', () => {});
-        const answered = new Promise((resolve) => socket.once('data', resolve));
+        const replied = new Promise((resolve) => socket.once('data', resolve));
         const closed = new Promise((resolve) => socket.once('close', resolve));
-        return { socket, answered, closed };
+        return { socket, replied, closed };
       };
       const busy = sendRequest('/slow');
       while (!finishSlowRequest) await new Promise(setImmediate);
       const idle = sendRequest('/');
-      await idle.answered;
+      await idle.replied;
       const next = sendRequest('/');
-      await Promise.all([next.answered, idle.closed]);
+      await Promise.all([next.replied, idle.closed]);
       finishSlowRequest();
-      assert.match(String(await busy.answered), /200 OK/);
+      assert.match(String(await busy.replied), /200 OK/);
       busy.socket.destroy();
       next.socket.destroy();
     },
--- a/test/records-written.test.ts
+++ b/test/records-written.test.ts
@@ -136,7 +136,7 @@
   const writes = collectPendingWrites(cluster, { progressChanges: 9, wallNow: 0 });
   for (const write of writes) await state.transact([], write.changes);
   assertWritten(state.written, 'progress');
-  // The sizes that the progress writer assumes for the writes.
+  // The progress writer limits its transactions by these sizes, which include an allowance beside the value.
   assert.deepEqual(
     writes.map((write) => write.sizeBytes),
     [552, 532, 528],
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -15,7 +15,7 @@
 } from './support/scheduler.js';
 
 test('a task is started once and becomes ready again when its start is lost', () => {
-  const { cluster, w: agent, job } = clusterWithJob(1);
+  const { cluster, agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -30,7 +30,7 @@
 });
 
 test('the heartbeat in a command reply does not prove that a start in a heartbeat response was lost', () => {
-  const { cluster, w: agent, job } = clusterWithJob(1);
+  const { cluster, agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -44,7 +44,7 @@
 });
 
 test('a direct start without a reply keeps its task assigned and is repeated with the same attempt number', () => {
-  const { cluster, w: agent, job } = clusterWithJob(1);
+  const { cluster, agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -79,7 +79,7 @@
 });
 
 test('an older heartbeat does not release the attempt of an executed direct start', () => {
-  const { cluster, w: agent, job } = clusterWithJob(1);
+  const { cluster, agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -149,7 +149,7 @@
 });
 
 test('heartbeats that are out of order or from an earlier agent epoch are ignored', () => {
-  const { cluster, w: agent, job } = clusterWithJob(1);
+  const { cluster, agent, job } = clusterWithJob(1);
   const earlyHeartbeat = agent.heartbeat();
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, agent, 10);
@@ -166,7 +166,7 @@
 });
 
 test('a finished task is durable before the agent may forget it, and its job ends once', () => {
-  const { cluster, w: agent, job } = clusterWithJob(2);
+  const { cluster, agent, job } = clusterWithJob(2);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, agent, 10);
@@ -244,7 +244,7 @@
 });
 
 test('a duplicate of an executed direct start has no effect: the agent knows the attempt or refuses the command', () => {
-  const { cluster, w: agent, job } = clusterWithJob(2);
+  const { cluster, agent, job } = clusterWithJob(2);
   runPlacementRound(cluster, 1, 0);
   const machine = cluster.machines.get('n-1');
   assert.ok(machine && job);
@@ -272,7 +272,7 @@
 });
 
 test('a bitmap write that is applied late removes no finished task', () => {
-  const { cluster, w: agent, job } = clusterWithJob(3);
+  const { cluster, agent, job } = clusterWithJob(3);
   assert.ok(job);
   runPlacementRound(cluster, 32, 0);
   sendHeartbeat(cluster, agent, 10);
--- a/test/support/clock.ts
+++ b/test/support/clock.ts
@@ -1,7 +1,8 @@
 import { AbortedError, type Clock } from '../../src/runtime/clock.js';
 
 interface Sleeper {
-  at: number;
+  /** Time at which the sleep ends, in milliseconds of the clock. */
+  wakeAt: number;
   wake: () => void;
 }
 
@@ -26,20 +27,20 @@
     return new Promise((resolve, reject) => {
       if (signal?.aborted) return reject(new AbortedError());
       const stop = () => {
-        const at = this.sleepers.indexOf(sleeper);
-        if (at >= 0) this.sleepers.splice(at, 1);
+        const index = this.sleepers.indexOf(sleeper);
+        if (index >= 0) this.sleepers.splice(index, 1);
         reject(new AbortedError());
       };
       const sleeper: Sleeper = {
-        at: this.time + ms,
+        wakeAt: this.time + ms,
         wake: () => {
           signal?.removeEventListener('abort', stop);
           resolve();
         },
       };
-      let at = this.sleepers.length;
-      while (at > 0 && (this.sleepers[at - 1] as Sleeper).at > sleeper.at) at--;
-      this.sleepers.splice(at, 0, sleeper);
+      let index = this.sleepers.length;
+      while (index > 0 && (this.sleepers[index - 1] as Sleeper).wakeAt > sleeper.wakeAt) index--;
+      this.sleepers.splice(index, 0, sleeper);
       signal?.addEventListener('abort', stop, { once: true });
     });
   }
@@ -50,9 +51,9 @@
     await settle(this.turns);
     for (;;) {
       const next = this.sleepers[0];
-      if (!next || next.at > end) break;
+      if (!next || next.wakeAt > end) break;
       this.sleepers.shift();
-      this.time = Math.max(this.time, next.at);
+      this.time = Math.max(this.time, next.wakeAt);
       next.wake();
       await settle(this.turns);
     }
--- a/test/support/controller.ts
+++ b/test/support/controller.ts
@@ -86,7 +86,7 @@
       },
       fetchHeartbeat: async (address) => {
         const m = world.findMachine(address);
-        if (!m || m.isSuspended || m.deaf || this.isPartitionedFromAgents)
+        if (!m || m.isSuspended || m.dropsInbound || this.isPartitionedFromAgents)
           throw new NoResponseError('timed out');
         return m.agent.heartbeat();
       },
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -130,12 +130,12 @@
   private executeCommand(command: TaskCommand): void {
     const { op, jobId, index, attempt } = command;
     const key = `${jobId}/${index}/${attempt}`;
-    const known = this.tasks.get(key);
+    const task = this.tasks.get(key);
     if (op === 'start') {
-      if (!known) this.tasks.set(key, { jobId, index, attempt, state: 'running', cause: null });
+      if (!task) this.tasks.set(key, { jobId, index, attempt, state: 'running', cause: null });
     } else if (op === 'stop') {
-      if (known && known.state !== 'exited') this.exit(key, 'stopped');
-    } else if (known?.state === 'exited') this.tasks.delete(key);
+      if (task && task.state !== 'exited') this.exit(key, 'stopped');
+    } else if (task?.state === 'exited') this.tasks.delete(key);
   }
 
   exit(key: string, cause: ExitCause): void {
@@ -158,7 +158,7 @@
   }
 }
 
-/** Brings a machine up that is confirmed and in the roster, as the leader's routines would. */
+/** Adds the agent's machine to the cluster: up, confirmed and in the roster, as the leader's routines would. */
 export function joinCluster(
   cluster: ClusterState,
   agent: ScriptedAgent,
@@ -191,7 +191,7 @@
 /** Creates a cluster with one joined machine, n-1, and a new job with this many tasks. */
 export function clusterWithJob(tasks: number) {
   const cluster = createCluster();
-  const w = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
+  const agent = joinCluster(cluster, new ScriptedAgent('n-1'), 0);
   const job = cluster.addJob(jobSpec({ tasks }), 5, 0, false);
-  return { cluster, w, job };
+  return { cluster, agent, job };
 }
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -10,7 +10,7 @@
 const FENCES_PER_TERM = fencingToken(1, 0);
 /** Time-out of a heartbeat, as the agent protocol defines it. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
-/** Interval in which an agent checks its lease, its tasks and whether a heartbeat is due. */
+/** Interval at which an agent checks its lease, its tasks and whether a heartbeat is due. */
 export const TICK_MS = 500;
 
 /** A machine with an agent that behaves as the agent protocol defines. */
@@ -18,10 +18,10 @@
   readonly agent: ScriptedAgent;
   /** The agent is suspended: it executes and sends nothing, and commands are held until it resumes. */
   isSuspended = false;
-  /** Commands and replies do not reach the agent. */
-  deaf = false;
-  /** Heartbeats of the agent do not reach any controller. */
-  mute = false;
+  /** Commands, replies and requests for its heartbeat do not reach the agent. */
+  dropsInbound = false;
+  /** Heartbeats that the agent sends do not reach any controller. */
+  dropsOutbound = false;
   /** The machine has been terminated. */
   isTerminated = false;
   /** Start of the agent's current lease. */
@@ -112,8 +112,8 @@
       if (this.isTerminated) return;
       this.advanceToNow();
       if (this.isSuspended) continue;
-      const { agent: worker } = this;
-      const currentState = `${worker.agentEpoch} ${worker.term} ${worker.fence} ${worker.running()} ${worker.tasks.size}`;
+      const { agent } = this;
+      const currentState = `${agent.agentEpoch} ${agent.term} ${agent.fence} ${agent.running()} ${agent.tasks.size}`;
       if (clock.now() < dueAt && currentState === this.lastReportedState) continue;
       this.lastReportedState = currentState;
       dueAt = clock.now() + intervalMs * (0.75 + this.world.random() * 0.5);
@@ -123,8 +123,8 @@
 
   /** Switches to the controller that a redirect names; returns whether it did. */
   private followRedirect(reply: Reply | null): boolean {
-    const steward = (reply?.body as { steward?: string } | undefined)?.steward;
-    const index = this.world.controllers.findIndex((c) => c.name === steward);
+    const leaderName = (reply?.body as { steward?: string } | undefined)?.steward;
+    const index = this.world.controllers.findIndex((c) => c.name === leaderName);
     if (reply?.status !== 421 || index < 0 || index === this.controllerIndex) return false;
     this.controllerIndex = index;
     return true;
@@ -145,20 +145,20 @@
     const { agentEpoch: epochAtSend } = this.agent;
     const body = encodeHeartbeat(this.agent.heartbeat());
     let reply: Reply | null = null;
-    if (!this.mute && !controller.hasCrashed && !controller.isPartitionedFromAgents) {
+    if (!this.dropsOutbound && !controller.hasCrashed && !controller.isPartitionedFromAgents) {
       if (this.world.random() < this.world.duplicateHeartbeatShare) this.sendDelayedDuplicate(body);
-      const response = controller.heartbeatHandler.handle(body).catch(() => null);
+      const pendingReply = controller.heartbeatHandler.handle(body).catch(() => null);
       const timeout = clock.sleep(HEARTBEAT_TIMEOUT_MS).then(() => null);
-      reply = await Promise.race([response, timeout]);
-      if (this.deaf) reply = null;
+      reply = await Promise.race([pendingReply, timeout]);
+      if (this.dropsInbound) reply = null;
     }
     if (this.isTerminated || this.isSuspended) return;
     this.advanceToNow();
     if (reply?.status === 200) {
-      const answer = reply.body as { baton: number; orders: WireCommand[] };
+      const replyBody = reply.body as { baton: number; orders: WireCommand[] };
       if (epochAtSend !== this.agent.agentEpoch) return;
-      if (answer.baton < fencingToken(this.agent.term, this.agent.fence)) return;
-      this.execute(answer.baton, answer.orders.map(decodeCommand));
+      if (replyBody.baton < fencingToken(this.agent.term, this.agent.fence)) return;
+      this.execute(replyBody.baton, replyBody.orders.map(decodeCommand));
       this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
       return;
     }
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -35,7 +35,11 @@
   private events: StoreEvent[] = [];
   private watchers: (() => void)[] = [];
 
-  /** Limits of a transaction: a larger one is rejected, and its keys are added to `oversizedKeys`. */
+  /**
+   * Limits of a transaction; null for none. A larger one is rejected. The keys of its
+   * oversized values are added to `oversizedKeys`, or all its keys when there are too many
+   * changes or conditions.
+   */
   limits: { valueBytes: number; changes: number } | null = null;
   readonly oversizedKeys: string[] = [];
 
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -55,7 +55,7 @@
   private jobCount = 0;
   private processCount = 0;
   private replacementCount = 0;
-  /** By observer, leader and term: when the observer last received a status of that leader. */
+  /** By observer, leader and term: when the observer last received a status of the leader. */
   private readonly leaderStatusAt = new Map<string, number>();
 
   constructor(
@@ -103,7 +103,11 @@
     return this.machines.find((m) => m.address === address);
   }
 
-  /** Returns when the observer last received a status that the node leads in its observed term; null if it did not. */
+  /**
+   * Returns when the observer last received a status in which the node leads the
+   * term that the observer knows, in milliseconds of the fake clock. Null if it
+   * received none.
+   */
   lastLedAt(observer: ScriptedController, node: string): number | null {
     return (
       this.leaderStatusAt.get(`${observer.name} ${node} ${observer.election.observedTerm}`) ?? null
@@ -172,7 +176,7 @@
         await this.clock.sleep(2);
         if (!isStillValid()) throw new NotAttemptedError('conditions no longer hold');
         const m = this.findMachine(address);
-        if (!m || caller.hasCrashed || caller.isPartitionedFromAgents || m.deaf)
+        if (!m || caller.hasCrashed || caller.isPartitionedFromAgents || m.dropsInbound)
           throw new NoResponseError('timed out');
         if (m.isSuspended) {
           m.deferCommand(() => m.command(token, agentEpoch, commands));
@@ -286,7 +290,7 @@
       );
     if (state === 'live') this.checkNoDependencyCancelled(id);
     if (previous?.state !== state)
-      this.reportedStates.set(id, { state: state, reportedAt: this.clock.now() });
+      this.reportedStates.set(id, { state, reportedAt: this.clock.now() });
   }
 
   /** Returns the direct and indirect dependencies of the job. */
