--- a/src/http/open-connection.ts
+++ b/src/http/open-connection.ts
@@ -22,7 +22,10 @@
   maxBodyBytes: number;
   /** Connect time-out. */
   timeoutMs: number;
-  /** Aborts connecting; without effect on an established connection. */
+  /**
+   * Aborts connecting. Has no effect when it was aborted before the call or once the
+   * connection is established.
+   */
   signal: AbortSignal | undefined;
   /** Called once when the socket has closed, even if it was never connected. */
   onClose: (socket: net.Socket) => void;
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -61,7 +61,7 @@
   quarantineJobs: number;
   /**
    * `sick.failures`: number of task failures in a row on a machine before it is
-   * quarantined, if the job of the last one has succeeded elsewhere.
+   * quarantined, provided that a task of the last one's job has succeeded.
    */
   quarantineFailures: number;
   /**
--- a/test/records-peers.test.ts
+++ b/test/records-peers.test.ts
@@ -20,7 +20,7 @@
   taskCounts: [['req-000412', 9, 4]],
 };
 
-/** Returns the bytes of a frame in hexadecimal. */
+/** Returns the bytes of a frame that is written in hexadecimal. */
 const bytesOf = (hex: string) => Buffer.from(hex, 'hex');
 
 /**
@@ -100,7 +100,7 @@
     /** Returns the bytes that the node has sent on the peer's connection, as hexadecimal. */
     responsesOfNode: () => Buffer.concat(responsesOfNode).toString('hex'),
     /** Responds to a request of the node. */
-    reply: (hex: string) => peerSockets.at(-1)?.write(bytesOf(hex)),
+    respond: (hex: string) => peerSockets.at(-1)?.write(bytesOf(hex)),
     clearSent: () => sentByNode.splice(0),
     close: () => {
       stop.abort();
@@ -130,7 +130,7 @@
       setup.clearSent();
       const response = send();
       await waitUntil(() => setup.sentByNode().includes(requestHex), settle);
-      setup.reply(responseHex);
+      setup.respond(responseHex);
       return response;
     };
     await request(
