--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -4,13 +4,14 @@
  * Priority of a request. Smaller numbers take precedence when the budget is
  * short.
  *
- * - `leadership`: election, lease renewal, failover and the watch of jobs. It
- *   has the highest priority, so that users who repeat their requests while
+ * - `leadership`: election, lease renewal, failover and watches. It has the
+ *   highest priority, so that users who repeat their requests while
  *   there is no leader cannot prevent an election.
  * - `submissions`: users' submissions and cancellations, and requests to the
- *   cloud.
- * - `completions`: requests that make the ends of jobs and tasks durable or known,
- *   and mailbox messages.
+ *   cloud other than the machine list.
+ * - `completions`: requests that make the ends of jobs and tasks durable or
+ *   known. Also those for the roster, dependency lists, mailbox messages and the
+ *   machine list.
  * - `queries`: users' queries. They rank after completions, since users stop
  *   asking about a job once its end is known.
  * - `progress`: work that can be delayed, such as the demand forecast and
