--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -8,7 +8,8 @@
   agentLeaseMs: number;
   /**
    * A machine that is missing from the cloud's list is proven to be terminated when the
-   * list was requested more than this long after the machine was last known to exist.
+   * list was requested after its last heartbeat and more than this long after the leader
+   * first learned of it.
    */
   listProofMs: number;
   /** A machine is considered unreachable when it has sent no heartbeat for longer than this. */
@@ -60,7 +61,7 @@
   quarantineJobs: number;
   /**
    * `sick.failures`: number of task failures in a row on a machine before it is
-   * quarantined, if the job of the last one has succeeded elsewhere.
+   * quarantined, provided that a task of the last one's job has succeeded.
    */
   quarantineFailures: number;
   /**
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -4,13 +4,14 @@
  * Priority of a request. Smaller numbers take precedence when the budget is
  * short.
  *
- * - `leadership`: election, lease renewal, failover and the watch of jobs. It
- *   has the highest priority, so that users who repeat their requests while
+ * - `leadership`: election, lease renewal, failover and watches. It has the
+ *   highest priority, so that users who repeat their requests while
  *   there is no leader cannot prevent an election.
  * - `submissions`: users' submissions and cancellations, and requests to the
- *   cloud.
- * - `completions`: requests that make the ends of jobs and tasks durable or known,
- *   and mailbox messages.
+ *   cloud other than the machine list.
+ * - `completions`: requests that make the ends of jobs and tasks durable or
+ *   known. Also those for the roster, dependency lists, mailbox messages and the
+ *   machine list.
  * - `queries`: users' queries. They rank after completions, since users stop
  *   asking about a job once its end is known.
  * - `progress`: work that can be delayed, such as the demand forecast and
@@ -26,15 +27,19 @@
 /** One of the values of `RequestPriority`. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
-/** Share of the burst that is reserved for higher priorities: its increase with each priority, and its maximum. */
+/**
+ * A priority leaves this share of the burst, times its number, to higher
+ * priorities.
+ */
 const RESERVE_SHARE_PER_PRIORITY = 0.15;
+/** Maximum share of the burst that a priority leaves to higher ones. */
 const MAX_RESERVE_SHARE = 0.5;
 
 /** Added to each wait, so that rounding does not end it before the tokens are available. */
 const ROUNDING_MARGIN_MS = 1;
 
 /**
- * A token bucket that a refusal by the service (429) empties. Lower priorities
+ * A token bucket. A refusal by the service (429) empties it. Lower priorities
  * leave a reserve of tokens for higher ones. The `leadership` priority never
  * waits and may overdraw the bucket. All times are monotonic, in milliseconds.
  */
