--- a/.ci/known-red.mjs
+++ b/.ci/known-red.mjs
@@ -6,7 +6,8 @@
 //
 // Listed tests run like all others. Their entries are printed, and their failures
 // don't fail the run. The run fails when any other test fails, when a listed test
-// passes or was not run, or when the list has more than three entries.
+// passes or was not run, or when the list has more than three entries. It also
+// fails when no test was run, and when the runner failed without a failed test.
 import { existsSync, readFileSync } from 'node:fs';
 
 const MAX_ENTRIES = 3;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -38,7 +38,7 @@
   const level = process.env.LOG_LEVEL ?? 'info';
   if (!LOG_LEVELS.includes(level))
     throw new SettingsError(`LOG_LEVEL: must be one of ${LOG_LEVELS.join(', ')}`);
-  // Synchronous, so that no line is lost when the process ends: the last lines matter most.
+  // Synchronous, because the last lines before the process ends matter most and must not be lost.
   return pino({ level, base: { node } }, pino.destination({ dest: STDERR_FD, sync: true }));
 }
 
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -28,13 +28,16 @@
   /** A machine that has not booted after this many boot times is terminated. */
   'rent.boot-patience': 4,
   /**
-   * First back-off after the cloud had no capacity, in boot times. Each further
-   * refusal doubles it, up to four times this value.
+   * First back-off after the cloud provisioned fewer machines than requested, in
+   * boot times. Each further refusal doubles it, up to four times this value.
    */
   'rent.backoff-boots': 0.3,
   /** A machine is quarantined when tasks of this many jobs fail on it in a row. */
   'sick.jobs': 2,
-  /** A machine is also quarantined when this many tasks of a job that succeeds elsewhere fail on it in a row. */
+  /**
+   * A machine is also quarantined when this many tasks fail on it in a row and the
+   * job of the last one has succeeded elsewhere.
+   */
   'sick.failures': 3,
   /** A job backs off when it has failed on this many machines and succeeded on none. */
   'job.faulty-machines': 3,
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -2,7 +2,7 @@
  * Schema of the platform's settings file, and values derived from it. The
  * platform defines the field names. Their suffixes give the unit: `_s` is
  * seconds, `_ms` milliseconds, `_kb` KiB, `_mb` MiB and `rps` requests per
- * second.
+ * second, except for `write_rps`, which is changes per second.
  */
 import * as v from 'valibot';
 import type { TeamQuota } from '../model/resources.js';
@@ -91,7 +91,10 @@
   }),
 });
 
-/** The settings as they are in the file, with defaults for optional fields. */
+/**
+ * The settings as they are in the file. `objectives` is empty when the file has
+ * none; the other optional fields may be null or undefined.
+ */
 export type PlatformSettings = v.InferOutput<typeof SettingsSchema>;
 
 /**
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -9,7 +9,7 @@
 /** The protocol guarantees that the clocks of two machines drift apart by at most this ratio. */
 export const MAX_CLOCK_DRIFT = 0.0005;
 
-/** Durations in milliseconds. `timingOf` has the formula and the reason of each. */
+/** Durations in milliseconds. `timingOf` has the formula of each. */
 export interface Timing {
   /** Interval between the heartbeats of an agent. */
   heartbeatMs: number;
@@ -27,7 +27,7 @@
   watchTimeoutMs: number;
   /** Maximum time that the leader's watch of jobs waits. Its response proves that all cancellations up to its request are known. */
   jobWatchMs: number;
-  /** Half of the time that a request may take to arrive, and that its reply may take to be read by the client. */
+  /** Half of the timeout for receiving a request, and for sending the last reply of a connection. */
   halfTransferTimeoutMs: number;
   /** Timeout of a request to the cloud. */
   cloudTimeoutMs: number;
@@ -35,7 +35,10 @@
   commandTimeoutMs: number;
   /** Pause between two lists of the cloud's machines. */
   machineListIntervalMs: number;
-  /** A machine has been terminated if a list that was requested more than this long after its last sign of existence lacks it. */
+  /**
+   * A machine has been terminated if a list lacks it that was requested after its last heartbeat and
+   * more than this long after the leader first learned of the machine.
+   */
   listProofMs: number;
   /** Pause between two reads of the machine types and prices. */
   machineTypesIntervalMs: number;
@@ -43,13 +46,13 @@
   demandSaveIntervalMs: number;
   /** Minimum pause between two placement rounds. */
   placementIntervalMs: number;
-  /** The event loop counts as lagging when a timer fires later than this. */
+  /** The event loop counts as lagging when a timer fires more than this after it is due. */
   lagThresholdMs: number;
   /** Pause between two writes of finished tasks and ends of jobs. */
   progressWriteIntervalMs: number;
   /** A controller caches what it has read of a live dependency for this long. */
   dependencyFreshMs: number;
-  /** A stored dependency list is removed when its job has not been live for this long. */
+  /** A stored dependency list is removed once the leader has found its job not live for this long. */
   orphanListMs: number;
   /** Minimum pause between two plans of scale-out and scale-in. */
   scalingIntervalMs: number;
@@ -57,7 +60,7 @@
   unreachableAfterMs: number;
   /** Length of an agent's lease. An agent whose lease expires ends its tasks. */
   agentLeaseMs: number;
-  /** A follower renews agents' leases for an unreachable leader until this long after the leader last said that it leads. */
+  /** A follower renews agents' leases for an unreachable leader until this long after the leader last announced that it leads. */
   delegatedRenewalMs: number;
   /** Interval between log lines about the state of the fleet. */
   fleetLogIntervalMs: number;
@@ -70,14 +73,14 @@
   const agentLeaseMs = workers.lease_s * 1000;
   const cancelMs = workers.cancel_s * 1000;
   const listLagMs = cloud.list_lag_s * 1000;
-  // Short compared with an agent's lease, because the time that a failover takes is lost to agents,
-  // which have to reach the next leader before their leases expire.
+  // Short compared with an agent's lease, because agents have to reach the next leader before their
+  // own leases expire, and the failover takes up part of that time.
   const leaseMs = Math.min(agentLeaseMs * 0.2, heartbeatMs * 1.5);
   return {
     heartbeatMs,
     leaseMs,
-    // The proof of leadership lasts three intervals, so that it outlives one failed renewal and a
-    // response to the next renewal that takes a whole interval.
+    // The proof of leadership lasts about three intervals, so that it outlives one failed renewal and
+    // a response to the next renewal that takes almost a whole interval.
     renewalIntervalMs: leaseMs * 0.25,
     // The proof ends well before the lease can expire by any clock, because another leader may be
     // elected once the lease has expired.
@@ -111,11 +114,11 @@
     placementIntervalMs: shortestObjectiveWaitMs(platform, heartbeatMs) / 30,
     lagThresholdMs: heartbeatMs / 20,
     // Users should see the end of a job well within a heartbeat interval. The pause is at least the
-    // time that the state service needs for five changes, so that the share of the change rate that
-    // progress may use suffices for one change.
+    // time in which the current limit allows five changes. Progress may use more than a fifth of the
+    // allowed changes, so one pause suffices for one change unless a lower limit is announced.
     progressWriteIntervalMs: Math.max(heartbeatMs / 30, 5000 / state.write_rps),
-    // Well within cancel_s, because for this long after a dependency was cancelled a user may still
-    // get the reply that the dependent is waiting.
+    // Well within cancel_s, because a dependent job may be reported as queued for this long after the
+    // cancellation of its dependency.
     dependencyFreshMs: cancelMs * 0.2,
     // Removal is safe at any time. The delay avoids that submissions in progress have to start over.
     orphanListMs: cancelMs * 2,
--- a/test/combined-failures-history.test.ts
+++ b/test/combined-failures-history.test.ts
@@ -9,8 +9,8 @@
 const SEEDS = 12;
 const FAILURES_PER_HISTORY = 26;
 /**
- * Every second history begins with a rolling upgrade: one controller before each
- * of these steps, then lower limits.
+ * Every second history starts on the old version and upgrades one controller at
+ * each of these steps. The limits of the state service are lowered afterwards.
  */
 const UPGRADE_STEPS = [3, 6, 9];
 const LIMITS_LOWERED_STEP = 13;
@@ -41,7 +41,7 @@
       await world.run(0.5 + world.random() * 5);
     }
     this.stopFailures();
-    // Longer than the longest failure, the leases and the remaining work together.
+    // This exceeds the sum of the longest failure, the leases and the remaining work.
     await world.run(260);
     for (const id of this.jobIds) await world.poll(id);
     for (const [id, reported] of world.reportedStates)
@@ -49,23 +49,23 @@
   }
 
   /**
-   * Upgrades one controller at a time; one that crashes before its turn restarts
-   * with the old version.
+   * Upgrades a controller at each step in `UPGRADE_STEPS`. A controller that
+   * crashes before its turn restarts with the old version.
    */
   private upgradeAtStep(step: number): void {
     const { world } = this;
     const turn = UPGRADE_STEPS.indexOf(step);
-    const c = world.controllers[turn];
-    if (c) {
-      world.upgradedControllers.add(c.name);
-      world.restart(c);
+    const controller = world.controllers[turn];
+    if (controller) {
+      world.upgradedControllers.add(controller.name);
+      world.restart(controller);
     }
     if (step === LIMITS_LOWERED_STEP) world.lowerLimits();
   }
 
   /**
-   * Picks dependencies of a new job, in any state; none until all controllers are
-   * upgraded and support them.
+   * Picks dependencies of a new job, in any state. Returns none until all
+   * controllers are upgraded, because the old version does not support them.
    */
   private pickDependencies(): string[] {
     const { world } = this;
@@ -87,51 +87,51 @@
 
   private injectFailure(kind: number): void {
     const { world } = this;
-    const ms = 300 + world.random() ** 2 * 60_000;
-    const c =
+    const durationMs = 300 + world.random() ** 2 * 60_000;
+    const controller =
       world.random() < 0.7 && world.currentLeader
         ? world.currentLeader
         : this.pickOne(world.controllers);
-    const m = this.pickOne(world.machines);
+    const machine = this.pickOne(world.machines);
     switch (kind) {
       case 0:
       case 1:
-        this.refuseStateRequests(c, ms);
+        this.refuseStateRequests(controller, durationMs);
         break;
       case 2:
-        this.refuseStateRequests(c, 12_000);
-        world.runLater(300 + world.random() * 2000, () => this.outage(ms));
+        this.refuseStateRequests(controller, 12_000);
+        world.runLater(300 + world.random() * 2000, () => this.startOutage(durationMs));
         break;
       case 3:
-        this.outage(ms * 0.5);
+        this.startOutage(durationMs * 0.5);
         break;
       case 4:
       case 5:
-        c.crash();
-        world.runLater(100 + world.random() * 5000, () => world.restart(c));
+        controller.crash();
+        world.runLater(100 + world.random() * 5000, () => world.restart(controller));
         break;
       case 6:
-        this.refuseStateRequests(c, ms);
-        c.isPartitionedFromPeers = true;
-        world.runLater(ms, () => {
-          c.isPartitionedFromPeers = false;
+        this.refuseStateRequests(controller, durationMs);
+        controller.isPartitionedFromPeers = true;
+        world.runLater(durationMs, () => {
+          controller.isPartitionedFromPeers = false;
         });
         break;
       case 7:
-        c.isPartitionedFromAgents = true;
-        world.runLater(ms, () => {
-          c.isPartitionedFromAgents = false;
+        controller.isPartitionedFromAgents = true;
+        world.runLater(durationMs, () => {
+          controller.isPartitionedFromAgents = false;
         });
         break;
       case 8:
-        this.setMachineFault(m, 'deaf', ms);
+        this.setMachineFault(machine, 'deaf', durationMs);
         break;
       case 9:
-        this.setMachineFault(m, 'mute', ms);
+        this.setMachineFault(machine, 'mute', durationMs);
         break;
       case 10:
-        m.isSuspended = true;
-        world.runLater(ms * 0.5, () => m.resume());
+        machine.isSuspended = true;
+        world.runLater(durationMs * 0.5, () => machine.resume());
         break;
       case 11:
         world.delayedWriteShare = 0.2;
@@ -148,29 +148,33 @@
     this.applyLateWrites();
   }
 
-  private setMachineFault(m: ScriptedMachine, fault: 'deaf' | 'mute', ms: number): void {
-    m[fault] = true;
-    this.world.runLater(ms, () => {
-      m[fault] = false;
+  private setMachineFault(
+    machine: ScriptedMachine,
+    fault: 'deaf' | 'mute',
+    durationMs: number,
+  ): void {
+    machine[fault] = true;
+    this.world.runLater(durationMs, () => {
+      machine[fault] = false;
     });
   }
 
-  private refuseStateRequests(c: ScriptedController, ms: number): void {
-    if (c.hasCrashed) return;
-    c.state.fault = 'refuse';
-    this.world.runLater(ms, () => {
-      if (!c.hasCrashed) c.state.fault = null;
+  private refuseStateRequests(controller: ScriptedController, durationMs: number): void {
+    if (controller.hasCrashed) return;
+    controller.state.fault = 'refuse';
+    this.world.runLater(durationMs, () => {
+      if (!controller.hasCrashed) controller.state.fault = null;
     });
   }
 
-  private outage(ms: number): void {
+  private startOutage(durationMs: number): void {
     this.world.store.outage = true;
-    this.world.runLater(ms, () => {
+    this.world.runLater(durationMs, () => {
       this.world.store.outage = false;
     });
   }
 
-  /** Applies transactions that got no response, late and in any order. */
+  /** Schedules the transactions that got no response for 2 to 12 seconds later, in any order. */
   private applyLateWrites(): void {
     for (const c of this.world.controllers)
       for (const write of c.state.delayedRequests.splice(0))
@@ -178,7 +182,7 @@
           try {
             write();
           } catch {
-            // Refused because its lease has ended.
+            // The state service rejects the write when its lease has ended.
           }
         });
   }
@@ -190,7 +194,7 @@
     this.applyLateWrites();
   }
 
-  end(): void {
+  shutDown(): void {
     for (const c of this.world.controllers) c.crash();
     for (const m of this.world.machines) m.isTerminated = true;
   }
@@ -233,7 +237,7 @@
       throw new Error(`seed ${seed}: ${(error as Error).message}`, { cause: error });
     } finally {
       jitter.mock.restore();
-      history.end();
+      history.shutDown();
     }
     started += history.world.startCount;
     const counts = history.counts();
--- a/test/external-names.test.ts
+++ b/test/external-names.test.ts
@@ -228,7 +228,10 @@
   return expression.getText() === 'process.env';
 }
 
-/** Reports whether a text is the name, or contains it as part of a path, key, option or header. A word in a sentence does not count. */
+/**
+ * Reports whether one of the texts is the name, or contains it as part of a path,
+ * key, option or header. A word in a sentence does not count.
+ */
 function contains(texts: readonly string[], name: string): boolean {
   const escaped = name.replace(/[.*+?^${}()|[\]\\]/g, '\\$&');
   const part = new RegExp(`^(\\S*[^\\w\\s-])?${escaped}([^\\w\\s-]\\S*)?$`);
--- a/test/progress-writer.test.ts
+++ b/test/progress-writer.test.ts
@@ -54,14 +54,14 @@
   const node = withCompleteJob();
   node.state.fault = 'refuse';
   node.run();
-  const { progressWriteIntervalMs: progressWriteMs } = node.ctx.timing;
-  await node.clock.advance(progressWriteMs * 1.5);
+  const { progressWriteIntervalMs } = node.ctx.timing;
+  await node.clock.advance(progressWriteIntervalMs * 1.5);
   const { requests } = node.state;
   // The pause is longer than one write interval.
-  await node.clock.advance(progressWriteMs * 2);
+  await node.clock.advance(progressWriteIntervalMs * 2);
   assert.equal(node.state.requests, requests);
   node.state.fault = null;
-  await node.clock.advance(progressWriteMs * 3);
+  await node.clock.advance(progressWriteIntervalMs * 3);
   node.stop.abort();
   assert.equal(node.store.entries.has('over/req-000001'), true);
   assert.equal(node.cluster.jobs.size, 0);
--- a/test/support/trace/histories.ts
+++ b/test/support/trace/histories.ts
@@ -73,7 +73,10 @@
     this.world.preempt(machine, noticeS);
   }
 
-  /** Sends a submission (new, repeated or invalid), status query or cancellation. */
+  /**
+   * Sends a submission (new, repeated or invalid), status query or cancellation.
+   * Every tenth step also sends a health check.
+   */
   sendRequest(step: number): void {
     const { world, jobIds } = this;
     const sample = this.draw('use', step);
@@ -371,7 +374,8 @@
     stateSettings: { next: { write_rps: 12, value_kb: 1, txn_ops: 4 } },
     injectFault: (run, faultIndex) => {
       const { state } = run.world;
-      if (faultIndex === 0) state.limits = { maxValueBytes: 1024, maxWrites: 4, maxWritesPerS: 12 };
+      if (faultIndex === 0)
+        state.limits = { maxValueBytes: 1024, maxChanges: 4, maxChangesPerS: 12 };
       else crashAndRestart(run, run.world.leaderIndex, 1500);
     },
   },
--- a/test/support/trace/machine.ts
+++ b/test/support/trace/machine.ts
@@ -230,7 +230,10 @@
     if (cause !== 'done' && cause !== 'halted') this.world.counts.add('failures');
   }
 
-  /** Ends the lease and the task states whose time is over. */
+  /**
+   * Starts a new agent epoch without tasks if the lease has expired, and ends the
+   * task states whose time is over.
+   */
   private applyElapsedTime(): void {
     const now = this.world.time.now();
     if (now - this.leaseStartedAt > LEASE_MS) {
--- a/test/support/trace/state-service.ts
+++ b/test/support/trace/state-service.ts
@@ -18,7 +18,7 @@
   event: { set?: string; v?: unknown; delete?: string; stamp: number };
 }
 
-/** A write of a transaction, in the form of the protocol. */
+/** A change in a transaction, in the form of the protocol. */
 interface Change {
   set?: string;
   v?: unknown;
@@ -46,12 +46,12 @@
 
 /**
  * Limits of transactions. The service responds with status 400 to a larger
- * transaction, and with 429 to more writes per second.
+ * transaction, and with 429 to more changes per second.
  */
-export interface StateLimits {
+export interface TransactionLimits {
   maxValueBytes: number;
-  maxWrites: number;
-  maxWritesPerS: number;
+  maxChanges: number;
+  maxChangesPerS: number;
 }
 
 const NO_FAULTS: StateFaults = {
@@ -71,7 +71,7 @@
   /** Faults by the name of the controller that they affect. */
   readonly faults = new Map<string, StateFaults>();
   /** Null while transactions are not limited. */
-  limits: StateLimits | null = null;
+  limits: TransactionLimits | null = null;
   /** A watch after an earlier revision gets status 410, because its events are compacted. */
   private oldestWatchRevision = 0;
   private revision = 1;
@@ -82,8 +82,8 @@
   private waitingWatches: (() => void)[] = [];
   private outage = false;
   private currentSecond = 0;
-  /** Writes in the current second of simulated time. */
-  private writesInSecond = 0;
+  /** Changes requested in the current second of simulated time. */
+  private changesInSecond = 0;
 
   constructor(
     private readonly net: SimulatedNetwork,
@@ -201,7 +201,7 @@
       this.respondWithError(400, respond);
       return;
     }
-    if (this.exceedsWriteRate(writes)) {
+    if (this.exceedsChangeRate(writes)) {
       this.respondWithError(429, respond);
       return;
     }
@@ -219,19 +219,19 @@
 
   private isTooLarge(conditions: unknown[], changes: Change[]): boolean {
     if (!this.limits) return false;
-    const { maxValueBytes, maxWrites } = this.limits;
+    const { maxValueBytes, maxChanges } = this.limits;
     const hasLargeValue = changes.some(
       (change) => Buffer.byteLength(JSON.stringify(change.v ?? null)) > maxValueBytes,
     );
-    return hasLargeValue || changes.length > maxWrites || conditions.length > maxWrites * 4;
+    return hasLargeValue || changes.length > maxChanges || conditions.length > maxChanges * 4;
   }
 
-  private exceedsWriteRate(changes: Change[]): boolean {
+  private exceedsChangeRate(changes: Change[]): boolean {
     const second = Math.floor(this.net.time.now() / 1000);
-    if (second !== this.currentSecond) this.writesInSecond = 0;
+    if (second !== this.currentSecond) this.changesInSecond = 0;
     this.currentSecond = second;
-    this.writesInSecond += changes.length;
-    return this.limits !== null && this.writesInSecond > this.limits.maxWritesPerS;
+    this.changesInSecond += changes.length;
+    return this.limits !== null && this.changesInSecond > this.limits.maxChangesPerS;
   }
 
   private apply(changes: Change[]): void {
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -119,7 +119,7 @@
   readonly counts = new EventCounts();
   /** Fraction of the responses to commands and heartbeats that are lost. */
   lostResponseRate = 0;
-  /** Fraction of the commands that arrive late. */
+  /** Fraction of the direct commands that are executed late, without a response. */
   delayedCommandRate = 0;
   /** Fraction of the heartbeats of which a delayed copy is sent. */
   duplicateHeartbeatRate = 0;
@@ -211,7 +211,7 @@
     return record?.node ? Number(record.node.slice(2)) : 0;
   }
 
-  /** Makes the state service fail for one controller. */
+  /** Injects faults of the state service towards one controller for `durationMs`. */
   injectStateFaults(i: number, durationMs: number, faults: Partial<StateFaults>): void {
     const name = `c-${i}`;
     this.state.faults.set(name, {
