--- a/src/clients/key-value-store.ts
+++ b/src/clients/key-value-store.ts
@@ -19,7 +19,7 @@
   /** Revision of the store after the transaction. */
   revision: number;
   /** Keys whose conditions did not hold. */
-  failed: string[];
+  failedKeys: string[];
 }
 
 /**
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -131,7 +131,7 @@
     return {
       ok: response.status === 200,
       revision: parseRevision(response.body),
-      failed: response.status === 409 ? parseFailedKeys(response.body) : [],
+      failedKeys: response.status === 409 ? parseFailedKeys(response.body) : [],
     };
   }
 
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -14,7 +14,7 @@
   /** Interval between the heartbeats of an agent. */
   heartbeatMs: number;
   /** Length of the leader's lease in the state service. */
-  leaseMs: number;
+  leaderLeaseMs: number;
   /** Interval between renewals of the leader's lease and between status messages to peers; the unit of most retry delays. */
   renewalIntervalMs: number;
   /** Leadership counts as proven for this long after a successful renewal was sent. */
@@ -26,7 +26,7 @@
   /** Maximum time that a watch of the leader key or a mailbox waits for a change. */
   watchTimeoutMs: number;
   /** Maximum time that the leader's watch of jobs waits. Its response proves that all cancellations up to its request are known. */
-  jobWatchMs: number;
+  jobWatchTimeoutMs: number;
   /** Half of the timeout for receiving a request, and for sending the last reply of a connection. */
   halfTransferTimeoutMs: number;
   /** Timeout of a request to the cloud. */
@@ -53,7 +53,7 @@
   /** A controller caches what it has read of a live dependency for this long. */
   dependencyFreshMs: number;
   /** A stored dependency list is removed once the leader has found its job not live for this long. */
-  orphanListMs: number;
+  orphanListRetentionMs: number;
   /** Minimum pause between two plans of scale-out and scale-in. */
   scalingIntervalMs: number;
   /** A machine that has sent no heartbeat for this long counts as unreachable. */
@@ -75,16 +75,16 @@
   const listLagMs = cloud.list_lag_s * 1000;
   // Short compared with an agent's lease, because agents have to reach the next leader before their
   // own leases expire, and the failover takes up part of that time.
-  const leaseMs = Math.min(agentLeaseMs * 0.2, heartbeatMs * 1.5);
+  const leaderLeaseMs = Math.min(agentLeaseMs * 0.2, heartbeatMs * 1.5);
   return {
     heartbeatMs,
-    leaseMs,
+    leaderLeaseMs,
     // The proof of leadership lasts about three intervals, so that it outlives one failed renewal and
     // a response to the next renewal that takes almost a whole interval.
-    renewalIntervalMs: leaseMs * 0.25,
+    renewalIntervalMs: leaderLeaseMs * 0.25,
     // The proof ends well before the lease can expire by any clock, because another leader may be
     // elected once the lease has expired.
-    leadershipProofMs: leaseMs * 0.75 * (1 - MAX_CLOCK_DRIFT),
+    leadershipProofMs: leaderLeaseMs * 0.75 * (1 - MAX_CLOCK_DRIFT),
     // A cancellation that this leader does not know of was confirmed after the last time at which the
     // leader knew all cancellations. The leader replies to heartbeats for this long after that time.
     // The last reply renews a lease from the time at which the agent sent its heartbeat, and the agent
@@ -99,7 +99,7 @@
     watchTimeoutMs: heartbeatMs * 2,
     // One renewal interval, because tasks may start only while the knowledge of cancellations is as
     // recent as the proof of leadership must be.
-    jobWatchMs: leaseMs * 0.25,
+    jobWatchTimeoutMs: leaderLeaseMs * 0.25,
     halfTransferTimeoutMs: heartbeatMs * 0.8,
     cloudTimeoutMs: heartbeatMs * 2,
     commandTimeoutMs: heartbeatMs * 0.5,
@@ -121,7 +121,7 @@
     // cancellation of its dependency.
     dependencyFreshMs: cancelMs * 0.2,
     // Removal is safe at any time. The delay avoids that submissions in progress have to start over.
-    orphanListMs: cancelMs * 2,
+    orphanListRetentionMs: cancelMs * 2,
     scalingIntervalMs: heartbeatMs / 3,
     // Allows for two lost heartbeats in a row.
     unreachableAfterMs: heartbeatMs * 3,
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -118,7 +118,7 @@
     const lastTerm = await ctx.state.get(TERM_KEY, RequestPriority.leadership, signal);
     const number = (decodeTerm(lastTerm?.value) ?? 0) + 1;
     const leaseRequestedAt = ctx.clock.now();
-    const lease = await ctx.state.grantLease(ctx.timing.leaseMs, signal);
+    const lease = await ctx.state.grantLease(ctx.timing.leaderLeaseMs, signal);
     const { node, incarnation } = ctx;
     const record: LeaderRecord = { node, incarnation, term: number, lease };
     let version: number;
--- a/src/controller/leader/dependency-list-cleaner.ts
+++ b/src/controller/leader/dependency-list-cleaner.ts
@@ -3,7 +3,7 @@
  * the times at which lists were first found without a live job; deletes `lists/`
  * and `needs/` keys. Each removal begins on the condition that the job is not live.
  *
- * A list without a live job is kept for `orphanListMs`, because the submission that
+ * A list without a live job is kept for `orphanListRetentionMs`, because the submission that
  * wrote it may still be in progress and would have to start over.
  */
 import { readPrefix } from '../../clients/key-ranges.js';
@@ -72,7 +72,7 @@
 
   /**
    * Records when the list was first found without a live job; returns true once
-   * that is at least `orphanListMs` ago. Forgets that time while the job is live.
+   * that is at least `orphanListRetentionMs` ago. Forgets that time while the job is live.
    */
   private isDueForRemoval(headerKey: string, jobId: string): boolean {
     const { clock, timing } = this.ctx;
@@ -86,6 +86,6 @@
       this.orphanedSince.set(headerKey, now);
       return false;
     }
-    return now - since >= timing.orphanListMs;
+    return now - since >= timing.orphanListRetentionMs;
   }
 }
--- a/src/controller/leader/job-watch.ts
+++ b/src/controller/leader/job-watch.ts
@@ -39,7 +39,7 @@
       let requestedAt = ctx.clock.now();
       const after = appliedRevision;
       const changes = await retry(ctx, signal, (callSignal) =>
-        ctx.state.watch(LIVE_JOB_PREFIX, after, ctx.timing.jobWatchMs, callSignal),
+        ctx.state.watch(LIVE_JOB_PREFIX, after, ctx.timing.jobWatchTimeoutMs, callSignal),
       );
       if (changes) {
         for (const event of changes.events) this.applyEvent(event);
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -130,7 +130,7 @@
         RequestPriority.completions,
         term.signal,
       );
-      if (!result.ok) return this.handleFailedConditions(batch, result.failed);
+      if (!result.ok) return this.handleFailedConditions(batch, result.failedKeys);
       for (const write of batch) write.applied(result.revision);
       return 'settled';
     } catch (err) {
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -166,7 +166,7 @@
         await this.mailbox.request(node, machineId, body.toString(), timing.stateTimeoutMs),
       );
     } catch (error) {
-      const backoffMs = timing.leaseMs * MAILBOX_BACKOFF_LEASES;
+      const backoffMs = timing.leaderLeaseMs * MAILBOX_BACKOFF_LEASES;
       this.mailboxBackoffUntil.set(node, clock.now() + backoffMs);
       throw error;
     }
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -56,7 +56,7 @@
     platform.settings.workers = { report_s: reportS, lease_s: leaseS, cancel_s: cancelS };
     const timing = timingOf(parsePlatformSettings(JSON.stringify(platform), 'f'));
     // The proof of leadership ends before another controller can hold the lease.
-    assert.ok(timing.leadershipProofMs < timing.leaseMs * (1 - MAX_CLOCK_DRIFT));
+    assert.ok(timing.leadershipProofMs < timing.leaderLeaseMs * (1 - MAX_CLOCK_DRIFT));
     assert.ok(timing.renewalIntervalMs * 2 < timing.leadershipProofMs);
     // After the last reply to a heartbeat, agents' leases expire within cancel_s.
     assert.ok((timing.agentRenewalMs + leaseS * 1000) * (1 + MAX_CLOCK_DRIFT) < cancelS * 1000);
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -210,9 +210,9 @@
   fixture.endJob(jobId(2), 'done');
   assert.equal(fixture.keys('lists/').length, 3);
   const stop = node.startCleaner([jobId(1)]);
-  await fixture.clock.advance(node.ctx.timing.orphanListMs * 0.9);
+  await fixture.clock.advance(node.ctx.timing.orphanListRetentionMs * 0.9);
   assert.equal(fixture.keys('lists/').length, 3);
-  await fixture.clock.advance(node.ctx.timing.orphanListMs * 0.5);
+  await fixture.clock.advance(node.ctx.timing.orphanListRetentionMs * 0.5);
   for (const prefix of ['lists/', 'needs/'])
     assert.ok(fixture.keys(prefix).every((key) => key.startsWith(`${prefix}${jobId(1)}/`)));
   assert.deepEqual((await node.dependenciesOf(jobId(1), fixture.record(jobId(1))))?.length, 700);
@@ -242,7 +242,7 @@
     if (changes[0]?.op === 'delete') leader.state.fault = 'lose request';
   };
   const stop = leader.startCleaner([]);
-  await fixture.clock.advance(leader.ctx.timing.orphanListMs * 1.4);
+  await fixture.clock.advance(leader.ctx.timing.orphanListRetentionMs * 1.4);
   stop.abort();
   await settle();
   for (const work of node.state.delayedRequests.splice(0)) assert.doesNotThrow(work);
@@ -259,7 +259,7 @@
   leader.state.fault = null;
   leader.state.onTransact = () => {};
   const again = leader.startCleaner([]);
-  await fixture.clock.advance(leader.ctx.timing.orphanListMs * 1.4);
+  await fixture.clock.advance(leader.ctx.timing.orphanListRetentionMs * 1.4);
   again.abort();
   assert.equal(pages(), all);
   // A list with a missing page is not read as a complete one.
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -40,7 +40,7 @@
     peers.relayThroughMailbox('n-2', 'm-1', Buffer.from('{}')),
     (error) => !(error instanceof MailboxBackoffError),
   );
-  await clock.advance(ctx.timing.leaseMs * 0.5);
+  await clock.advance(ctx.timing.leaderLeaseMs * 0.5);
   await other;
   assert.ok(store.revision > revision);
   const again = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -302,7 +302,7 @@
   seed(store, [key, '{"by":"n-1","pages":2}']);
   const stop = new AbortController();
   void new DependencyListCleaner(ctx, new Map()).run(stop.signal);
-  await clock.advance(ctx.timing.orphanListMs + ctx.timing.agentLeaseMs * 3);
+  await clock.advance(ctx.timing.orphanListRetentionMs + ctx.timing.agentLeaseMs * 3);
   stop.abort();
   assert.deepEqual(state.written, [[key, '{"by":"n-1","pages":2,"removing":true}']]);
   assert.deepEqual([...store.entries.keys()], []);
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -93,9 +93,9 @@
     const failed = conditions
       .filter((condition) => (this.entries.get(condition.key)?.version ?? 0) !== condition.version)
       .map((condition) => condition.key);
-    if (failed.length > 0) return { ok: false, revision: this.revision, failed };
+    if (failed.length > 0) return { ok: false, revision: this.revision, failedKeys: failed };
     this.change(changes);
-    return { ok: true, revision: this.revision, failed: [] };
+    return { ok: true, revision: this.revision, failedKeys: [] };
   }
 
   private checkSize(conditions: Condition[], changes: Change[]): void {
