--- a/src/controller/api/dependency-status.ts
+++ b/src/controller/api/dependency-status.ts
@@ -65,7 +65,7 @@
   /** Cached jobs by id, the least recently read first. */
   private readonly cachedJobs = new Map<string, CachedJob>();
   private snapshot: DependencySnapshot | null = null;
-  private snapshotInProgress: Promise<DependencySnapshot> | null = null;
+  private snapshotInFlight: Promise<DependencySnapshot> | null = null;
   /** Number of individual reads in flight. */
   private readsInFlight = 0;
 
@@ -167,19 +167,19 @@
     return null;
   }
 
-  /** Reads a snapshot, or waits for the read in progress, which serves all requests. */
+  /** Reads a snapshot, or waits for the one in flight, which serves all requests. */
   private async refreshSnapshot(priority: RequestPriority): Promise<void> {
-    this.snapshotInProgress ??= DependencySnapshot.read(
+    this.snapshotInFlight ??= DependencySnapshot.read(
       this.ctx,
       this.store,
       this.snapshot,
       priority,
     );
-    const { snapshotInProgress } = this;
+    const { snapshotInFlight } = this;
     try {
-      this.snapshot = await snapshotInProgress;
+      this.snapshot = await snapshotInFlight;
     } finally {
-      if (this.snapshotInProgress === snapshotInProgress) this.snapshotInProgress = null;
+      if (this.snapshotInFlight === snapshotInFlight) this.snapshotInFlight = null;
     }
   }
 
--- a/src/controller/api/job-api.ts
+++ b/src/controller/api/job-api.ts
@@ -215,7 +215,7 @@
     return this.options.cancellations.announceCancellation(id, revision);
   }
 
-  /** The outcome of a failed request is unknown, so the reply asks the user to repeat it. */
+  /** The outcome of a failed request is unknown, so the reply asks the user to retry it. */
   private replyToFailure(error: unknown): Reply {
     this.ctx.log.debug({ err: error }, 'job API request failed; replying 503');
     return refuse('stateServiceUnreachable');
--- a/src/controller/api/job-lookups.ts
+++ b/src/controller/api/job-lookups.ts
@@ -10,9 +10,9 @@
 }
 
 /**
- * Looks up jobs. Up to SINGLE_READS lookups are read individually at the same
- * time. Further ones wait until one of these reads ends and are then read in one
- * batch, each job once. So the number of requests depends on how many jobs are
+ * Looks up jobs. Up to SINGLE_READS lookups are read individually and
+ * concurrently. Further ones wait until one of these reads ends and are then read
+ * in one batch, each job once. So the number of requests depends on how many jobs are
  * queried, not on how many queries arrive.
  *
  * Nothing is cached: each result comes from a read that began after its query,
--- a/src/controller/api/refusals.ts
+++ b/src/controller/api/refusals.ts
@@ -39,7 +39,7 @@
   stateServiceUnreachable: { status: 503, text: 'the state service is out of reach' },
 };
 
-/** Seconds after which a user may repeat a request that was refused with 503. */
+/** Seconds after which a user may retry a request that was refused with 503. */
 const RETRY_AFTER_S = 1;
 
 /** Maximum number of jobs listed in a refusal. */
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -12,7 +12,10 @@
 export interface ControllerContext {
   /** Name of this node in the settings. */
   node: string;
-  /** Unique to each start of the process, so that a restarted process does not claim its predecessor's keys. */
+  /**
+   * Unique to each start of the process, so that a restarted process does not claim
+   * the keys of the node's previous process.
+   */
   incarnation: string;
   /** The platform's settings file, as parsed. */
   platform: PlatformSettings;
--- a/src/controller/election/leader-election.ts
+++ b/src/controller/election/leader-election.ts
@@ -13,8 +13,8 @@
  * A failed attempt is retried after this delay plus a random part of the jitter,
  * in renewal intervals.
  */
-const RETRY_DELAY_RENEW_INTERVALS = 0.3;
-const RETRY_JITTER_RENEW_INTERVALS = 0.4;
+const RETRY_DELAY_RENEWAL_INTERVALS = 0.3;
+const RETRY_JITTER_RENEWAL_INTERVALS = 0.4;
 
 /**
  * The routine that follows the current leader, campaigns when there is none and
@@ -57,7 +57,7 @@
       }
       const delayMs =
         ctx.timing.renewalIntervalMs *
-        (RETRY_DELAY_RENEW_INTERVALS + Math.random() * RETRY_JITTER_RENEW_INTERVALS);
+        (RETRY_DELAY_RENEWAL_INTERVALS + Math.random() * RETRY_JITTER_RENEWAL_INTERVALS);
       await sleepUntilAborted(ctx.clock, delayMs, signal);
     }
   }
@@ -92,7 +92,7 @@
   /**
    * Reports whether this node wrote the leader record. It is called while no term
    * of this process is current, so the record is either of the node's previous
-   * process, which is dead and whose lease need not be waited for, or of an
+   * process, which has ended and whose lease need not be waited for, or of an
    * election of this process that was considered lost but was applied late.
    */
   private isOwnRecord(record: LeaderRecord): boolean {
--- a/src/controller/election/leader-key.ts
+++ b/src/controller/election/leader-key.ts
@@ -22,7 +22,7 @@
 export const TERM_KEY = 'term';
 
 /** Delay before an election without a response is read back, in renewal intervals. */
-const READ_BACK_DELAY_RENEW_INTERVALS = 0.2;
+const READ_BACK_DELAY_RENEWAL_INTERVALS = 0.2;
 
 /**
  * Writes the leader key and the term in one transaction. It applies only if the
@@ -52,15 +52,15 @@
 /**
  * Determines the outcome of an election whose transaction got no response: it may
  * have been applied, may be applied later, or never. Returns the version of the
- * leader key if this controller won. Otherwise revokes the lease, so that a
- * delayed copy of the transaction is refused, and returns null.
+ * leader key if this controller won. Otherwise revokes the lease, so that a late
+ * copy of the transaction is refused, and returns null.
  */
 export async function readBackElection(
   ctx: ControllerContext,
   { term, lease }: LeaderRecord,
   signal: AbortSignal,
 ): Promise<number | null> {
-  await ctx.clock.sleep(ctx.timing.renewalIntervalMs * READ_BACK_DELAY_RENEW_INTERVALS, signal);
+  await ctx.clock.sleep(ctx.timing.renewalIntervalMs * READ_BACK_DELAY_RENEWAL_INTERVALS, signal);
   const entry = await ctx.state.get(LEADER_KEY, RequestPriority.leadership, signal);
   const storedRecord = entry ? decodeLeaderRecord(entry.value) : null;
   if (entry && storedRecord?.incarnation === ctx.incarnation && storedRecord.term === term)
--- a/src/controller/election/leader-term.ts
+++ b/src/controller/election/leader-term.ts
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Reports whether heartbeats may be answered, which renews the agents' leases.
+   * Reports whether heartbeats may get a response, which renews the agents' leases.
    * This holds longer than the proof, for `agentRenewalMs` after the older of the
    * proof and the knowledge of cancellations. Invariant: a lease renewed by the
    * last response expires within `cancel_s` of any cancellation that this leader
@@ -106,7 +106,7 @@
   /**
    * Records that all job changes that were durable at `requestedAt`, cancellations
    * in particular, have been applied. That is when the watch or list was requested,
-   * not when it was answered, because the response covers nothing later. Never
+   * not when the response arrived, because the response covers nothing later. Never
    * moves backwards.
    */
   setCancellationsKnownAt(requestedAt: number): void {
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Records that a renewal sent at `sentAt` succeeded. Renewals overlap, so an
-   * older one may be answered last.
+   * Records that a renewal sent at `sentAt` succeeded. Renewals overlap, so the
+   * response to an older one may arrive last.
    */
   setProvenAt(sentAt: number): void {
     this.provenAt = Math.max(this.provenAt, sentAt);
@@ -133,7 +133,7 @@
   /**
    * Reports whether cancellations have been unknown for as long as agents' leases
    * may be renewed, counted from the start of the term or the last update. While
-   * the state service answers this leader's renewals but not its reads, the leader
+   * the state service serves this leader's renewals but not its reads, the leader
    * can serve nobody, but another controller may be able to.
    */
   areCancellationsUnknownForTooLong(): boolean {
--- a/src/controller/heartbeats/delegated-renewal.ts
+++ b/src/controller/heartbeats/delegated-renewal.ts
@@ -5,17 +5,17 @@
  * Without it, a network partition between the leader and the other nodes would
  * end the tasks of every agent on the other side one lease later.
  *
- * The follower replies with the leader's own fencing token, sends no command
+ * The follower responds with the leader's own fencing token, sends no command
  * except stops of tasks whose job has ended, and stops renewing in time. This is
  * safe for these reasons (docs/design.md, "One bound for cancellations", "Network
  * partitions" and "Copies at a follower"):
  *
  * - Cancellations known to the state service. A node that renews a lease must
- *   account for every cancellation confirmed anywhere. For each reply the
- *   follower reads the live key of each job in the heartbeat and stops the tasks
- *   of jobs that have ended. When the state service can't be read, it renews
- *   nothing (503). A task of a job that is cancelled later ends by the next reply
- *   or when the lease expires.
+ *   account for every cancellation confirmed anywhere. For each response the
+ *   follower reads the live key of each job in the heartbeat and stops the tasks of
+ *   jobs that have ended. When the state service can't be read, it renews nothing
+ *   (503). A task of a job that is cancelled later ends by the next response or
+ *   when the lease expires.
  * - Starts of the leader that are still in transit. A start delayed by the
  *   partition may arrive in an agent epoch that is alive only because of this
  *   renewal, after its job was cancelled. Renewal therefore ends
@@ -28,13 +28,14 @@
  * - Agents that do not know the term. The term's leader has not confirmed their
  *   machines, so no start of that leader can be in transit, and the bound may
  *   start now, once per term.
- * - Proof that the agent does not know the term. A heartbeat with an older token
- *   is none: a late copy also carries the old token and would restart the bound
- *   for as long as copies may arrive. The follower therefore requests a heartbeat
- *   from the agent itself; the reply to its own request can't be such a copy.
- * - Copies of messages. The reply to a late copy of a heartbeat goes to a
- *   connection that nobody reads, and nothing that the bound depends on can be a
- *   copy.
+ * - Proof that the agent does not know the term. A heartbeat with an older token is
+ *   none: a delayed duplicate also carries the old token and would restart the
+ *   bound for as long as duplicates may arrive. The follower therefore requests a
+ *   heartbeat from the agent itself; the reply to its own request can't be such a
+ *   duplicate.
+ * - Duplicates of messages. The response to a delayed duplicate of a heartbeat goes
+ *   to a connection that nobody reads, and nothing that the bound depends on can be
+ *   a duplicate.
  */
 import type { Timing } from '../../config/timing.js';
 import type { Reply } from '../../http/server.js';
@@ -55,8 +56,9 @@
 /** Reports when a node last announced that it leads. */
 export interface LeaderActivity {
   /**
-   * Returns when the announcement was sent, in milliseconds on this node's clock;
-   * null when the node's latest status does not say that it leads in this term.
+   * Returns when the announcement was sent, in milliseconds on this node's
+   * monotonic clock; null when the node's latest status does not say that it leads
+   * in this term.
    */
   lastLedAt(node: string, term: number): number | null;
 }
@@ -90,14 +92,14 @@
     const { ctx, election } = this.options;
     const term = election.observedTerm;
     if (term === null || heartbeat.term > term) return redirectTo(null);
-    const nowMs = ctx.clock.now();
+    const now = ctx.clock.now();
     if (
       heartbeat.term < term &&
       agent.termUnawareness?.term !== term &&
       (await this.isUnawareOfTerm(heartbeat, term))
     )
-      agent.termUnawareness = { term, provenAtMs: nowMs };
-    if (!this.isWithinBound(agent, term, nowMs)) return redirectTo(null);
+      agent.termUnawareness = { term, provenAtMs: now };
+    if (!this.isWithinBound(agent, term, now)) return redirectTo(null);
     this.logOncePerTerm(term, agent.leader, heartbeat.machineId);
     const stopCommands: TaskCommand[] = [];
     try {
@@ -120,10 +122,10 @@
   }
 
   /** Reports whether tasks of starts still in transit would end in time for a cancellation. */
-  private isWithinBound(agent: RedirectedAgent, term: number, nowMs: number): boolean {
+  private isWithinBound(agent: RedirectedAgent, term: number, now: number): boolean {
     const startedAt = this.boundStartedAt(agent, term);
     if (startedAt === null) return false;
-    return nowMs - startedAt <= this.options.ctx.timing.delegatedRenewalMs;
+    return now - startedAt <= this.options.ctx.timing.delegatedRenewalMs;
   }
 
   /** Returns when the leader may last have sent the agent a start; null when unknown. */
--- a/src/controller/heartbeats/heartbeat-handler.ts
+++ b/src/controller/heartbeats/heartbeat-handler.ts
@@ -28,9 +28,9 @@
 export interface HeartbeatRelay extends LeaderActivity {
   /** Reports whether the node is connected and its status messages arrive. */
   isReachable(node: string): boolean;
-  /** Relays a heartbeat through a peer connection; rejects when no reply arrives. */
+  /** Relays a heartbeat through a peer connection; rejects when no response arrives. */
   relayHeartbeat(node: string, body: Buffer): Promise<Reply>;
-  /** Relays a heartbeat through the state service's mailbox; rejects when no reply arrives. */
+  /** Relays a heartbeat through the state service's mailbox; rejects when no response arrives. */
   relayThroughMailbox(node: string, machineId: string, body: Buffer): Promise<Reply>;
 }
 
@@ -73,15 +73,15 @@
     if (this.options.leader()) return this.handleAsLeader(heartbeat, false);
     const { leaderNode: leader } = election;
     if (leader === null || leader === ctx.node) return redirectTo(null);
-    const nowMs = ctx.clock.now();
-    this.redirected.forgetInactive(nowMs);
+    const now = ctx.clock.now();
+    this.redirected.forgetInactive(now);
     const reachable = peers.isReachable(leader);
     const agent = this.redirected.get(heartbeat.machineId, leader);
-    if (this.shouldRedirect(agent, reachable, nowMs)) {
+    if (this.shouldRedirect(agent, reachable, now)) {
       agent.stopServing();
       return redirectTo(leader);
     }
-    agent.startServing(nowMs);
+    agent.startServing(now);
     try {
       return reachable
         ? await peers.relayHeartbeat(leader, body)
@@ -98,8 +98,8 @@
 
   /** Handles a heartbeat as the leader. `relayed` is true when it arrived through a peer or the mailbox. */
   async handleAsLeader(heartbeat: Heartbeat, relayed: boolean): Promise<Reply> {
-    // No lease may be renewed before the jobs are read. Waiting for that also lets the first reply
-    // carry commands.
+    // No lease may be renewed before the jobs are read. Waiting for that also lets the first
+    // response carry commands.
     await this.options.leader()?.waitUntilReady();
     const leader = this.options.leader();
     const term = this.options.election.currentTerm;
@@ -121,10 +121,10 @@
    * An agent served here for longer than a lease is redirected once nevertheless,
    * since the partition may have ended.
    */
-  private shouldRedirect(agent: RedirectedAgent, reachable: boolean, nowMs: number): boolean {
+  private shouldRedirect(agent: RedirectedAgent, reachable: boolean, now: number): boolean {
     const { heartbeatMs, agentLeaseMs } = this.options.ctx.timing;
-    const returned = agent.recordHeartbeat(nowMs, heartbeatMs * RETURN_WINDOW_HEARTBEATS);
-    const servedForLong = agent.isServedForLongerThan(agentLeaseMs, nowMs);
+    const returned = agent.recordHeartbeat(now, heartbeatMs * RETURN_WINDOW_HEARTBEATS);
+    const servedForLong = agent.isServedForLongerThan(agentLeaseMs, now);
     return reachable && (!returned || servedForLong);
   }
 }
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -26,8 +26,8 @@
 
 const MAILBOX_PREFIX = 'mail/';
 
-/** Fraction of a lease in which new messages are attached to it. The rest leaves time to receive the last of them. */
-const LEASE_REUSE_FRACTION = 0.5;
+/** Share of a lease in which new messages are attached to it. The rest leaves time to receive the last of them. */
+const LEASE_REUSE_SHARE = 0.5;
 
 /** No response arrived within the request's time-out. */
 export class MailboxTimeoutError extends Error {
@@ -52,7 +52,7 @@
 /** The lease that messages are attached to. */
 interface MailboxLease {
   id: Promise<number>;
-  /** Clock time in ms after which new messages are attached to a new lease. */
+  /** Time in milliseconds on the monotonic clock after which new messages are attached to a new lease. */
   usableUntil: number;
 }
 
@@ -192,7 +192,7 @@
     const now = clock.now();
     if (!this.lease || now > this.lease.usableUntil) {
       const id = state.grantLease(timing.agentLeaseMs);
-      const lease = { id, usableUntil: now + timing.agentLeaseMs * LEASE_REUSE_FRACTION };
+      const lease = { id, usableUntil: now + timing.agentLeaseMs * LEASE_REUSE_SHARE };
       this.lease = lease;
       id.catch(() => {
         if (this.lease === lease) this.lease = null;
--- a/src/controller/heartbeats/redirected-agents.ts
+++ b/src/controller/heartbeats/redirected-agents.ts
@@ -10,7 +10,10 @@
 /** Proof that an agent did not know a leader term. */
 export interface TermUnawareness {
   term: number;
-  /** By this node's clock, in ms; until then nothing from that term's leader had reached the agent. */
+  /**
+   * Time until which nothing from that term's leader had reached the agent, in
+   * milliseconds on the monotonic clock.
+   */
   provenAtMs: number;
 }
 
@@ -27,15 +30,15 @@
   ) {}
 
   /** Records a heartbeat. Reports whether the previous one arrived less than `windowMs` ago. */
-  recordHeartbeat(nowMs: number, windowMs: number): boolean {
-    const returned = nowMs - this.lastHeartbeatAt < windowMs;
-    this.lastHeartbeatAt = nowMs;
+  recordHeartbeat(now: number, windowMs: number): boolean {
+    const returned = now - this.lastHeartbeatAt < windowMs;
+    this.lastHeartbeatAt = now;
     return returned;
   }
 
   /** Marks the agent as served here: this node relays its heartbeats or renews its lease. */
-  startServing(nowMs: number): void {
-    this.servedSince ??= nowMs;
+  startServing(now: number): void {
+    this.servedSince ??= now;
   }
 
   /** Marks the agent as redirected to the leader again. */
@@ -43,14 +46,14 @@
     this.servedSince = null;
   }
 
-  /** Reports whether the agent has been served here for more than `ms`. */
-  isServedForLongerThan(ms: number, nowMs: number): boolean {
-    return this.servedSince !== null && nowMs - this.servedSince > ms;
+  /** Reports whether the agent has been served here for more than `durationMs`. */
+  isServedForLongerThan(durationMs: number, now: number): boolean {
+    return this.servedSince !== null && now - this.servedSince > durationMs;
   }
 
-  /** Reports whether no heartbeat has arrived from the agent for more than `ms`. */
-  isInactiveFor(ms: number, nowMs: number): boolean {
-    return nowMs - this.lastHeartbeatAt > ms;
+  /** Reports whether no heartbeat has arrived from the agent for more than `durationMs`. */
+  isInactiveFor(durationMs: number, now: number): boolean {
+    return now - this.lastHeartbeatAt > durationMs;
   }
 }
 
@@ -76,11 +79,11 @@
   }
 
   /** Removes inactive agents, at most once in FORGET_AFTER_LEASES agent leases. */
-  forgetInactive(nowMs: number): void {
+  forgetInactive(now: number): void {
     const keepMs = this.timing.agentLeaseMs * FORGET_AFTER_LEASES;
-    if (nowMs - this.lastSweepAt < keepMs) return;
-    this.lastSweepAt = nowMs;
+    if (now - this.lastSweepAt < keepMs) return;
+    this.lastSweepAt = now;
     for (const [machineId, agent] of this.agents)
-      if (agent.isInactiveFor(keepMs, nowMs)) this.agents.delete(machineId);
+      if (agent.isInactiveFor(keepMs, now)) this.agents.delete(machineId);
   }
 }
--- a/src/controller/leader/agent-commands.ts
+++ b/src/controller/leader/agent-commands.ts
@@ -6,7 +6,7 @@
  *
  * Serves docs/design.md "Safety" 2 (a command is sent only while the term is
  * proven), 3 (confirmed machines), 5 (a task that was started directly stays
- * assigned while the command is unanswered) and 6 (each command carries the
+ * assigned while the command has no reply) and 6 (each command carries the
  * machine's fence).
  */
 import type { AgentClient, CommandResult } from '../../clients/agent-client.js';
@@ -98,11 +98,11 @@
       await waitWhileLagging(clock, timing.placementIntervalMs, timing.agentLeaseMs, signal);
       const batch = this.startConfirmations(unconfirmed, concurrency, signal);
       const startedAt = clock.now();
-      // A machine that does not answer must not delay the others.
+      // A machine that does not reply must not delay the others.
       await Promise.race([Promise.all(batch), clock.sleep(timing.lagThresholdMs, signal)]);
       const batchDurationMs = clock.now() - startedAt;
       concurrency = this.nextConcurrency(concurrency, batchDurationMs);
-      // Heartbeats cost less than confirmations and have to be answered in any case.
+      // Heartbeats cost less than confirmations and need a response in any case.
       await clock.sleep(batchDurationMs * CONFIRMATION_PAUSE_RATIO, signal);
     }
   }
@@ -157,7 +157,7 @@
   private sendPendingCommands(): void {
     const { pendingCommands } = this.cluster;
     for (const machine of pendingCommands) {
-      // The others follow as these are answered, or earlier with a heartbeat response.
+      // The others follow as replies to these arrive, or earlier with a heartbeat response.
       if (!this.hasFreeSocket()) return;
       if (this.inFlight.has(machine.id)) continue;
       pendingCommands.delete(machine);
@@ -258,7 +258,7 @@
       for (const attempt of startedAttempts) attempt.directCommandFence = null;
     if (term.signal.aborted) return;
     // A request that was not attempted says nothing about the machine, and a machine behind a
-    // network partition can't answer.
+    // network partition can't reply.
     if (!(err instanceof NotAttemptedError) && !machine.relayed)
       cluster.markUnresponsive(machine, ctx.clock.now());
     ctx.log.debug({ machine: machine.id, err }, 'agent command failed; its starts stay assigned');
--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,11 +1,11 @@
 /**
  * Saves the demand forecast for the next leader, which would provision too few
- * machines without it, and restores the forecast that the previous leader saved.
- * Owns the keys `loads` and `loads/<page>`, and the version of the newest job
- * that the forecast counts.
+ * machines without it, and restores the forecast that an earlier leader saved. Owns
+ * the keys `loads` and `loads/<page>`, and the version of the newest job that the
+ * forecast counts.
  *
  * Serves docs/design.md "Safety" 1: the writes are conditioned on the version of
- * this term's leader key, so a former leader can't overwrite the keys.
+ * this term's leader key, so an earlier leader can't overwrite the keys.
  */
 import type { DemandForecast } from '../../model/demand-forecast.js';
 import type { Change } from '../../protocol/key-value-protocol.js';
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Restores the forecast that the previous leader saved. Throws `AbortedError`
-   * once the term has ended.
+   * Restores the forecast that an earlier leader saved. Throws `AbortedError` once
+   * the term has ended.
    */
   async read(): Promise<void> {
     const first = decodeFirstPage(await this.readPage(0));
--- a/src/controller/leader/fleet-controller.ts
+++ b/src/controller/leader/fleet-controller.ts
@@ -222,7 +222,7 @@
       ctx.log.info(fields, 'provisioning refused: no capacity');
       return;
     }
-    // Fewer than requested: the cloud's capacity for this kind of machine is exhausted.
+    // Fewer than requested: the pool's capacity is exhausted.
     if (machines.length < plan.count) scaleOut.recordRefusal(plan, now);
     else scaleOut.recordSuccess(plan);
     ctx.log.info({ ...fields, machines }, 'machines provisioned');
--- a/src/controller/leader/heartbeat-processing.ts
+++ b/src/controller/leader/heartbeat-processing.ts
@@ -41,13 +41,13 @@
   commands: Pick<AgentCommands, 'hasCommandInFlight' | 'sendPending'>;
 }
 
-/** Answers the agents' heartbeats for one leader term. */
+/** Responds to the agents' heartbeats for one leader term. */
 export class HeartbeatProcessor {
   constructor(private readonly options: HeartbeatProcessorOptions) {}
 
   /**
    * Handles a heartbeat and returns the response. `relayed` is true when another
-   * controller forwarded the heartbeat because a network partition separates the
+   * controller relayed the heartbeat because a network partition separates the
    * agent from this one.
    */
   process(heartbeat: Heartbeat, relayed: boolean): HeartbeatResponse {
@@ -89,7 +89,7 @@
   /**
    * Rechecks a machine that sends heartbeats but on which commands have no effect.
    * A direct probe shows whether it receives commands. Behind a network partition
-   * it can't answer one, and only starts without effect count against it.
+   * it can't reply to one, and only starts without effect count against it.
    */
   private recheckUnresponsive(machine: Machine, unresponsiveSince: number, now: number): void {
     const { ctx, cluster, commands } = this.options;
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -46,8 +46,8 @@
   agents: Pick<AgentClient, 'command' | 'retainOnly' | 'close'>;
 }
 
-/** Numbers of finished and running tasks of a job for display, in the form that is sent to peers. */
-export type JobTaskCounts = [jobId: string, finished: number, running: number];
+/** Numbers of done and running tasks of a job for display, in the form that is sent to peers. */
+export type JobTaskCounts = [jobId: string, done: number, running: number];
 
 /** The leader of one term. Its constructor is the composition root of the term's routines. */
 export class Leader {
@@ -168,8 +168,8 @@
 
   /**
    * Applies a cancellation that is durable at this revision and that a controller
-   * is about to confirm to its user. The job watch may be late, or refused only to
-   * this controller, but nothing of the job may start once the user has the
+   * is about to confirm to its user. The job watch may lag behind, or be refused
+   * only to this controller, but nothing of the job may start once the user has the
    * confirmation.
    */
   announceCancellation(id: string, revision: number): void {
@@ -189,7 +189,7 @@
 
   /**
    * Applies an agent's heartbeat and returns the response: commands and the
-   * machine's fence. `relayed` is true when another controller forwarded the
+   * machine's fence. `relayed` is true when another controller relayed the
    * heartbeat.
    */
   handleHeartbeat(heartbeat: Heartbeat, relayed: boolean): HeartbeatResponse {
@@ -197,9 +197,8 @@
   }
 
   /**
-   * Returns the numbers of finished and running tasks, for display, of at most
-   * `limit` live jobs that have any. Tasks whose start is not confirmed count as
-   * running.
+   * Returns the numbers of done and running tasks, for display, of at most `limit`
+   * live jobs that have any. Tasks whose start is not confirmed count as running.
    */
   taskCounts(limit: number): JobTaskCounts[] {
     const counts: JobTaskCounts[] = [];
--- a/src/controller/membership/peer-statuses.ts
+++ b/src/controller/membership/peer-statuses.ts
@@ -18,7 +18,7 @@
  */
 export class PeerStatuses {
   private readonly received = new Map<string, ReceivedStatus>();
-  /** Task counts by job id, from the last status that a leader sent. */
+  /** Task counts by job id, from the latest status that a leader sent. */
   private readonly taskCounts = new Map<string, TaskCounts>();
 
   constructor(
@@ -40,7 +40,7 @@
       this.taskCounts.set(job, { done, running });
   }
 
-  /** Reports whether the peer is connected and its last status is recent, so that a request is likely to succeed. */
+  /** Reports whether the peer is connected and its latest status is recent, so that a request is likely to succeed. */
   isReachable(node: string): boolean {
     const received = this.received.get(node);
     return received !== undefined && this.isFresh(received) && this.isConnected(node);
@@ -61,7 +61,7 @@
     return received?.status.leading && received.status.term === term ? received.sentAt : null;
   }
 
-  /** Returns the task counts of a live job in the last status of a leader; null if it has none for the job. */
+  /** Returns the task counts of a live job in the latest status of a leader; null if it has none for the job. */
   taskCountsOf(jobId: string): TaskCounts | null {
     return this.taskCounts.get(jobId) ?? null;
   }
--- a/src/controller/memory-guard.ts
+++ b/src/controller/memory-guard.ts
@@ -38,7 +38,7 @@
 export class MemoryGuard {
   /** Whether memory is low, so that new jobs are refused. */
   isLow = false;
-  private hasLogged = false;
+  private lowMemoryLogged = false;
   private consecutiveHighChecks = 0;
 
   constructor(
@@ -60,8 +60,8 @@
     const isHigh = share >= (this.isLow ? RECOVERED_SHARE : LOW_MEMORY_SHARE);
     this.consecutiveHighChecks = isHigh ? this.consecutiveHighChecks + 1 : 0;
     this.isLow = this.isLow ? isHigh : this.consecutiveHighChecks >= LOW_MEMORY_CHECKS;
-    if (!this.isLow || this.hasLogged) return;
-    this.hasLogged = true;
+    if (!this.isLow || this.lowMemoryLogged) return;
+    this.lowMemoryLogged = true;
     this.ctx.log.error(
       { usedShare: Math.round(share * 100) / 100 },
       'memory low: quota.memory_mb or the heap limit is too small for this fleet; no new jobs are accepted meanwhile',
--- a/src/controller/retry.ts
+++ b/src/controller/retry.ts
@@ -12,9 +12,9 @@
 const JITTER_RANGE = 0.6;
 
 /**
- * Repeats a call until it succeeds, with exponential back-off and jitter. The
- * retry time in a refusal may shorten the pause but never lengthens it: a leader
- * must not wait longer than its own back-off.
+ * Retries a call until it succeeds, with exponential back-off and jitter. The retry
+ * time in a refusal may shorten the pause but never lengthens it: a leader must not
+ * wait longer than its own back-off.
  *
  * @throws AbortedError when the signal is aborted; no other error.
  */
--- a/src/scheduler/persistence/durable-write.ts
+++ b/src/scheduler/persistence/durable-write.ts
@@ -26,9 +26,9 @@
    */
   conflict(failedKeys: string[]): void;
   /**
-   * The write has to be repeated. `mayBeApplied` is true if it was sent but
-   * received no response, so that it may have been applied or may still be
-   * applied. Otherwise it was not applied and never will be.
+   * The write has to be retried. `mayBeApplied` is true if it was sent but received
+   * no response, so that it may have been applied or may still be applied.
+   * Otherwise it was not applied and never will be.
    */
   retry(mayBeApplied: boolean): void;
 }
--- a/src/scheduler/persistence/job-end-writes.ts
+++ b/src/scheduler/persistence/job-end-writes.ts
@@ -2,10 +2,10 @@
  * Writes the ends of jobs: completions, and cancellations that follow from the
  * cancellation of a dependency.
  *
- * Both create the record of the ended job and delete the live record, on the
+ * Both create the end record of the job and delete the live record, on the
  * condition that the live record is the one that was accepted. An end is never
  * rewritten and an id is never accepted twice, so a late copy fails because the
- * live record is gone.
+ * live record no longer exists.
  */
 
 import type { JobEnd } from '../../model/job.js';
--- a/src/scheduler/persistence/pending-writes.ts
+++ b/src/scheduler/persistence/pending-writes.ts
@@ -12,7 +12,7 @@
 export interface WriteBudget {
   /** Maximum changes for progress and cleanup; ends of jobs and additions to the roster are always written. */
   progressChanges: number;
-  /** Wall-clock time for the records of ended jobs, in milliseconds. */
+  /** Wall-clock time for the end records of jobs, in milliseconds. */
   wallNow: number;
 }
 
@@ -33,16 +33,16 @@
 export function collectPendingWrites(cluster: ClusterState, budget: WriteBudget): DurableWrite[] {
   const rosterAdditions = createRosterAdditionWrites(cluster);
   const jobs = collectJobWrites(cluster, budget);
-  const stalePages = cluster.roster
+  const unsavedPages = cluster.roster
     .rewriteStalePages(jobs.changesLeft)
     .map((pageWrite) => new RosterPageWrite(cluster, pageWrite));
-  const deletions = createKeyDeletions(cluster, jobs.changesLeft - stalePages.length);
+  const deletions = createKeyDeletions(cluster, jobs.changesLeft - unsavedPages.length);
   return [
     ...rosterAdditions,
     ...jobs.awaitedEnds,
     ...jobs.otherEnds,
     ...jobs.progress,
-    ...stalePages,
+    ...unsavedPages,
     ...deletions,
   ];
 }
--- a/src/scheduler/persistence/roster-page-write.ts
+++ b/src/scheduler/persistence/roster-page-write.ts
@@ -41,7 +41,7 @@
  *
  * A page of unknown version is only ever deleted, without a condition. A late
  * copy of the deletion is harmless, since all machines on the page have been
- * terminated and none is added to it any more.
+ * terminated and none is added to it anymore.
  */
 export class RosterPageWrite implements DurableWrite {
   readonly conditions: Condition[];
@@ -73,7 +73,7 @@
     this.requeueAdditions();
   }
 
-  /** Repeats the write; after one without a response, the machines are added to another page. */
+  /** Retries the write; after one without a response, the machines are added to another page. */
   retry(mayBeApplied: boolean): void {
     if (mayBeApplied) this.pageWrite.outcomeUnknown();
     else this.pageWrite.notApplied();
--- a/src/scheduler/persistence/roster-page.ts
+++ b/src/scheduler/persistence/roster-page.ts
@@ -8,9 +8,9 @@
   readonly entries = new Map<string, RosterEntry>();
   /** Size of the entries in the page's value, in bytes. */
   bytes = 0;
-  /** The page lost machines or a write of it failed, so it has to be written again. */
-  stale = false;
-  /** A write of the page is in progress. */
+  /** Machines were removed from the page or a write of it failed, so it has to be written again. */
+  unsaved = false;
+  /** A write of the page is in flight. */
   writing = false;
 
   constructor(
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -41,7 +41,7 @@
   private readonly pages = new Set<RosterPage>();
   /** By machine id, the pages that the machine is on or may be on. */
   private readonly pagesOfMachine = new Map<string, Set<RosterPage>>();
-  /** Pages that may have space. A page that lacked space is left out until it loses a machine. */
+  /** Pages that may have space. A page that lacked space is left out until a machine is removed from it. */
   private readonly pagesWithSpace = new Set<RosterPage>();
   /** Number of pages created in this term. */
   private createdPageCount = 0;
@@ -63,7 +63,7 @@
   removeMachine(id: string): void {
     for (const page of this.pagesOfMachine.get(id) ?? []) {
       this.dropEntry(page, id);
-      page.stale = true;
+      page.unsaved = true;
     }
     this.pagesOfMachine.delete(id);
   }
@@ -90,7 +90,7 @@
     const writes: PageWrite[] = [];
     for (const page of this.pages) {
       if (writes.length + 1 > budget) break;
-      if (!page.stale || page.writing) continue;
+      if (!page.unsaved || page.writing) continue;
       if (page.version === null && page.entries.size > 0) continue;
       if (page.bytes > this.maxPageBytes) writes.push(...this.moveExcessEntries(page));
       else writes.push(this.startWrite(page, []));
@@ -166,7 +166,7 @@
 
   /** Starts a write of the page as it is now. No other one starts before its outcome is known. */
   private startWrite(page: RosterPage, added: RosterEntry[]): PageWrite {
-    page.stale = false;
+    page.unsaved = false;
     page.writing = true;
     const entries = [...page.entries.values()];
     return {
@@ -188,14 +188,14 @@
 
   private writeNotApplied(page: RosterPage, added: RosterEntry[]): void {
     page.writing = false;
-    page.stale = true;
+    page.unsaved = true;
     for (const entry of added) this.removeFromPage(page, entry.id);
     if (page.version === 0 && page.entries.size === 0) this.deletePage(page);
   }
 
   private writeOutcomeUnknown(page: RosterPage): void {
     page.writing = false;
-    page.stale = true;
+    page.unsaved = true;
     page.version = null;
   }
 }
--- a/src/scheduler/placement/assignment.ts
+++ b/src/scheduler/placement/assignment.ts
@@ -9,7 +9,7 @@
 /** The limits of one placement pass, and the attempts that it has started so far. */
 export interface PlacementContext {
   readonly cluster: ClusterState;
-  /** Milliseconds on the leader's clock. */
+  /** Milliseconds on the monotonic clock. */
   readonly now: number;
   /** Maximum number of attempts to start. */
   readonly maxStarts: number;
--- a/src/scheduler/placement/feasibility.ts
+++ b/src/scheduler/placement/feasibility.ts
@@ -9,7 +9,7 @@
 import type { Machine } from '../state/task-attempt.js';
 
 /**
- * A machine whose latest heartbeat is older than this many heartbeat intervals gets no
+ * A machine whose last heartbeat is older than this many heartbeat intervals gets no
  * new tasks.
  */
 const MAX_HEARTBEAT_AGE_INTERVALS = 2;
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -76,7 +76,7 @@
   victims: Victim[];
   /** Number of tasks of the batch that the freed capacity is reserved for. */
   slots: number;
-  /** When the reservation expires, in milliseconds on the leader's clock. */
+  /** When the reservation expires, in milliseconds on the monotonic clock. */
   reservedUntil: number;
 }
 
--- a/src/scheduler/placement/ready-queue.ts
+++ b/src/scheduler/placement/ready-queue.ts
@@ -47,12 +47,13 @@
 
 /**
  * Marks the new jobs that fit their team's guaranteed quota together with the
- * team's earlier unfinished jobs. A job that waits for dependencies uses no
- * guaranteed quota until it may run.
+ * team's earlier live jobs. A job that waits for dependencies uses no guaranteed
+ * quota until it may run.
  *
- * Each job is checked once, on arrival. If jobs were checked again, each would
- * come to fit as earlier ones end, and the oldest work of all teams would precede
- * and preempt work that can still meet its objectives.
+ * Each job is checked once, in the first round in which it waits for no
+ * dependencies. If jobs were checked again, each would come to fit as earlier ones
+ * end, and the oldest work of all teams would precede and preempt work that can
+ * still meet its objectives.
  *
  * The result of an earlier leader's check is not stored. An inherited job that
  * has waited past the start objective for guaranteed work counts as not fitting.
--- a/src/scheduler/reconcile/inherited-machines.ts
+++ b/src/scheduler/reconcile/inherited-machines.ts
@@ -5,16 +5,16 @@
 import { type MachineTraits, satisfiesConstraints } from '../state/constraints.js';
 import type { Machine } from '../state/task-attempt.js';
 
-/** Inherited machines of one type, zone and capacity kind. */
+/** Inherited machines of one pool: the on-demand or the spot machines of one type in one zone. */
 interface InheritedPool {
   traits: MachineTraits;
   count: number;
 }
 
 /**
- * Machines of the durable roster that are neither confirmed nor terminated,
- * counted by type, zone and capacity kind. Tasks that an earlier leader started
- * may still run on them and must not be started a second time.
+ * Machines of the durable roster that are neither confirmed nor terminated, counted
+ * by pool. Tasks that an earlier leader started may still run on them and must not
+ * be started a second time.
  */
 export class InheritedMachines {
   private readonly pools = new Map<string, InheritedPool>();
--- a/src/scheduler/reconcile/task-commands.ts
+++ b/src/scheduler/reconcile/task-commands.ts
@@ -142,10 +142,10 @@
   let waiting = 0;
   for (const attempt of machine.attempts.values()) {
     if (attempt.directCommandFence === null) continue;
-    const unanswered =
+    const withoutReply =
       attempt.state === 'assigned' && now - attempt.assignedAt > timing.heartbeatMs;
     const toBeForgotten = attempt.state === 'exited' && attempt.mayBeForgotten;
-    if (unanswered || toBeForgotten) waiting++;
+    if (withoutReply || toBeForgotten) waiting++;
   }
   return waiting;
 }
--- a/src/scheduler/reconcile/unknown-tasks.ts
+++ b/src/scheduler/reconcile/unknown-tasks.ts
@@ -15,7 +15,7 @@
   /** Machines that list unknown tasks that have not exited. */
   private readonly occupiedMachines = new Set<Machine>();
 
-  /** Replaces the machine's unknown tasks with those of its latest heartbeat. */
+  /** Replaces the machine's unknown tasks with those of its last heartbeat. */
   record(machine: Machine, tasks: readonly TaskStatus[]): void {
     machine.hasUnknownTasks = tasks.some((task) => task.state !== 'exited');
     if (machine.hasUnknownTasks) this.occupiedMachines.add(machine);
@@ -24,7 +24,7 @@
     else this.tasksByMachineId.delete(machine.id);
   }
 
-  /** Returns the unknown tasks of the machine's latest heartbeat. */
+  /** Returns the unknown tasks of the machine's last heartbeat. */
   get(machine: Machine): readonly TaskStatus[] {
     return this.tasksByMachineId.get(machine.id) ?? NO_TASKS;
   }
--- a/src/scheduler/scaling/boot-time.ts
+++ b/src/scheduler/scaling/boot-time.ts
@@ -12,7 +12,7 @@
   return longest;
 }
 
-/** Returns the time that machines of this type usually take to boot, in milliseconds. */
+/** Returns the expected boot time of the machine, in milliseconds. */
 export function expectedBootMs(machine: Machine): number {
   return (machine.type?.bootS ?? UNKNOWN_TYPE_BOOT_S) * 1000;
 }
--- a/src/scheduler/scaling/capacity-backoff.ts
+++ b/src/scheduler/scaling/capacity-backoff.ts
@@ -16,7 +16,7 @@
 }
 
 interface Backoff {
-  /** End of the delay, in milliseconds on the leader's clock. */
+  /** End of the delay, in milliseconds on the monotonic clock. */
   until: number;
   doublings: number;
 }
--- a/src/scheduler/scaling/capacity.ts
+++ b/src/scheduler/scaling/capacity.ts
@@ -9,10 +9,10 @@
 import type { Demand } from './demand.js';
 
 /**
- * A machine that has been booting for more than this many times its usual boot
- * time may never come up. Regular boots take up to 1.5 times the usual time.
+ * A machine that has been booting for more than this many times its expected boot
+ * time may never come up. Normal boots take up to 1.5 times the expected time.
  */
-const LATE_BOOT_RATIO = 2;
+const OVERDUE_BOOT_RATIO = 2;
 /** Slots and shares up to this size are rounding errors. */
 const NEGLIGIBLE = 1e-9;
 /**
@@ -70,11 +70,13 @@
 }
 
 /**
- * Reports whether the machine is so late to boot that it may never come up. It
- * then no longer counts as capacity, so that a replacement is provisioned.
+ * Reports whether the machine has been booting for so long that it may never come
+ * up. It then no longer counts as capacity, so that a replacement is provisioned.
  */
 function isBootOverdue(machine: Machine, type: MachineType, now: number): boolean {
-  return machine.upAt === null && now - machine.provisionedAt > type.bootS * 1000 * LATE_BOOT_RATIO;
+  return (
+    machine.upAt === null && now - machine.provisionedAt > type.bootS * 1000 * OVERDUE_BOOT_RATIO
+  );
 }
 
 /**
@@ -125,8 +127,8 @@
 }
 
 /**
- * Returns how many tasks of the mean request a machine runs at once. The result may be
- * fractional.
+ * Returns how many tasks of the mean request a machine runs concurrently. The result
+ * may be fractional.
  */
 export function meanSlots(type: MachineType, request: ResourceRequest): number {
   return Math.max(
--- a/src/scheduler/scaling/demand-forecasts.ts
+++ b/src/scheduler/scaling/demand-forecasts.ts
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Returns a weight from 1 to 0 that falls as it becomes unlikely that jobs of
-   * the kind still arrive. When the time without an arrival far exceeds the usual
+   * Returns a weight from 1 to 0 that falls as it becomes unlikely that jobs of the
+   * kind still arrive. When the time without an arrival far exceeds the mean
    * interval, the kind has stopped arriving, and no machines are kept for it.
    */
   activeProbability(forecast: DemandForecast): number {
--- a/src/scheduler/scaling/fleet-conditions.ts
+++ b/src/scheduler/scaling/fleet-conditions.ts
@@ -18,8 +18,8 @@
  */
 const CONFIRM_HEARTBEATS = 2;
 /**
- * Limit that replaces `CONFIRM_HEARTBEATS` for an agent that also did not reply
- * to a direct command: one interval with its jitter, and a redirection.
+ * Limit that replaces `CONFIRM_HEARTBEATS` for an agent that also did not reply to
+ * a direct command: one interval with its jitter, and a redirect.
  */
 const UNANSWERED_CONFIRM_HEARTBEATS = 1.4;
 
@@ -98,7 +98,7 @@
  * more than the tasks they run.
  *
  * While many machines of a zone are unconfirmed, the cause is probably a network
- * partition and their tasks are still running, so none of them is returned.
+ * partition and their tasks are still running, so none of them is fenced.
  */
 function machinesBlockingInheritedWork(cluster: ClusterState, now: number): Set<Machine> {
   const blocking = new Set<Machine>();
--- a/src/scheduler/scaling/scale-in.ts
+++ b/src/scheduler/scaling/scale-in.ts
@@ -17,7 +17,7 @@
  */
 const PREEMPTED_AFTER_HEARTBEATS = 1.5;
 /**
- * A zone is live while the latest heartbeat from any of its machines is at most this
+ * A zone is live while the last heartbeat from any of its machines is at most this
  * many intervals old.
  */
 const LIVE_ZONE_HEARTBEATS = 1.5;
--- a/src/scheduler/state/cluster-parts.ts
+++ b/src/scheduler/state/cluster-parts.ts
@@ -24,7 +24,7 @@
 import { ZoneLivenessTracker } from './zone-liveness.js';
 
 /** Tombstones are kept for this multiple of the time for which the cloud's list may still show a terminated machine. */
-const TOMBSTONE_RETENTION_FACTOR = 10;
+const TOMBSTONE_RETENTION_RATIO = 10;
 /** Maximum size of a roster page in bytes, unless the settings specify another. */
 const DEFAULT_ROSTER_PAGE_BYTES = 4096;
 
@@ -74,7 +74,7 @@
     unknownTasks,
     responsiveness,
     roster: new Roster(term, options.rosterPageBytes ?? DEFAULT_ROSTER_PAGE_BYTES),
-    tombstones: new MachineTombstones(timing.listProofMs * TOMBSTONE_RETENTION_FACTOR),
+    tombstones: new MachineTombstones(timing.listProofMs * TOMBSTONE_RETENTION_RATIO),
     roundTrigger,
     logDecision,
   });
--- a/src/scheduler/state/cluster-state.ts
+++ b/src/scheduler/state/cluster-state.ts
@@ -53,7 +53,7 @@
   readonly bitmaps: BitmapLayout;
   readonly logDecision: DecisionLogger;
 
-  /** The live jobs. Also keeps stale watch events from adding ended jobs again. */
+  /** The live jobs. Also keeps outdated watch events from adding ended jobs again. */
   readonly jobRegistry: JobRegistry;
   /** The machines and their types. Other parts read the maps through it and keep no reference to them. */
   readonly machineRegistry: MachineRegistry;
@@ -64,7 +64,7 @@
 
   /** Batches for which the last placement round found no machine, in the order of the ready queue. */
   unplacedBatches: Batch[] = [];
-  /** Wall clock minus monotonic clock in milliseconds, for the ages of jobs. */
+  /** Wall-clock time minus monotonic time in milliseconds, for the ages of jobs. */
   wallClockOffsetMs = 0;
 
   private readonly roundTrigger: RoundTrigger;
@@ -299,7 +299,7 @@
     this.responsiveness.markResponsive(machine);
   }
 
-  /** Applies a heartbeat. Returns false when it is outdated or a delayed duplicate. */
+  /** Applies a heartbeat. Returns false when it is outdated or may be a delayed duplicate. */
   applyHeartbeat(heartbeat: Heartbeat, source: HeartbeatSource, now: number): boolean {
     return this.heartbeatReconciliation.apply(heartbeat, source, now);
   }
--- a/src/scheduler/state/constraints.ts
+++ b/src/scheduler/state/constraints.ts
@@ -5,7 +5,7 @@
 /** The attributes of a machine that job constraints refer to. */
 export type MachineTraits = Pick<Machine, 'typeName' | 'zone' | 'spot'>;
 
-/** Reports whether the job allows the machine's type, zone and capacity kind (spot or on demand). */
+/** Reports whether the job allows the machine's type and zone and, if it is a spot machine, spot machines. */
 export function satisfiesConstraints(machine: MachineTraits, spec: JobSpec): boolean {
   return (
     (spec.machineTypes === null || spec.machineTypes.includes(machine.typeName)) &&
--- a/src/scheduler/state/dependency-graph.ts
+++ b/src/scheduler/state/dependency-graph.ts
@@ -130,7 +130,10 @@
     if (oldest !== undefined) this.knownEnds.delete(oldest);
   }
 
-  /** Releases the dependents of a job that has been done since the time of day `at`, which is null when not known. */
+  /**
+   * Releases the dependents of a job that has been done since the wall-clock time
+   * `at`, which is null when not known.
+   */
   private releaseDependents(id: string, at: number | null): void {
     const dependents = this.dependents.get(id);
     if (!dependents) return;
--- a/src/scheduler/state/effective-deadline.ts
+++ b/src/scheduler/state/effective-deadline.ts
@@ -8,7 +8,7 @@
 /** The fields of a job that determine its deadline. */
 export interface DeadlineJob {
   readonly spec: JobSpec;
-  /** Time of day in milliseconds at which it was accepted. The deadline counts from then. */
+  /** Wall-clock time in milliseconds at which it was accepted. The deadline counts from then. */
   readonly acceptedAt: number;
 }
 
@@ -25,7 +25,7 @@
   return job.spec.deadlineS === null ? null : { job, remainingPathS: 0 };
 }
 
-/** Returns the time of day in milliseconds by which a job with this deadline has to be done. */
+/** Returns the wall-clock time in milliseconds by which a job with this deadline has to be done. */
 export function latestEndAt({ job, remainingPathS }: EffectiveDeadline): number {
   const deadlineS = job.spec.deadlineS ?? Number.POSITIVE_INFINITY;
   return job.acceptedAt + (deadlineS - remainingPathS) * 1000;
--- a/src/scheduler/state/job-registry.ts
+++ b/src/scheduler/state/job-registry.ts
@@ -1,4 +1,4 @@
-/** The live jobs of a leader term. Stale watch events don't add ended jobs again. */
+/** The live jobs of a leader term. Outdated watch events don't add ended jobs again. */
 import {
   type DependencyList,
   type JobEnd,
@@ -32,7 +32,7 @@
   readonly dependencies: DependencyGraph;
   /** State service keys of ended jobs, which are to be deleted. */
   readonly obsoleteKeys = new Set<string>();
-  /** Revisions of announced cancellations, by job id. Watch events from before that revision are stale. */
+  /** Revisions of announced cancellations, by job id. Watch events from before that revision are outdated. */
   private readonly announcedCancellations = new Map<string, number>();
   /** The revision up to which the job watch has been applied. */
   private appliedRevision = 0;
--- a/src/scheduler/state/job-state.ts
+++ b/src/scheduler/state/job-state.ts
@@ -20,7 +20,10 @@
   failures = 0;
   /** Ids of machines on which a task failed since the job's last success. */
   readonly failedMachines = new Set<string>();
-  /** Monotonic milliseconds before which no task starts; set when the job fails on several machines. */
+  /**
+   * Time before which no task starts, in milliseconds on the monotonic clock; set
+   * when the job fails on several machines.
+   */
   backoffUntil = 0;
 
   // Durability
@@ -44,7 +47,10 @@
   dependenciesUnread = false;
   /** Whether a direct or transitive dependency was cancelled. This job will be cancelled too. */
   dependencyCancelled = false;
-  /** Time of day in milliseconds from which its waiting time counts: its acceptance, or the end of its last dependency. */
+  /**
+   * Wall-clock time in milliseconds from which its waiting time counts: its
+   * acceptance, or the end of its last dependency.
+   */
   eligibleAt: number;
 
   // Urgency
@@ -54,8 +60,9 @@
   /** The deadline that leaves it the least time: its own, or one of a job that depends on it. Null when there is none. */
   effectiveDeadline: EffectiveDeadline | null;
   /**
-   * Whether the job, on arrival, fitted its team's guaranteed quota together
-   * with the team's earlier unfinished jobs; null until that is determined.
+   * Whether the job, once it waited for no dependencies, fitted its team's
+   * guaranteed quota together with the team's earlier live jobs; null until that is
+   * determined.
    *
    * It is determined only once. Otherwise every job would fit in turn as earlier
    * ones end, and the oldest work of all teams would go before, and preempt,
@@ -67,7 +74,7 @@
     readonly spec: JobSpec,
     /** Version of its key in the state service, which gives the order of arrival. */
     readonly version: number,
-    /** Time of day in milliseconds at which it was accepted. */
+    /** Wall-clock time in milliseconds at which it was accepted. */
     readonly acceptedAt: number,
     /** Whether it was accepted before this leader's term, so that an earlier leader may have started its tasks. */
     readonly inherited: boolean,
@@ -89,7 +96,7 @@
     return this.dependencyCancelled || this.dependenciesUnread || this.pendingDependencies.size > 0;
   }
 
-  /** Records that a dependency has been durably done since the time of day `at`, which is null when not known. */
+  /** Records that a dependency has been durably done since the wall-clock time `at`, which is null when not known. */
   markDependencyDone(id: string, at: number | null): void {
     this.pendingDependencies.delete(id);
     if (at !== null) this.eligibleAt = Math.max(this.eligibleAt, at);
@@ -140,7 +147,7 @@
     this.taskStates.releaseBackedOff(now);
   }
 
-  /** Returns the bitmap of the done tasks in a chunk, the lowest task first. */
+  /** Returns the bitmap of the finished tasks in a chunk, the lowest task first. */
   chunkBits(chunk: number, tasksPerChunk: number): Uint8Array {
     return this.taskStates.chunkBits(chunk, tasksPerChunk);
   }
--- a/src/scheduler/state/leader-lag.ts
+++ b/src/scheduler/state/leader-lag.ts
@@ -2,21 +2,24 @@
 import type { SchedulerTiming } from '../../model/policy.js';
 import type { Machine } from './task-attempt.js';
 
-/** The leader counts as lagging for this many heartbeat intervals after its event loop was last late. */
+/** The leader counts as lagging for this many heartbeat intervals after its event loop last lagged. */
 const LAGGING_HEARTBEATS = 0.25;
 
-/** Records when this leader's event loop was last late. */
+/** Records when this leader's event loop last lagged. */
 export class LeaderLag {
   private lastLagAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly timing: Pick<SchedulerTiming, 'heartbeatMs' | 'agentLeaseMs'>) {}
 
-  /** Records that the leader's event loop is late, so that received heartbeats may still be unread. */
+  /** Records that the leader's event loop lags, so that received heartbeats may still be unread. */
   markLagging(now: number): void {
     this.lastLagAt = now;
   }
 
-  /** Reports whether the event loop was late recently. Work that can wait for the machines' heartbeats should wait then. */
+  /**
+   * Reports whether the event loop lagged recently. Work that can wait for the
+   * machines' heartbeats should wait then.
+   */
   isLagging(now: number): boolean {
     return now - this.lastLagAt < this.timing.heartbeatMs * LAGGING_HEARTBEATS;
   }
--- a/src/scheduler/state/machine-state.ts
+++ b/src/scheduler/state/machine-state.ts
@@ -3,7 +3,7 @@
  * it, its roster membership and its resources. `Machine` in task-attempt.ts
  * adds the attempts.
  *
- * All times are milliseconds of this leader's monotonic clock.
+ * All times are in milliseconds on the monotonic clock.
  */
 
 import type { JobSpec } from '../../model/job.js';
@@ -43,8 +43,8 @@
    */
   lastHeartbeatAt = 0;
   /**
-   * Whether it was up, sends no heartbeats and is in no list. Most likely it has
-   * been terminated, and it is terminated again to be sure.
+   * Whether it was up, sends no heartbeats and is missing from the cloud's list.
+   * Most likely it has been terminated, and it is terminated again to be sure.
    */
   missingFromList = false;
   /** Number of consecutive heartbeat responses whose starts had no visible effect. */
@@ -87,7 +87,7 @@
   // Placement
 
   /**
-   * Whether no demand was assigned to it. It gets new work only when no other
+   * Whether no demand was allocated to it. It gets new work only when no other
    * machine has capacity, so that it becomes empty and can be terminated.
    */
   scaleInCandidate = false;
@@ -101,7 +101,7 @@
   drainReason: DrainReason | null = null;
   /** Since when it has had no work. Only meaningful while it has none. */
   idleSince: number;
-  /** It gets no task before this time; set when it rejects a task for lack of capacity. */
+  /** It gets no task before this time; set when it refuses a task for lack of capacity. */
   admissionBackoffUntil = 0;
   /** Number of task failures since the last success on this machine, by job id. */
   readonly failedJobs = new Map<string, number>();
--- a/src/scheduler/state/task-attempt.ts
+++ b/src/scheduler/state/task-attempt.ts
@@ -10,7 +10,7 @@
 import { JobState } from './job-state.js';
 import { MachineState } from './machine-state.js';
 
-/** A request to stop an attempt. Responses to heartbeats repeat it until the exit is reported. */
+/** A request to stop an attempt. Responses to heartbeats repeat it until the machine lists the exit. */
 export interface StopRequest {
   /** Seconds that the task has to save a checkpoint; 0 ends it immediately. */
   graceS: number;
@@ -29,7 +29,7 @@
   /** Number of the attempt. It increases across leaders and is never reused. */
   attempt: number;
   machine: Machine;
-  /** `assigned` until the machine reports the attempt. */
+  /** `assigned` until the machine lists the attempt. */
   state: 'assigned' | TaskState;
   /**
    * Sequence number of the heartbeat whose response carried the start, or of the
@@ -47,9 +47,9 @@
    * the agent forgot the attempt, the duplicate would start it again.
    */
   directCommandFence: number | null;
-  /** When it was assigned, in monotonic milliseconds. */
+  /** When it was assigned, in milliseconds on the monotonic clock. */
   assignedAt: number;
-  /** When a heartbeat first showed it running, in monotonic milliseconds; null before that. */
+  /** When a heartbeat first showed it running, in milliseconds on the monotonic clock; null before that. */
   runningSince: number | null;
   /** Null when no stop has been requested. */
   stopRequest: StopRequest | null;
@@ -89,8 +89,8 @@
 
   /**
    * Removes an attempt that has ended. Unless its task is done, the task becomes
-   * ready again, immediately (0) or at `readyAt` in monotonic milliseconds. Does
-   * nothing when the attempt is not the active one of its task.
+   * ready again, immediately (0) or at `readyAt` in milliseconds on the monotonic
+   * clock. Does nothing when the attempt is not the active one of its task.
    */
   removeAttempt(attempt: TaskAttempt, readyAt: number): void {
     if (this.activeAttempts.get(attempt.index) !== attempt) return;
--- a/src/scheduler/state/task-attempts.ts
+++ b/src/scheduler/state/task-attempts.ts
@@ -79,7 +79,7 @@
     this.roundTrigger.request();
   }
 
-  /** Releases all attempts of a machine on which nothing runs any more. Returns how many had not exited. */
+  /** Releases all attempts of a machine on which nothing runs anymore. Returns how many had not exited. */
   releaseAll(machine: Machine): number {
     let lostTasks = 0;
     for (const attempt of [...machine.attempts.values()]) {
--- a/src/scheduler/state/task-states.ts
+++ b/src/scheduler/state/task-states.ts
@@ -15,7 +15,7 @@
 /** A task that must not be placed again before a delay has ended. */
 interface BackedOffTask {
   index: number;
-  /** When the delay ends, in monotonic milliseconds. */
+  /** When the delay ends, in milliseconds on the monotonic clock. */
   readyAt: number;
 }
 
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Returns the bitmap of the done tasks in a chunk, the lowest task first. */
+  /** Returns the bitmap of the finished tasks in a chunk, the lowest task first. */
   chunkBits(chunk: number, tasksPerChunk: number): Uint8Array {
     const firstTask = chunk * tasksPerChunk;
     const size = Math.min(tasksPerChunk, this.size - firstTask);
--- a/src/scheduler/state/work-estimates.ts
+++ b/src/scheduler/state/work-estimates.ts
@@ -19,7 +19,7 @@
 const LONGEST_TASK_RATIO = 1.5;
 /** Weight of a new job in the mean number of tasks per job of its class. */
 const JOB_SIZE_LEARNING_RATE = 0.05;
-/** Weight of a completed task in its class's ratio of actual to estimated duration. */
+/** Weight of a finished task in its class's ratio of actual to estimated duration. */
 const DURATION_LEARNING_RATE = 0.05;
 /** Bounds of that ratio for a single task, so that an outlier has little effect on the class. */
 const MIN_DURATION_RATIO = 0.2;
@@ -44,7 +44,7 @@
     this.meanJobSizes.set(spec.jobClass, mean + (spec.tasks - mean) * JOB_SIZE_LEARNING_RATE);
   }
 
-  /** Updates the duration ratio of the class with the duration of a completed task. */
+  /** Updates the duration ratio of the class with the duration of a finished task. */
   recordDuration(attempt: TaskAttempt, now: number): void {
     const { spec } = attempt.job;
     if (attempt.runningSince === null || spec.estimatedDurationS <= 0) return;
@@ -54,7 +54,7 @@
     this.durationRatios.set(spec.jobClass, mean + (bounded - mean) * DURATION_LEARNING_RATE);
   }
 
-  /** Returns the expected duration of a task of the job in seconds: the owner's estimate, corrected by its class. */
+  /** Returns the expected duration of a task of the job in seconds: the user's estimate, corrected by its class. */
   estimateS(spec: JobSpec): number {
     const ratio = this.durationRatios.get(spec.jobClass) ?? 1;
     return Math.max(MIN_ESTIMATE_S, spec.estimatedDurationS * ratio);
--- a/src/scheduler/state/zone-liveness.ts
+++ b/src/scheduler/state/zone-liveness.ts
@@ -3,7 +3,7 @@
 /** A heartbeat that arrives more than this many intervals after the previous one of its zone ends a gap. */
 const GAP_HEARTBEATS = 1.5;
 
-/** Heartbeat times of a zone, in milliseconds of the leader's monotonic clock. */
+/** Heartbeat times of a zone, in milliseconds on the monotonic clock. */
 export interface ZoneLiveness {
   /** When its last heartbeat arrived. */
   lastHeartbeatAt: number;
