--- a/src/controller/heartbeats/delegated-renewal.ts
+++ b/src/controller/heartbeats/delegated-renewal.ts
@@ -98,7 +98,7 @@
       agent.termUnawareness?.term !== term &&
       (await this.isUnawareOfTerm(heartbeat, term))
     )
-      agent.termUnawareness = { term, provenAtMs: now };
+      agent.termUnawareness = { term, provenAt: now };
     if (!this.isWithinBound(agent, term, now)) return redirectTo(null);
     this.logOncePerTerm(term, agent.leader, heartbeat.machineId);
     const stopCommands: TaskCommand[] = [];
@@ -130,7 +130,7 @@
 
   /** Returns when the leader may last have sent the agent a start; null when unknown. */
   private boundStartedAt(agent: RedirectedAgent, term: number): number | null {
-    if (agent.termUnawareness?.term === term) return agent.termUnawareness.provenAtMs;
+    if (agent.termUnawareness?.term === term) return agent.termUnawareness.provenAt;
     return this.options.leaderActivity.lastLedAt(agent.leader, term);
   }
 
--- a/src/controller/heartbeats/redirected-agents.ts
+++ b/src/controller/heartbeats/redirected-agents.ts
@@ -14,7 +14,7 @@
    * Time until which nothing from that term's leader had reached the agent, in
    * milliseconds on the monotonic clock.
    */
-  provenAtMs: number;
+  provenAt: number;
 }
 
 /** State of an agent that sent heartbeats to this follower, kept while the leader is the same. */
--- a/src/scheduler/persistence/pending-writes.ts
+++ b/src/scheduler/persistence/pending-writes.ts
@@ -34,7 +34,7 @@
   const rosterAdditions = createRosterAdditionWrites(cluster);
   const jobs = collectJobWrites(cluster, budget);
   const unsavedPages = cluster.roster
-    .rewriteStalePages(jobs.changesLeft)
+    .rewriteUnsavedPages(jobs.changesLeft)
     .map((pageWrite) => new RosterPageWrite(cluster, pageWrite));
   const deletions = createKeyDeletions(cluster, jobs.changesLeft - unsavedPages.length);
   return [
--- a/src/scheduler/persistence/roster.ts
+++ b/src/scheduler/persistence/roster.ts
@@ -86,7 +86,7 @@
    * not applied: at most `budget` writes, except that the pages that take the
    * excess entries of an oversized page may go beyond it.
    */
-  rewriteStalePages(budget: number): PageWrite[] {
+  rewriteUnsavedPages(budget: number): PageWrite[] {
     const writes: PageWrite[] = [];
     for (const page of this.pages) {
       if (writes.length + 1 > budget) break;
--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -124,11 +124,11 @@
   // The page was written under a higher limit and still holds one machine too many without n-5.
   roster.restore('3-1', 10, [1, 2, 3, 4, 5].map(entry));
   roster.removeMachine('n-5');
-  const [move] = roster.rewriteStalePages(9);
+  const [move] = roster.rewriteUnsavedPages(9);
   assert.deepEqual(
     move?.added.map((added) => added.id),
     ['n-1'],
   );
   move?.outcomeUnknown();
-  assert.deepEqual(roster.rewriteStalePages(9), []);
+  assert.deepEqual(roster.rewriteUnsavedPages(9), []);
 });
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -378,18 +378,18 @@
   const [replacement] = roster.add([4, 5].map(entry));
   assert.notEqual(replacement?.keySuffix, repeated?.keySuffix);
   replacement?.applied(12);
-  assert.deepEqual(roster.rewriteStalePages(9), []);
+  assert.deepEqual(roster.rewriteUnsavedPages(9), []);
   roster.removeMachine('n-1');
-  const [rewrite] = roster.rewriteStalePages(9);
+  const [rewrite] = roster.rewriteUnsavedPages(9);
   assert.deepEqual([rewrite?.keySuffix, rewrite?.version, rewrite?.entries.length], ['4-1', 10, 2]);
   rewrite?.applied(13);
   for (const id of ['n-2', 'n-3', 'n-4', 'n-5']) roster.removeMachine(id);
-  const deletions = roster.rewriteStalePages(9);
+  const deletions = roster.rewriteUnsavedPages(9);
   assert.deepEqual(
     new Set(deletions.map((pageWrite) => pageWrite.keySuffix)),
     new Set([first.keySuffix, repeated?.keySuffix, replacement?.keySuffix]),
   );
   assert.ok(deletions.every((pageWrite) => pageWrite.entries.length === 0));
   for (const pageWrite of deletions) pageWrite.applied(14);
-  assert.deepEqual(roster.rewriteStalePages(9), []);
+  assert.deepEqual(roster.rewriteUnsavedPages(9), []);
 });
--- a/test/redirected-agents.test.ts
+++ b/test/redirected-agents.test.ts
@@ -26,7 +26,7 @@
 test('the state of a redirected agent is reset when the leader changes', () => {
   const agents = new RedirectedAgents({ agentLeaseMs: AGENT_LEASE_MS });
   const agent = agents.get('m-1', 'n-0');
-  agent.termUnawareness = { term: 7, provenAtMs: 0 };
+  agent.termUnawareness = { term: 7, provenAt: 0 };
   assert.equal(agents.get('m-1', 'n-0').termUnawareness, agent.termUnawareness);
   assert.equal(agents.get('m-1', 'n-2').termUnawareness, null);
 });
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -174,9 +174,9 @@
     write.applied(++revision);
   }
   for (
-    let writes = nextRoster.rewriteStalePages(1e9);
+    let writes = nextRoster.rewriteUnsavedPages(1e9);
     writes.length > 0;
-    writes = nextRoster.rewriteStalePages(1e9)
+    writes = nextRoster.rewriteUnsavedPages(1e9)
   )
     for (const write of writes) {
       if (write.entries.length > 0) stored.set(write.keySuffix, write.entries);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -203,9 +203,9 @@
   roster.removeMachine('n-000002');
   const stored = new Map<string, RosterEntry[]>([['3-1', all]]);
   for (
-    let revision = 11, writes = roster.rewriteStalePages(9);
+    let revision = 11, writes = roster.rewriteUnsavedPages(9);
     writes.length > 0;
-    writes = roster.rewriteStalePages(9)
+    writes = roster.rewriteUnsavedPages(9)
   )
     for (const pageWrite of writes) {
       assert.ok(
@@ -227,11 +227,12 @@
   const roster = new Roster(4, 400);
   roster.restore('3-1', 10, [1, 2, 3, 4, 5, 6, 7, 8].map(rosterEntry));
   roster.removeMachine('n-000001');
-  const moves = roster.rewriteStalePages(9);
+  const moves = roster.rewriteUnsavedPages(9);
   assert.ok(moves.length > 0 && moves.every((pageWrite) => pageWrite.keySuffix !== '3-1'));
   // It is unknown whether the writes were applied, so both pages keep the machines.
   for (const pageWrite of moves) pageWrite.outcomeUnknown();
-  for (const pageWrite of roster.rewriteStalePages(9)) assert.notEqual(pageWrite.keySuffix, '3-1');
+  for (const pageWrite of roster.rewriteUnsavedPages(9))
+    assert.notEqual(pageWrite.keySuffix, '3-1');
 });
 
 test('peer frames and fencing tokens have the same encoding as in the previous version', () => {
