--- a/src/clients/agent-client.ts
+++ b/src/clients/agent-client.ts
@@ -7,7 +7,7 @@
 import { commandsBody, parseHeartbeat } from '../protocol/agent-protocol.js';
 import { PATHS } from '../protocol/paths.js';
 
-/** An agent's response to commands. */
+/** An agent's reply to commands. */
 export interface CommandResult {
   /**
    * Whether the commands were executed. When false, none was, because the agent
@@ -45,7 +45,7 @@
    *   be established.
    * - `NoResponseError`: all, some or none of the commands may have been
    *   executed, or may still be. Only a later heartbeat shows which.
-   * - `MalformedMessageError`: the response is not a heartbeat.
+   * - `MalformedMessageError`: the reply is not a heartbeat.
    */
   async command(
     address: string,
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Reads the current heartbeat of a machine from its agent. As the response to
-   * this request, it cannot be a delayed copy of an earlier heartbeat. Rejects
-   * like `command`.
+   * Reads the current heartbeat of a machine from its agent. As the reply to
+   * this request, it cannot be a delayed duplicate of an earlier heartbeat.
+   * Rejects like `command`.
    */
   static async fetchHeartbeat(address: string, timeoutMs: number): Promise<Heartbeat> {
     const client = createClient(address);
@@ -91,7 +91,7 @@
       if (!addresses.has(address)) this.closeClient(address);
   }
 
-  /** Closes idle connections and rejects the requests that wait for one. Requests in progress continue. */
+  /** Closes idle connections and rejects the requests that wait for one. Requests in flight continue. */
   close(): void {
     for (const address of this.clients.keys()) this.closeClient(address);
   }
@@ -111,7 +111,7 @@
 
   /**
    * Closes the least recently used client that is idle. A client with a request
-   * in progress is kept, so that the outcome of its commands does not become
+   * in flight is kept, so that the outcome of its commands does not become
    * unknown. Throws `NotAttemptedError` when no client is idle.
    */
   private evictLeastRecentlyUsed(): void {
--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -88,7 +88,7 @@
   /**
    * Provisions machines and returns their ids, or null when the cloud has no
    * capacity. The name of the request makes it idempotent: after a
-   * `NoResponseError` it must be repeated under the same name, since under
+   * `NoResponseError` it must be retried under the same name, since under
    * another name the machines could be provisioned twice.
    */
   async provision(
@@ -116,8 +116,8 @@
   /**
    * Terminates up to `MAX_MACHINES_PER_TERMINATION` machines. Resolves only when
    * the cloud has confirmed the termination. After a `NoResponseError` the
-   * machines may or may not be terminated; only a repeated request or the
-   * machine list shows which.
+   * machines may or may not be terminated; only a retry or the machine list
+   * shows which.
    */
   async terminate(
     machines: string[],
@@ -133,7 +133,7 @@
     });
   }
 
-  /** Closes idle connections and rejects the requests that wait for one. Requests in progress continue. */
+  /** Closes idle connections and rejects the requests that wait for one. Requests in flight continue. */
   close(): void {
     this.http.close();
   }
--- a/src/clients/key-value-store.ts
+++ b/src/clients/key-value-store.ts
@@ -24,7 +24,7 @@
 
 /**
  * The state service refused the request, or the request budget did not allow it
- * in time. It was not carried out and may be repeated after `retryMs`.
+ * in time. It was not carried out and may be retried after `retryMs`.
  */
 export class RequestRefusedError extends Error {
   constructor(readonly retryMs: number) {
@@ -35,15 +35,15 @@
 /**
  * The state service rejected the request and did not carry it out: it is
  * malformed, larger than the service accepts, or names a lease that has ended.
- * Repeated unchanged, it would be rejected again.
+ * Retried unchanged, it would be rejected again.
  */
 export class RequestRejectedError extends NoResponseError {}
 
 /**
  * Every method rejects with:
  *
- * - `RequestRefusedError`: not carried out; it may be repeated later.
- * - `RequestRejectedError`: not carried out; it must not be repeated unchanged.
+ * - `RequestRefusedError`: not carried out; it may be retried later.
+ * - `RequestRejectedError`: not carried out; it must not be retried unchanged.
  * - `NoResponseError`: a change may have been carried out, or may still be. Only
  *   a later read shows whether it was.
  * - `MalformedMessageError`: the response is invalid; the outcome of a change is
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -60,7 +60,7 @@
 /** Connections for each request per second: sufficient while responses take up to this many seconds. */
 const CONNECTIONS_PER_REQUEST_PER_S = 0.3;
 const WATCH_CONNECTIONS = 4;
-/** Delay before a refused request may be repeated; the service does not announce one. */
+/** Delay before a refused request may be retried; the service does not announce one. */
 const REFUSED_RETRY_MS = 1000;
 /** Statuses with a known outcome; the meaning of 404 and 409 depends on the request. */
 const EXPECTED_STATUSES = [200, 400, 404, 409];
@@ -79,11 +79,14 @@
   private readonly changeBudget: RequestBudget;
   /** Number of requests that wait for the budget. */
   private queuedRequests = 0;
-  /** Time of the first request that failed since one last succeeded, by the clock's `now`; null after a success. */
+  /**
+   * Time of the first failed request since the last success, in milliseconds on the monotonic
+   * clock; null after a success.
+   */
   failingSince: number | null = null;
   /** Like `failingSince`, but a refusal by the service also resets it to null. */
   unansweredSince: number | null = null;
-  /** Time at which a request was last sent, by the clock's `now`. */
+  /** Time at which a request was last sent, in milliseconds on the monotonic clock. */
   lastAttemptAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: StateClientOptions) {
@@ -183,14 +186,14 @@
       if (response.status === 410) return null;
       return parseEvents(this.checkStatus(response, 0).body);
     } catch (error) {
-      // The length of a batch is not limited, and a repeated watch would return the same batch. On null,
+      // The length of a batch is not limited, and a retried watch would return the same batch. On null,
       // the caller reads the keys in pages.
       if (error instanceof ResponseTooLargeError) return null;
       throw error;
     }
   }
 
-  /** Closes idle connections and rejects the requests that wait for one. Requests in progress continue. */
+  /** Closes idle connections and rejects the requests that wait for one. Requests in flight continue. */
   close(): void {
     this.http.close();
     this.leadershipHttp.close();
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -36,12 +36,12 @@
   'sick.jobs': 2,
   /**
    * A machine is also quarantined when this many tasks fail on it in a row and the
-   * job of the last one has succeeded elsewhere.
+   * job of the last one has had a success.
    */
   'sick.failures': 3,
   /** A job backs off when it has failed on this many machines and succeeded on none. */
   'job.faulty-machines': 3,
-  /** Limit on the task starts of a placement round (higher under load) and of a reply to a heartbeat. */
+  /** Limit on the task starts of a placement round (higher under load) and of a response to a heartbeat. */
   'round.machine-starts': 32,
 };
 
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -21,23 +21,23 @@
   leadershipProofMs: number;
   /** Agents' leases are no longer renewed once leadership has been unproven, or cancellations unknown, for this long. */
   agentRenewalMs: number;
-  /** Timeout of a request to the state service. */
+  /** Time-out of a request to the state service. */
   stateTimeoutMs: number;
   /** Maximum time that a watch of the leader key or a mailbox waits for a change. */
   watchTimeoutMs: number;
   /** Maximum time that the leader's watch of jobs waits. Its response proves that all cancellations up to its request are known. */
   jobWatchTimeoutMs: number;
-  /** Half of the timeout for receiving a request, and for sending the last reply of a connection. */
+  /** Half of the time-out for receiving a request, and for sending the last reply of a connection. */
   halfTransferTimeoutMs: number;
-  /** Timeout of a request to the cloud. */
+  /** Time-out of a request to the cloud. */
   cloudTimeoutMs: number;
-  /** Timeout of a command to an agent. */
+  /** Time-out of a command to an agent. */
   commandTimeoutMs: number;
   /** Pause between two lists of the cloud's machines. */
   machineListIntervalMs: number;
   /**
-   * A machine has been terminated if a list lacks it that was requested after its last heartbeat and
-   * more than this long after the leader first learned of the machine.
+   * A machine that is missing from a list has been terminated if the list was requested after its last
+   * heartbeat and more than this long after the leader first learned of the machine.
    */
   listProofMs: number;
   /** Pause between two reads of the machine types and prices. */
@@ -86,14 +86,14 @@
     // elected once the lease has expired.
     leadershipProofMs: leaderLeaseMs * 0.75 * (1 - MAX_CLOCK_DRIFT),
     // A cancellation that this leader does not know of was confirmed after the last time at which the
-    // leader knew all cancellations. The leader replies to heartbeats for this long after that time.
-    // The last reply renews a lease from the time at which the agent sent its heartbeat, and the agent
-    // ends its tasks one lease after that.
+    // leader knew all cancellations. The leader responds to heartbeats for this long after that
+    // time. The last response renews a lease from the time at which the agent sent its heartbeat, and
+    // the agent ends its tasks one lease after that.
     //
     // Together this takes at most 0.95 cancel_s + 0.05 lease_s. The rest of cancel_s covers clock drift
-    // and the transit time of a reply.
+    // and the transit time of a response.
     agentRenewalMs: Math.max(0, (cancelMs - agentLeaseMs) * 0.95),
-    // stateTimeoutMs and commandTimeoutMs are shorter than the timeouts that agents and users set on
+    // stateTimeoutMs and commandTimeoutMs are shorter than the time-outs that agents and users set on
     // their requests.
     stateTimeoutMs: heartbeatMs * 0.4,
     watchTimeoutMs: heartbeatMs * 2,
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -75,14 +75,14 @@
     }
   }
 
-  /** Reports whether no request is in progress or waiting for a connection. */
+  /** Reports whether no request is in flight or waiting for a connection. */
   get isIdle(): boolean {
     return this.pool.isIdle;
   }
 
   /**
    * Closes idle connections and rejects waiting requests with
-   * `NotAttemptedError`. Requests in progress continue.
+   * `NotAttemptedError`. Requests in flight continue.
    */
   close(): void {
     this.pool.close();
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -124,7 +124,7 @@
       if (deadline <= now) socket.destroy();
   }
 
-  /** Closes all connections, including those with a request in progress. */
+  /** Closes all connections, including those with a request in flight. */
   closeAll(): void {
     for (const { socket } of this.connections.values()) socket.destroy();
   }
--- a/src/http/errors.ts
+++ b/src/http/errors.ts
@@ -1,6 +1,6 @@
 /**
  * Errors of HTTP parsing and of client requests. The class of a request error
- * states what is known about the request. A caller that repeats a change or
+ * states what is known about the request. A caller that retries a change or
  * deletes a record must decide by the class, never by the message.
  *
  *     NoResponseError          outcome unknown: the server may have carried out the request, or may still do so
--- a/src/http/reply.ts
+++ b/src/http/reply.ts
@@ -1,6 +1,6 @@
 /** Replies of request handlers and their encoding. */
 
-/** A response with a JSON body. */
+/** The reply of a request handler, with a JSON body. */
 export interface Reply {
   status: number;
   /** Sent as JSON; undefined and null are sent as `{}`. */
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -24,7 +24,7 @@
 
 /**
  * Starts a server that runs until the signal is aborted. The abort closes all
- * connections immediately, including those with a request in progress. Resolves
+ * connections immediately, including those with a request in flight. Resolves
  * when the server is listening; rejects when it cannot listen on the address.
  */
 export function serve(options: ServerOptions, signal: AbortSignal): Promise<net.Server> {
--- a/src/model/demand-forecast.ts
+++ b/src/model/demand-forecast.ts
@@ -15,7 +15,7 @@
   mean: number;
   /**
    * Variance of the number of concurrent tasks. It is large, since all tasks of an array
-   * arrive at once.
+   * arrive concurrently.
    */
   variance: number;
   /** Mean resource request of a task. */
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -52,7 +52,7 @@
 export interface JobEnd {
   state: 'done' | 'cancelled';
   /**
-   * Time of day of the end, in milliseconds since the epoch. Null when the record has
+   * Wall-clock time of the end, in milliseconds since the epoch. Null when the record has
    * none, as for cancelled jobs.
    */
   at: number | null;
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -17,7 +17,7 @@
   price: number;
   /** Price per unit of time of a spot machine, which the cloud may preempt after a notice. */
   spotPrice: number;
-  /** Usual time from the provisioning request to the first heartbeat, in seconds. */
+  /** Expected time from the provisioning request to the first heartbeat, in seconds. */
   bootS: number;
   /** Zones in which the type is offered. */
   zones: string[];
@@ -49,7 +49,7 @@
   zone: string;
   /** Whether the machine is a spot machine. */
   spot: boolean;
-  /** Address of the agent, as `host:port`. Empty if the record of an early version lacks it. */
+  /** Address of the agent, as `host:port`. Empty if the record of an earlier version lacks it. */
   address: string;
 }
 
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -52,7 +52,10 @@
   idleBoots: number;
   /** `rent.boot-patience`: boot times after which a machine that is not up is terminated. */
   bootTimeoutBoots: number;
-  /** `rent.backoff-boots`: first back-off after the cloud had no capacity, in boot times. */
+  /**
+   * `rent.backoff-boots`: first back-off after the cloud provisioned fewer machines than
+   * requested, in boot times.
+   */
   backoffBoots: number;
   /**
    * `sick.jobs`: number of jobs whose tasks fail in a row on a machine before it is
@@ -61,7 +64,7 @@
   quarantineJobs: number;
   /**
    * `sick.failures`: number of task failures in a row on a machine before it is
-   * quarantined, provided that a task of the last one's job has succeeded.
+   * quarantined, provided that the job of the last one has had a success.
    */
   quarantineFailures: number;
   /**
--- a/src/records/bitmap-layout.ts
+++ b/src/records/bitmap-layout.ts
@@ -47,8 +47,8 @@
   ) {}
 
   /**
-   * Returns the layout for the present limit on a value and the lowest limit that may
-   * come into force, both in bytes.
+   * Returns the layout for the current limit on a value, `presentValueBytes`, and the lower
+   * of that limit and the one that the settings announce, `minValueBytes`.
    */
   static forValueLimits(presentValueBytes: number, minValueBytes: number): BitmapLayout {
     const legacyTasksPerChunk = tasksPerValue(presentValueBytes);
--- a/src/records/job-end-record.ts
+++ b/src/records/job-end-record.ts
@@ -18,7 +18,7 @@
   state: JobEnd['state'];
   /** Number of tasks in the job, at least 1. */
   tasks: number;
-  /** Time of day of the end, in milliseconds since the epoch. Absent when it was not recorded. */
+  /** Wall-clock time of the end, in milliseconds since the epoch. Absent when not recorded. */
   at?: number;
 }
 
--- a/src/records/job-record.ts
+++ b/src/records/job-record.ts
@@ -162,7 +162,7 @@
 /** The record of a live job. */
 export interface LiveJobRecord {
   spec: JobSpec;
-  /** Time of day at which the job was accepted, in milliseconds since the epoch. */
+  /** Wall-clock time at which the job was accepted, in milliseconds since the epoch. */
   acceptedAt: number;
   /**
    * Ids of the dependencies that were not done when the job was accepted, as many as fit
--- a/src/records/leader-record.ts
+++ b/src/records/leader-record.ts
@@ -18,7 +18,7 @@
 export interface LeaderRecord {
   /** Name of the leading controller. */
   node: string;
-  /** Identifies the process, so that a restarted controller differs from its predecessor. */
+  /** Identifies the process. Each restart of the controller sets a new value. */
   incarnation: string;
   /** The leader term, an integer that each election raises. */
   term: number;
--- a/src/records/mailbox-record.ts
+++ b/src/records/mailbox-record.ts
@@ -12,7 +12,7 @@
 
 import { isObject } from '../protocol/json-fields.js';
 
-/** A request: a heartbeat that is forwarded to the leader. */
+/** A request: a heartbeat that is relayed to the leader. */
 export interface MailboxRequest {
   kind: 'ask';
   /** Number of the request among those of the requesting process, from 1. */
@@ -20,8 +20,8 @@
   /** Name of the requesting controller. */
   from: string;
   /**
-   * Identifies the requesting process, so that a restarted one ignores responses to its
-   * predecessor.
+   * Identifies the requesting process, so that a restarted one ignores responses to the
+   * previous process of the node.
    */
   incarnation: string;
   /** The heartbeat as JSON, as the agent sent it. */
--- a/src/records/peer-frames.ts
+++ b/src/records/peer-frames.ts
@@ -20,11 +20,11 @@
 export interface PeerStatus {
   /** Name of the sending controller. */
   node: string;
-  /** Identifies the process, so that a restarted controller differs from its predecessor. */
+  /** Identifies the process. Each restart of the controller sets a new value. */
   incarnation: string;
   /**
-   * Time of day at which the status was sent, in milliseconds since the epoch. A network
-   * partition may delay the status.
+   * Wall-clock time at which the status was sent, in milliseconds since the epoch. A
+   * network partition may delay the status.
    */
   sentAt: number;
   /** The highest leader term that the controller knows. */
@@ -39,7 +39,7 @@
    */
   memoryShort?: boolean;
   /**
-   * Progress of live jobs with finished or running tasks, for display only. The number of
+   * Progress of live jobs with tasks that are done or running, for display only. The number of
    * jobs is limited. Empty unless the controller is the leader.
    */
   taskCounts: SentJobProgress[];
--- a/src/records/peer-requests.ts
+++ b/src/records/peer-requests.ts
@@ -2,7 +2,7 @@
  * Payloads of requests between controllers and of their responses (peer-frames).
  *
  * - Requests: `user` forwards a user's request. `cancelled` announces a cancellation; its
- *   response is null. `report` forwards an agent's heartbeat; its payload is the bytes of
+ *   response is null. `report` relays an agent's heartbeat; its payload is the bytes of
  *   the heartbeat.
  * - Responses: The response to `user` or `report` is a forwarded reply. It has the same
  *   form in a mailbox.
@@ -43,7 +43,7 @@
   revision: number;
 }
 
-/** An HTTP reply for the controller that forwarded the request. */
+/** An HTTP reply for the controller that forwarded the request or relayed the heartbeat. */
 export interface ForwardedReply {
   /** HTTP status code. */
   status: number;
--- a/src/records/value-sizes.ts
+++ b/src/records/value-sizes.ts
@@ -12,8 +12,8 @@
 /** Limits of the state service on values. */
 export interface ValueLimits {
   /**
-   * Limit on a value in bytes: the lowest of the present limit and those that may come
-   * into force.
+   * Limit on a value in bytes: the lower of the current limit and the one that the
+   * settings announce.
    */
   valueBytes: number;
 }
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -60,15 +60,15 @@
 const PROBE_STEPS = 0.1;
 
 /** Wait before the next check, as a multiple of the current lag. */
-const LAG_WAIT_FACTOR = 2;
+const LAG_WAIT_RATIO = 2;
 
 /**
  * Waits until the event loop no longer lags: until a timer fires less than half
  * of `stepMs` late, but for about `maxMs` at most.
  *
  * It delays work that is not urgent, such as commands and scaling. After a
- * failover hundreds of agents send their heartbeats at once, and each must
- * receive its response before its lease expires. On a small processor other
+ * failover hundreds of agents send their heartbeats concurrently, and each
+ * must receive its response before its lease expires. On a small processor other
  * work would make agents time out and reconnect.
  *
  * @throws AbortedError when the signal is aborted.
@@ -85,6 +85,6 @@
     await clock.sleep(stepMs * PROBE_STEPS, signal);
     const lagMs = clock.now() - dueAt;
     if (lagMs < stepMs * LAG_TOLERANCE_STEPS || clock.now() >= deadline) return;
-    await clock.sleep(Math.min(lagMs * LAG_WAIT_FACTOR, deadline - clock.now()), signal);
+    await clock.sleep(Math.min(lagMs * LAG_WAIT_RATIO, deadline - clock.now()), signal);
   }
 }
--- a/src/runtime/request-budget.ts
+++ b/src/runtime/request-budget.ts
@@ -5,7 +5,7 @@
  * short.
  *
  * - `leadership`: election, lease renewal, failover and watches. It has the
- *   highest priority, so that users who repeat their requests while
+ *   highest priority, so that users who retry their requests while
  *   there is no leader cannot prevent an election.
  * - `submissions`: users' submissions and cancellations, and requests to the
  *   cloud other than the machine list.
@@ -13,7 +13,7 @@
  *   known. Also those for the roster, dependency lists, mailbox messages and the
  *   machine list.
  * - `queries`: users' queries. They rank after completions, since users stop
- *   asking about a job once its end is known.
+ *   querying a job once its end is known.
  * - `progress`: work that can be delayed, such as the demand forecast and
  *   clean-up.
  */
@@ -41,7 +41,8 @@
 /**
  * A token bucket. A refusal by the service (429) empties it. Lower priorities
  * leave a reserve of tokens for higher ones. The `leadership` priority never
- * waits and may overdraw the bucket. All times are monotonic, in milliseconds.
+ * waits and may overdraw the bucket. All times are in milliseconds
+ * on the monotonic clock.
  */
 export class RequestBudget {
   private tokens: number;
@@ -84,7 +85,7 @@
     this.tokens = Math.min(this.tokens, this.burst);
   }
 
-  /** Empties the bucket after the service refused a request for its rate: its own count is exhausted. */
+  /** Empties the bucket after the service refused a request: by its own count, the rate is used up. */
   recordRefusal(now: number): void {
     this.refill(now);
     this.tokens = Math.min(this.tokens, 0);
