--- a/test/agent-commands.test.ts
+++ b/test/agent-commands.test.ts
@@ -126,7 +126,7 @@
   }
 });
 
-test('an unanswered command does not make a machine behind a network partition unresponsive', async () => {
+test('a command without a reply does not make a machine behind a network partition unresponsive', async () => {
   const node = createAgentCommands(() => {
     throw new NoResponseError('timed out');
   });
--- a/test/cluster-state.test.ts
+++ b/test/cluster-state.test.ts
@@ -30,7 +30,7 @@
   );
 }
 
-test('an announced cancellation ends a job and blocks stale watch events up to its revision', () => {
+test('an announced cancellation ends a job and blocks outdated watch events up to its revision', () => {
   const cluster = createCluster();
   cluster.addJob(jobSpec(), 5, 0, false);
   cluster.recordAppliedJobRevision(10);
@@ -38,7 +38,7 @@
   assert.ok(cluster.jobs.has('req-000001'), 'the watch has already reached that revision');
   cluster.announceCancellation('req-000001', 12);
   assert.equal(cluster.jobs.size, 0);
-  assert.equal(cluster.addJob(jobSpec(), 5, 0, false), null, 'the watch event is stale');
+  assert.equal(cluster.addJob(jobSpec(), 5, 0, false), null, 'the watch event is outdated');
   cluster.recordAppliedJobRevision(11);
   assert.equal(
     cluster.addJob(jobSpec(), 5, 0, false),
@@ -138,12 +138,12 @@
   listExit(cluster, second, secondSuccess, 'done');
   assert.deepEqual(sendHeartbeat(cluster, second, 200), [{ op: 'forget', ...secondSuccess }]);
 
-  const lateSuccess = { jobId: 'req-000001', index: 1, attempt: 73 };
-  third.tasks.set('req-000001/1/73', { ...lateSuccess, state: 'running', cause: null });
+  const successAfterEnd = { jobId: 'req-000001', index: 1, attempt: 73 };
+  third.tasks.set('req-000001/1/73', { ...successAfterEnd, state: 'running', cause: null });
   cluster.applyHeartbeat(third.heartbeat(), 'heartbeat', 200);
   cluster.endJob('req-000001', { state: 'cancelled', at: null });
-  listExit(cluster, third, lateSuccess, 'done');
-  assert.deepEqual(sendHeartbeat(cluster, third, 300), [{ op: 'forget', ...lateSuccess }]);
+  listExit(cluster, third, successAfterEnd, 'done');
+  assert.deepEqual(sendHeartbeat(cluster, third, 300), [{ op: 'forget', ...successAfterEnd }]);
 });
 
 test('failures of a job that fails on several machines do not count against its machines', () => {
--- a/test/combined-failures.test.ts
+++ b/test/combined-failures.test.ts
@@ -121,7 +121,7 @@
   const ids = await startJobs(w, 2);
   const leader = w.currentLeader;
   assert.ok(leader);
-  // The watch waits while renewals are answered; then it is too old, and no list request succeeds.
+  // The watch waits while renewals succeed. Then its revision is too old, and no list request succeeds.
   const { watch, listPage } = leader.state;
   const tooOld = w.clock.now() + 20_000;
   leader.state.watch = async (prefix, after, waitMs, signal) => {
@@ -131,13 +131,13 @@
   };
   leader.state.listPage = (prefix, after, signal) =>
     prefix === 'live/'
-      ? Promise.reject(new Error('no answer'))
+      ? Promise.reject(new Error('no response'))
       : listPage.call(leader.state, prefix, after, signal);
   leader.isPartitionedFromPeers = true;
   await w.run(3);
   assert.ok(await w.cancel(ids[0] as string, w.follower));
   await w.run(22);
-  // It still leads, since its renewals are answered, but starts nothing.
+  // It still leads, since its renewals succeed, but starts nothing.
   assert.ok(leader.election.currentTerm?.isProven());
   assert.equal(leader.election.currentTerm?.mayStartTasks(), false);
   // Finally another controller leads.
@@ -147,7 +147,7 @@
   assert.ok(w.currentLeader);
 });
 
-test('a leader cut off from state service and peers, but not from agents, starts no jobs cancelled elsewhere', async () => {
+test('a leader partitioned from state service and peers, but not from agents, starts no jobs cancelled elsewhere', async () => {
   const w = new World(alwaysMiddle, 3, () => 6_000);
   await startJobs(w, 2);
   const old = w.currentLeader;
@@ -167,9 +167,9 @@
 test('all accepted jobs finish while the heartbeats of one machine are lost', async () => {
   const w = new World(alwaysMiddle, 4, () => 12_000);
   await startJobs(w, 2);
-  const mute = w.machines[0];
-  assert.ok(mute);
-  mute.dropsOutbound = true;
+  const machine = w.machines[0];
+  assert.ok(machine);
+  machine.dropsOutbound = true;
   await w.run(20);
   const ids: string[] = [];
   for (let i = 0; i < 12; i++) ids.push(await w.submit());
--- a/test/dependency-lists.test.ts
+++ b/test/dependency-lists.test.ts
@@ -216,7 +216,7 @@
   for (const prefix of ['lists/', 'needs/'])
     assert.ok(fixture.keys(prefix).every((key) => key.startsWith(`${prefix}${jobId(1)}/`)));
   assert.deepEqual((await node.dependenciesOf(jobId(1), fixture.record(jobId(1))))?.length, 700);
-  // A late write of the failed submission fails because its header is gone.
+  // A late write of the failed submission fails because its header no longer exists.
   for (const work of node.state.delayedRequests.splice(0)) assert.doesNotThrow(work);
   assert.deepEqual(
     fixture.keys('needs/').filter((key) => key.includes(jobId(3))),
@@ -425,7 +425,7 @@
   assert.deepEqual(fixture.store.entries.get(condition.key)?.value, { pages: ref.pages });
 });
 
-test('a submission whose list another node writes at the same time gets 503 and succeeds when repeated', async () => {
+test('a submission whose list another node writes concurrently gets 503 and succeeds when repeated', async () => {
   const fixture = new Fixture();
   const node = fixture.createNode();
   const dependencies = Array.from({ length: 700 }, (_, i) => fixture.addJob(1000 + i));
--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -76,7 +76,7 @@
     assert.ok(receivesForgetOfFirstTask(cluster, agent, 30));
   });
 
-test('progress is not written again once the live record of its job is gone, even before the end is known', () => {
+test('progress is not written again once the live record of its job no longer exists, even before the end is known', () => {
   const { cluster, agent, write } = startChunkWrite();
   write.conflict([liveJobKey(JOB_ID)]);
   assert.deepEqual(chunksWithUnknownVersion(cluster), []);
@@ -90,11 +90,11 @@
   assert.deepEqual(collectPendingWrites(cluster, BUDGET), []);
   const [unknownChunk] = chunksWithUnknownVersion(cluster);
   unknownChunk?.job.chunkVersions.set(unknownChunk.chunk, 7);
-  const [repeated] = collectPendingWrites(cluster, BUDGET);
-  assert.deepEqual(repeated?.changes, write.changes);
-  assert.deepEqual(repeated?.conditions[1], { key: CHUNK_KEY, version: 7 });
+  const [retried] = collectPendingWrites(cluster, BUDGET);
+  assert.deepEqual(retried?.changes, write.changes);
+  assert.deepEqual(retried?.conditions[1], { key: CHUNK_KEY, version: 7 });
   assert.equal(receivesForgetOfFirstTask(cluster, agent, 30), false);
-  repeated?.applied(8);
+  retried?.applied(8);
   assert.ok(receivesForgetOfFirstTask(cluster, agent, 40));
 });
 
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -123,18 +123,18 @@
     cluster.inheritMachine('n-1', 'm16', 'a', false, '10.0.0.1:9001', 0);
     cluster.inheritMachine('n-2', 'm16', 'a', false, '10.0.0.1:9002', 0);
     const healthy = joinCluster(cluster, new ScriptedAgent('n-2'), 100);
-    const silent = cluster.machines.get('n-1');
-    assert.ok(silent);
-    silent.confirmationUnanswered = unanswered;
-    // Tasks of this job may run on the silent machine and would fill it.
+    const unconfirmed = cluster.machines.get('n-1');
+    assert.ok(unconfirmed);
+    unconfirmed.confirmationUnanswered = unanswered;
+    // Tasks of this job may run on the unconfirmed machine and would fill it.
     cluster.addJob(jobSpec({ tasks: 8 }), 1, 0, true);
     for (let now = 200; now < 60_000; now += 100) {
       sendHeartbeat(cluster, healthy, now);
-      if (scaleIn.plan(now).some((termination) => termination.machine === silent)) return now;
+      if (scaleIn.plan(now).some((termination) => termination.machine === unconfirmed)) return now;
     }
     return null;
   };
-  // Heartbeat intervals are 3 s with a quarter of jitter; a redirection takes half a second.
+  // Heartbeat intervals are 3 s with a quarter of jitter; a redirect takes half a second.
   const timedOutMs = terminationTime(true) ?? 0;
   assert.ok(
     timedOutMs > 3750 && timedOutMs <= 4400,
@@ -371,12 +371,12 @@
   first.applied(10);
   // The second write was refused, so the same page takes its machine and the next one.
   second.notApplied();
-  const [repeated] = roster.add([4, 5].map(entry));
-  assert.deepEqual([repeated?.version, repeated?.entries.length], [0, 2]);
+  const [retried] = roster.add([4, 5].map(entry));
+  assert.deepEqual([retried?.version, retried?.entries.length], [0, 2]);
   // This write received no response, so its page is not written again while it holds machines.
-  repeated?.outcomeUnknown();
+  retried?.outcomeUnknown();
   const [replacement] = roster.add([4, 5].map(entry));
-  assert.notEqual(replacement?.keySuffix, repeated?.keySuffix);
+  assert.notEqual(replacement?.keySuffix, retried?.keySuffix);
   replacement?.applied(12);
   assert.deepEqual(roster.rewriteUnsavedPages(9), []);
   roster.removeMachine('n-1');
@@ -387,7 +387,7 @@
   const deletions = roster.rewriteUnsavedPages(9);
   assert.deepEqual(
     new Set(deletions.map((pageWrite) => pageWrite.keySuffix)),
-    new Set([first.keySuffix, repeated?.keySuffix, replacement?.keySuffix]),
+    new Set([first.keySuffix, retried?.keySuffix, replacement?.keySuffix]),
   );
   assert.ok(deletions.every((pageWrite) => pageWrite.entries.length === 0));
   for (const pageWrite of deletions) pageWrite.applied(14);
--- a/test/fleet-controller.test.ts
+++ b/test/fleet-controller.test.ts
@@ -51,7 +51,7 @@
 
 const machineIds = (count: number) => Array.from({ length: count }, (_, i) => `n-${i + 1}`);
 
-test('an unanswered provision request is retried under the same name, so machines are provisioned only once', async () => {
+test('a provision request without a response is retried under the same name, so machines are provisioned only once', async () => {
   const node = createFleetController((request, call) => {
     if (call < 3) throw new NoResponseError('timed out');
     return machineIds(request.count);
@@ -84,16 +84,18 @@
   node.stop.abort();
 });
 
-test('a kind of machine is not requested for a while after the cloud provided fewer than requested or none', async () => {
-  for (const given of [0, 1]) {
-    const node = createFleetController(() => (given === 0 ? null : machineIds(given)));
+test('a pool is not requested for a while after the cloud provided fewer than requested or none', async () => {
+  for (const providedCount of [0, 1]) {
+    const node = createFleetController(() =>
+      providedCount === 0 ? null : machineIds(providedCount),
+    );
     node.run();
     await node.clock.advance(node.firstPlanMs);
     const first = node.requests.length;
     assert.ok(first > 0);
     assert.ok((node.requests[0]?.count ?? 0) > 1);
     await node.clock.advance(node.ctx.timing.scalingIntervalMs * 3);
-    assert.equal(node.requests.length, first, `${given} given`);
+    assert.equal(node.requests.length, first, `${providedCount} provided`);
     node.stop.abort();
   }
 });
--- a/test/fleet-scaling.test.ts
+++ b/test/fleet-scaling.test.ts
@@ -150,9 +150,9 @@
   const agents = Array.from({ length: 20 }, (_, i) =>
     joinCluster(cluster, new ScriptedAgent(`n-${i}`), 0),
   );
-  const terminatedCount = (silentCount: number, until: number) => {
+  const terminatedCount = (unreachableCount: number, until: number) => {
     for (let now = 1000; now <= until; now += 1000)
-      for (const agent of agents.slice(silentCount)) sendHeartbeat(cluster, agent, now);
+      for (const agent of agents.slice(unreachableCount)) sendHeartbeat(cluster, agent, now);
     return scaleIn.plan(until).filter((termination) => termination.reason === 'unreachable').length;
   };
   // Some agents kept sending heartbeats, so the zone as a whole was never unreachable.
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -112,7 +112,7 @@
   const follower = createFollower();
   follower.peers.reachable = false;
   follower.peers.announcedAt = null;
-  // A heartbeat with an old token may be a late copy, so one is requested from the agent itself.
+  // A heartbeat with an old token may be a delayed duplicate, so one is requested from the agent itself.
   follower.machine.responds = false;
   assert.equal((await follower.sendHeartbeat(6)).status, 421);
   follower.machine.responds = true;
@@ -124,7 +124,7 @@
   assert.equal((await follower.sendHeartbeat(7)).status, 200);
   await follower.clock.advance(follower.ctx.timing.delegatedRenewalMs);
   assert.equal((await follower.sendHeartbeat(7)).status, 421);
-  // A late copy from before the term does not restart the bound.
+  // A delayed duplicate from before the term does not restart the bound.
   assert.equal((await follower.sendHeartbeat(6)).status, 421);
 });
 
--- a/test/heartbeat-processing.test.ts
+++ b/test/heartbeat-processing.test.ts
@@ -87,7 +87,7 @@
   runPlacementRound(cluster, 32, clock.now());
   const [attempt] = machine.attempts.values();
   assert.ok(attempt);
-  // Sent by a direct command that has been unanswered for a long time.
+  // Sent by a direct command that has received no reply for a long time.
   attempt.directCommandFence = 0;
   attempt.assignedAt = clock.now() - cluster.timing.heartbeatMs * 2;
   machine.fenceRaiseDueSince = clock.now() - cluster.timing.agentLeaseMs;
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -85,7 +85,7 @@
   );
 });
 
-test('a handler error is answered with 500 and a malformed request with 400, and the server keeps serving', async () => {
+test('a handler error gets 500 and a malformed request 400, and the server keeps serving', async () => {
   await withServer(
     () => {
       throw new Error('boom');
--- a/test/job-api.test.ts
+++ b/test/job-api.test.ts
@@ -156,7 +156,7 @@
   state.fault = null;
   assert.equal((await api.submit(submissionBody())).status, 201);
   await api.cancel('req-000412');
-  for (const late of state.delayedRequests) late();
+  for (const applyRequest of state.delayedRequests) applyRequest();
   assert.deepEqual((await api.query('req-000412')).body, {
     id: 'req-000412',
     standing: 'cancelled',
--- a/test/leader-election.test.ts
+++ b/test/leader-election.test.ts
@@ -66,21 +66,21 @@
   w.stop.abort();
 });
 
-test('a restarted process revokes the lease of its predecessor and leads at once', async () => {
+test('a restarted process revokes the lease of the previous process and leads at once', async () => {
   const w = createElections();
-  const dead = w.node('n-0', 'n-0-1');
+  const previous = w.node('n-0', 'n-0-1');
   await w.clock.advance(3000);
   assert.equal(w.terms.length, 1);
-  dead.crash();
+  previous.crash();
   // The process was killed, so the leader key still exists.
   w.store.grantLease(1);
-  const again = w.node('n-0', 'n-0-2');
+  const restarted = w.node('n-0', 'n-0-2');
   await w.clock.advance(500);
-  assert.equal(again.election.currentTerm?.number, 2);
+  assert.equal(restarted.election.currentTerm?.number, 2);
   w.stop.abort();
 });
 
-test('a process restarted during its own election does not treat the leader key of its predecessor as its own', async () => {
+test('a process restarted during its own election does not treat the leader key of the previous process as its own', async () => {
   const w = createElections();
   const first = w.node('n-0');
   await w.clock.advance(50);
@@ -91,17 +91,17 @@
   const second = w.node('n-0', 'n-0-2');
   second.state.fault = null;
   const { transact } = second.state;
-  let late: (() => void) | null = null;
+  let applyTransaction: (() => void) | null = null;
   second.state.transact = (conditions, changes) => {
-    late = () => void transact.call(second.state, conditions, changes);
+    applyTransaction = () => void transact.call(second.state, conditions, changes);
     return new Promise(() => {});
   };
   await w.clock.advance(200);
-  assert.ok(late);
+  assert.ok(applyTransaction);
   second.crash();
   const third = w.node('n-0', 'n-0-3');
   const other = w.node('n-1');
-  (late as () => void)();
+  (applyTransaction as () => void)();
   await w.clock.advance(8000);
   const record = w.store.entries.get(LEADER_KEY)?.value as { incarnation: string; term: number };
   assert.ok(['n-0-3', 'n-1-1'].includes(record.incarnation), record.incarnation);
@@ -117,12 +117,12 @@
   await w.clock.advance(1000);
   const [term] = w.terms;
   assert.ok(term);
-  // Every other renewal is answered only after the proof has expired.
-  const { renewLease: touch } = node.state;
+  // Every other renewal gets its response only after the proof has expired.
+  const { renewLease: renew } = node.state;
   let renewals = 0;
   node.state.renewLease = async (lease) => {
     if (renewals++ % 2 === 0) await w.clock.sleep(node.ctx.timing.leadershipProofMs * 1.2);
-    return touch.call(node.state, lease);
+    return renew.call(node.state, lease);
   };
   for (let i = 0; i < 40; i++) {
     await w.clock.advance(500);
@@ -141,15 +141,15 @@
   await w.clock.advance(4000);
   const term = a.election.currentTerm?.number;
   assert.ok(term);
-  const held = w.store.entries.get(LEADER_KEY)?.version;
-  for (const late of a.state.delayedRequests) {
+  const version = w.store.entries.get(LEADER_KEY)?.version;
+  for (const applyRequest of a.state.delayedRequests) {
     try {
-      late();
+      applyRequest();
     } catch {
       // Refused because its lease has ended.
     }
   }
-  assert.equal(w.store.entries.get(LEADER_KEY)?.version, held);
+  assert.equal(w.store.entries.get(LEADER_KEY)?.version, version);
   w.stop.abort();
 });
 
--- a/test/peer-network.test.ts
+++ b/test/peer-network.test.ts
@@ -21,7 +21,7 @@
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), /too large/);
 });
 
-test('a request fails on its time-out or when the connection closes, whichever comes first', async () => {
+test('a request fails on its timeout or when the connection closes, whichever comes first', async () => {
   const stop = new AbortController();
   const accepted: net.Socket[] = [];
   // Accepts connections and never responds.
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -29,12 +29,12 @@
 
 test('after a mailbox request times out, requests to the same node are refused during a back-off', async () => {
   const { clock, ctx, store, peers } = setUp();
-  const forward = () => peers.relayThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
-  const first = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
+  const relay = () => peers.relayThroughMailbox('n-1', 'm-1', Buffer.from('{}'));
+  const first = assert.rejects(relay(), (error) => !(error instanceof MailboxBackoffError));
   await clock.advance(ctx.timing.stateTimeoutMs);
   await first;
   const { revision } = store;
-  await assert.rejects(forward(), MailboxBackoffError);
+  await assert.rejects(relay(), MailboxBackoffError);
   // Requests to another node are still sent, and those to this node again after the back-off.
   const other = assert.rejects(
     peers.relayThroughMailbox('n-2', 'm-1', Buffer.from('{}')),
@@ -43,7 +43,7 @@
   await clock.advance(ctx.timing.leaderLeaseMs * 0.5);
   await other;
   assert.ok(store.revision > revision);
-  const again = assert.rejects(forward(), (error) => !(error instanceof MailboxBackoffError));
+  const again = assert.rejects(relay(), (error) => !(error instanceof MailboxBackoffError));
   await clock.advance(ctx.timing.stateTimeoutMs);
   await again;
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -393,7 +393,7 @@
   while (now < 240_000 && !large.started) runCycle();
   assert.equal(large.activeAttempts.size, 1);
   assert.ok(now < 150_000, `began after ${now} ms`);
-  // Once one of its tasks has started, the job is not starving any more.
+  // Once one of its tasks has started, the job is not starving anymore.
   agent.exit([...agent.tasks.keys()].find((k) => k.startsWith('req-000001')) as string, 'done');
   for (let i = 0; i < 5; i++) runCycle();
   assert.equal(large.activeAttempts.size, 0);
--- a/test/records-read.test.ts
+++ b/test/records-read.test.ts
@@ -197,7 +197,7 @@
   await end();
 });
 
-test('queries of users are answered from stored records', async () => {
+test('user queries are served from stored records', async () => {
   const { ctx, store } = createRecordingNode(new FakeClock());
   seed(
     store,
@@ -331,7 +331,7 @@
   const mailbox = new Mailbox(ctx, async (text) => texts.push(text));
   void mailbox.run(stop.signal);
   await settle();
-  const unanswered = assert.rejects(mailbox.request('n-1', 'm-7', 'x', 1000), /not answered/);
+  const timedOut = assert.rejects(mailbox.request('n-1', 'm-7', 'x', 1000), /not answered/);
   await settle();
   seed(
     store,
@@ -343,7 +343,7 @@
     ['mail/n-0/n-1/m-9', '{"kind":"ask","n":"seven","from":"n-1","incarnation":null,"text":"t"}'],
   );
   await clock.advance(1000);
-  await unanswered;
+  await timedOut;
   assert.deepEqual(texts, ['t']);
   assert.equal(
     state.lastText('mail/n-1/n-0/m-9'),
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -43,7 +43,7 @@
   assert.equal(job.activeAttempts.get(0)?.state, 'running');
 });
 
-test('a direct start without a reply keeps its task assigned and is repeated with the same attempt number', () => {
+test('a direct start without a reply keeps its task assigned and is retried with the same attempt number', () => {
   const { cluster, agent, job } = clusterWithJob(1);
   runPlacementRound(cluster, 32, 0);
   const machine = cluster.machines.get('n-1');
@@ -54,9 +54,9 @@
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 100);
   cluster.applyHeartbeat(agent.heartbeat(), 'heartbeat', 200);
   assert.equal(job.readyCount, 0);
-  const repeatedCommands = cluster.heartbeatCommands(machine);
-  assert.deepEqual(repeatedCommands, commands);
-  agent.execute(1, repeatedCommands);
+  const retriedCommands = cluster.heartbeatCommands(machine);
+  assert.deepEqual(retriedCommands, commands);
+  agent.execute(1, retriedCommands);
   agent.exit([...agent.tasks.keys()][0] as string, 'stopped');
   assert.deepEqual(sendHeartbeat(cluster, agent, 300), []);
   // The delayed command has no effect, because the agent still knows the attempt.
--- a/test/scaling-plans.test.ts
+++ b/test/scaling-plans.test.ts
@@ -19,7 +19,7 @@
   return machine;
 }
 
-test('a booting machine counts as capacity until twice its usual boot time', () => {
+test('a booting machine counts as capacity until twice its expected boot time', () => {
   const cluster = createCluster();
   const scaleOut = new ScaleOutPlanner(cluster);
   cluster.addJob(jobSpec({ tasks: 24, estimatedDurationS: 60 }), 1, 0, false);
--- a/test/support/scripted-machine.ts
+++ b/test/support/scripted-machine.ts
@@ -8,7 +8,7 @@
 
 /** Distance between the fencing tokens of two consecutive terms. */
 const FENCES_PER_TERM = fencingToken(1, 0);
-/** Time-out of a heartbeat, as the agent protocol defines it. */
+/** Timeout of a heartbeat, as the agent protocol defines it. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
 /** Interval at which an agent checks its lease, its tasks and whether a heartbeat is due. */
 export const TICK_MS = 500;
--- a/test/support/trace/cloud.ts
+++ b/test/support/trace/cloud.ts
@@ -55,9 +55,9 @@
   capacity: (type: string, zone: string, spot: boolean) => number = () => 6;
   /** While true, no request gets a response or has an effect. */
   unresponsive = false;
-  /** Fraction of the provisioning and termination requests that are executed without a response. */
+  /** Share of the provisioning and termination requests that are executed without a response. */
   lostResponseRate = 0;
-  /** Fraction of the machines that never boot. */
+  /** Share of the machines that never boot. */
   bootFailureRate = 0;
   capacityRefusals = 0;
   /** Preempted machines that the machine list still shows. */
--- a/test/support/trace/state-service.ts
+++ b/test/support/trace/state-service.ts
@@ -34,7 +34,7 @@
 
 type Respond = Parameters<RequestHandler>[1];
 
-/** Faults of the service towards one controller. The rates are fractions of its requests. */
+/** Faults of the service towards one controller. The rates are shares of its requests. */
 export interface StateFaults {
   /** Status with which all requests are rejected; null when they are not. */
   errorStatus: number | null;
--- a/test/support/trace/time.ts
+++ b/test/support/trace/time.ts
@@ -14,7 +14,7 @@
  * longest chain of immediates in the code under test.
  */
 const EVENT_LOOP_TURNS = 2;
-/** Time of day at which the simulated clock reads 0, in milliseconds since the epoch. */
+/** Wall-clock time at which the simulated clock reads 0, in milliseconds since the epoch. */
 const WALL_CLOCK_START_MS = 1_800_000_000_000;
 
 function isDueBefore(a: Timer, b: Timer): boolean {
@@ -25,7 +25,7 @@
  * A simulated clock, in milliseconds, that advances only in `runUntil`. Each
  * timer belongs to a host, and all work that follows from it completes before
  * the next timer runs, so `currentHost` is correct for any code that runs.
- * While installed, it also replaces the timers, the time of day and the random
+ * While installed, it also replaces the timers, the wall clock and the random
  * numbers of the process.
  */
 export class SimulatedTime implements Clock {
--- a/test/support/trace/world.ts
+++ b/test/support/trace/world.ts
@@ -117,11 +117,11 @@
   /** Submissions by job id. */
   readonly jobs = new Map<string, Submission>();
   readonly counts = new EventCounts();
-  /** Fraction of the responses to commands and heartbeats that are lost. */
+  /** Share of the responses to commands and heartbeats that are lost. */
   lostResponseRate = 0;
-  /** Fraction of the direct commands that are executed late, without a response. */
+  /** Share of the direct commands that are executed late, without a response. */
   delayedCommandRate = 0;
-  /** Fraction of the heartbeats of which a delayed copy is sent. */
+  /** Share of the heartbeats of which a delayed duplicate is sent. */
   duplicateHeartbeatRate = 0;
   /** Reports whether the task fails on the machine. */
   taskFails: (task: string, machine: string) => boolean = () => false;
@@ -268,7 +268,7 @@
     this.time.schedule(noticeS * 1000, () => this.cloud.remove(machine.cloudMachine.id));
   }
 
-  /** Sends a delayed copy of some heartbeats to a random controller. */
+  /** Sends a delayed duplicate of some heartbeats to a random controller. */
   maybeDuplicateHeartbeat(machine: string, body: unknown): void {
     const sample = draw(this.seed, 'copy', machine, this.time.now());
     if (sample >= this.duplicateHeartbeatRate) return;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -325,7 +325,7 @@
   );
 });
 
-test('a write rejected for its size is not repeated and does not block other writes', async () => {
+test('a write rejected for its size is not retried and does not block other writes', async () => {
   const clock = new FakeClock();
   const store = new FakeStore(clock);
   const state = new FakeStateService(store);
@@ -361,7 +361,7 @@
 });
 
 test('a 429 response to a change lowers the change rate at once, and leadership changes still pass', async (t) => {
-  // The sockets are real, and a busy machine may exceed any time-out, so request time-outs are disabled.
+  // The sockets are real, and a busy machine may exceed any timeout, so request timeouts are disabled.
   t.mock.timers.enable({ apis: ['setTimeout'] });
   const clock = new FakeClock();
   let status = 200;
