--- a/src/clients/cloud-client.ts
+++ b/src/clients/cloud-client.ts
@@ -32,7 +32,7 @@
 export interface CloudClientOptions {
   address: Address;
   requestsPerS: number;
-  /** Time-out of each request, without its wait for the budget. */
+  /** Timeout of each request, without its wait for the budget. */
   timeoutMs: number;
   clock: Clock;
 }
--- a/src/clients/state-client.ts
+++ b/src/clients/state-client.ts
@@ -37,7 +37,7 @@
   changesPerS: number;
   /** Rate for changes once the limits that the settings announce are in force. */
   loweredChangesPerS: number;
-  /** Time-out of the wait for the budget, and again of the request. Watches may take longer. */
+  /** Timeout of the wait for the budget, and again of the request. Watches may take longer. */
   timeoutMs: number;
   clock: Clock;
 }
--- a/src/config/timing.ts
+++ b/src/config/timing.ts
@@ -21,17 +21,17 @@
   leadershipProofMs: number;
   /** Agents' leases are no longer renewed once leadership has been unproven, or cancellations unknown, for this long. */
   agentRenewalMs: number;
-  /** Time-out of a request to the state service. */
+  /** Timeout of a request to the state service. */
   stateTimeoutMs: number;
   /** Maximum time that a watch of the leader key or a mailbox waits for a change. */
   watchTimeoutMs: number;
   /** Maximum time that the leader's watch of jobs waits. Its response proves that all cancellations up to its request are known. */
   jobWatchTimeoutMs: number;
-  /** Half of the time-out for receiving a request, and for sending the last reply of a connection. */
+  /** Half of the timeout for receiving a request, and for sending the last reply of a connection. */
   halfTransferTimeoutMs: number;
-  /** Time-out of a request to the cloud. */
+  /** Timeout of a request to the cloud. */
   cloudTimeoutMs: number;
-  /** Time-out of a command to an agent. */
+  /** Timeout of a command to an agent. */
   commandTimeoutMs: number;
   /** Pause between two lists of the cloud's machines. */
   machineListIntervalMs: number;
@@ -93,7 +93,7 @@
     // Together this takes at most 0.95 cancel_s + 0.05 lease_s. The rest of cancel_s covers clock drift
     // and the transit time of a response.
     agentRenewalMs: Math.max(0, (cancelMs - agentLeaseMs) * 0.95),
-    // stateTimeoutMs and commandTimeoutMs are shorter than the time-outs that agents and users set on
+    // stateTimeoutMs and commandTimeoutMs are shorter than the timeouts that agents and users set on
     // their requests.
     stateTimeoutMs: heartbeatMs * 0.4,
     watchTimeoutMs: heartbeatMs * 2,
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -19,7 +19,7 @@
   incarnation: string;
   /** The platform's settings file, as parsed. */
   platform: PlatformSettings;
-  /** Timers and time-outs, derived from the settings. */
+  /** Timers and timeouts, derived from the settings. */
   timing: Timing;
   /** Limits of the state service on values and changes. */
   limits: StateLimits;
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -5,11 +5,11 @@
 
 /**
  * How long requests must have failed for the state service to count as failing,
- * in state service time-outs. A single slow response explains a shorter failure.
+ * in state service timeouts. A single slow response explains a shorter failure.
  */
 const FAILING_AFTER_TIMEOUTS = 0.5;
 
-/** How long requests must have failed before waiting for a response is pointless, in state service time-outs. */
+/** How long requests must have failed before waiting for a response is pointless, in state service timeouts. */
 const UNRESPONSIVE_AFTER_TIMEOUTS = 1;
 
 /** Derives the health of this controller from what other components record. Stateless. */
@@ -31,7 +31,7 @@
   /**
    * Reports whether the state service does not respond at all, not even with a
    * refusal, so that a request to it would only make a user wait. Returns false
-   * when no request was sent within the last time-out, so that the next request
+   * when no request was sent within the last timeout, so that the next request
    * is sent and shows whether the outage has ended.
    */
   isStateServiceUnresponsive(): boolean {
@@ -58,7 +58,7 @@
     return this.ctx.machineTypes !== null && !this.isIsolated();
   }
 
-  /** Reports whether a condition has lasted for more than this many time-outs of the state service. */
+  /** Reports whether a condition has lasted for more than this many timeouts of the state service. */
   private hasLasted(since: number | null, timeouts: number): boolean {
     const { clock, timing } = this.ctx;
     return since !== null && clock.now() - since > timing.stateTimeoutMs * timeouts;
--- a/src/controller/heartbeats/mailbox.ts
+++ b/src/controller/heartbeats/mailbox.ts
@@ -29,7 +29,7 @@
 /** Share of a lease in which new messages are attached to it. The rest leaves time to receive the last of them. */
 const LEASE_REUSE_SHARE = 0.5;
 
-/** No response arrived within the request's time-out. */
+/** No response arrived within the request's timeout. */
 export class MailboxTimeoutError extends Error {
   constructor(node: string, timeoutMs: number) {
     super(`mailbox request to ${node} not answered within ${timeoutMs} ms`);
--- a/src/controller/leader/leader.ts
+++ b/src/controller/leader/leader.ts
@@ -179,7 +179,7 @@
 
   /**
    * Waits until the state has been restored, but no longer than `commandTimeoutMs`,
-   * which is below the agents' time-out of a heartbeat.
+   * which is below the agents' timeout of a heartbeat.
    */
   async waitUntilReady(): Promise<void> {
     if (this.ready) return;
--- a/src/controller/membership/peers.ts
+++ b/src/controller/membership/peers.ts
@@ -32,12 +32,12 @@
 const MAILBOX_BACKOFF_LEASES = 0.5;
 
 /**
- * Time-out of a forwarded user request, in state service time-outs. It is longer
+ * Timeout of a forwarded user request, in state service timeouts. It is longer
  * than one because the peer calls the state service to serve the request.
  */
 const FORWARD_TIMEOUTS = 1.5;
 
-/** Time-out of a cancellation announcement, in state service time-outs. It is short because the user waits for it. */
+/** Timeout of a cancellation announcement, in state service timeouts. It is short because the user waits for it. */
 const ANNOUNCE_TIMEOUTS = 0.25;
 
 /** Pause between attempts to connect to a peer, in renewal intervals. */
@@ -177,7 +177,7 @@
    * be the leader, so that no task of the job starts after the user has the
    * confirmation. Never rejects.
    *
-   * Waiting for an unresponsive peer ends after a short time-out. That is safe
+   * Waiting for an unresponsive peer ends after a short timeout. That is safe
    * because the peer's knowledge of cancellations expires, and what it may do
    * then is bounded (docs/design.md, "One bound for cancellations").
    */
--- a/src/controller/request-router.ts
+++ b/src/controller/request-router.ts
@@ -62,7 +62,7 @@
    * node but not for a peer, or when the reply of this node is 503, forwards the
    * request to such a peer. When the state service does not respond at all and no
    * peer can serve the request, the user gets a refusal at once instead of waiting
-   * for a time-out.
+   * for a timeout.
    */
   private async serveUserOrForward(method: string, target: string, body: Buffer): Promise<Reply> {
     const { health } = this.parts;
--- a/src/controller/wiring.ts
+++ b/src/controller/wiring.ts
@@ -40,7 +40,7 @@
 /** Maximum number of live jobs whose task counts a status carries. */
 const MAX_JOB_COUNTS_PER_STATUS = 256;
 
-/** Time-out of a follower's request for an agent's heartbeat, as a share of the time-out of a command. */
+/** Timeout of a follower's request for an agent's heartbeat, as a share of the timeout of a command. */
 const FETCH_HEARTBEAT_SHARE = 0.4;
 
 /** Settings and dependencies of a new controller. */
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -14,7 +14,7 @@
   target: string;
   /** Sent as JSON. When undefined, the request has no body. */
   body?: unknown;
-  /** Time-out of the whole request: waiting for a connection, connecting, and receiving the response. */
+  /** Timeout of the whole request: waiting for a connection, connecting, and receiving the response. */
   timeoutMs: number;
   /**
    * Aborts connecting (`NotSentError`) and the exchange (`NoResponseError`), but
--- a/src/http/connection-pool.ts
+++ b/src/http/connection-pool.ts
@@ -16,7 +16,7 @@
   reject: (error: Error) => void;
 }
 
-/** Connect time-out of a connection that replaces a closed one while requests wait. */
+/** Connect timeout of a connection that replaces a closed one while requests wait. */
 const REPLACEMENT_TIMEOUT_MS = 1000;
 
 /**
--- a/src/http/connection-table.ts
+++ b/src/http/connection-table.ts
@@ -1,11 +1,11 @@
 /**
- * The server's open connections: admission, eviction and time-outs. The number
+ * The server's open connections: admission, eviction and timeouts. The number
  * of sockets of the process is limited, and its own requests to the state
  * service, the cloud and the agents need some of them.
  */
 import type net from 'node:net';
 
-/** Limits and time-outs of the server's connections. */
+/** Limits and timeouts of the server's connections. */
 export interface ConnectionLimits {
   /**
    * Maximum number of open connections, which leaves sockets for the outgoing
@@ -13,9 +13,9 @@
    * closed to admit a new one.
    */
   maxConnections: number;
-  /** Time-out for receiving a request, and for sending the last reply of a connection. */
+  /** Timeout for receiving a request, and for sending the last reply of a connection. */
   requestTimeoutMs: number;
-  /** Time-out of an idle connection. */
+  /** Timeout of an idle connection. */
   idleTimeoutMs: number;
   /**
    * Minimum idle time after which a connection may be closed to admit a new
@@ -31,7 +31,7 @@
    * so also while the last reply is sent.
    */
   idleSince: number | null;
-  /** Deadline of the current time-out, in `Date.now` time; infinite while a request is served. */
+  /** Deadline of the current timeout, in `Date.now` time; infinite while a request is served. */
   deadline: number;
 }
 
@@ -47,7 +47,7 @@
  * server that only refused new connections would keep these and refuse its own
  * machines, so it closes the connection idle longest instead.
  *
- * Time-outs are deadlines that `closeExpired` checks periodically: a timer for
+ * Timeouts are deadlines that `closeExpired` checks periodically: a timer for
  * each request would cost more than reading the request.
  */
 export class ConnectionTable {
@@ -72,13 +72,13 @@
     return true;
   }
 
-  /** Starts the time-out `requestTimeoutMs` for receiving a request or for sending the last reply. */
+  /** Starts the timeout `requestTimeoutMs` for receiving a request or for sending the last reply. */
   markTransferring(socket: net.Socket): void {
     const connection = this.connections.get(socket);
     if (connection) connection.deadline = Date.now() + this.limits.requestTimeoutMs;
   }
 
-  /** Marks a connection whose request is being served; no time-out applies meanwhile. */
+  /** Marks a connection whose request is being served; no timeout applies meanwhile. */
   markBusy(socket: net.Socket): void {
     const connection = this.connections.get(socket);
     if (!connection) return;
@@ -117,7 +117,7 @@
     return candidate === null || !this.mayEvict(candidate, Date.now());
   }
 
-  /** Closes the connections whose time-out has expired. */
+  /** Closes the connections whose timeout has expired. */
   closeExpired(): void {
     const now = Date.now();
     for (const { socket, deadline } of this.connections.values())
--- a/src/http/exchange.ts
+++ b/src/http/exchange.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Invariant: an exchange settles once, on a response, an error, the time-out,
+ * Invariant: an exchange settles once, on a response, an error, the timeout,
  * the close of the connection or an abort, and then removes its listeners. On
  * any error it destroys the socket, so that a late response cannot be taken for
  * the response to the next request.
--- a/src/http/open-connection.ts
+++ b/src/http/open-connection.ts
@@ -1,4 +1,4 @@
-/** Opens client connections, with a connect time-out and an abort signal. */
+/** Opens client connections, with a connect timeout and an abort signal. */
 import net from 'node:net';
 import { NotSentError } from './errors.js';
 import { Parser } from './parser.js';
@@ -20,7 +20,7 @@
   address: Address;
   /** Maximum length of a response body. */
   maxBodyBytes: number;
-  /** Connect time-out. */
+  /** Connect timeout. */
   timeoutMs: number;
   /**
    * Aborts connecting. Has no effect when it was aborted before the call or once the
--- a/src/http/server-connection.ts
+++ b/src/http/server-connection.ts
@@ -34,7 +34,7 @@
   /**
    * Serves requests until the client ends its side, the connection closes or
    * the last reply is written. Once it resolves, no more requests are read; the
-   * socket closes after its last reply or on its time-out.
+   * socket closes after its last reply or on its timeout.
    */
   async run(): Promise<void> {
     const { socket, parser } = this;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -19,7 +19,7 @@
 /** Maximum number of connections that wait to be accepted. */
 const LISTEN_BACKLOG = 511;
 
-/** Number of checks for expired connections during the shortest time-out. */
+/** Number of checks for expired connections during the shortest timeout. */
 const CHECKS_PER_TIMEOUT = 4;
 
 /**
--- a/src/peer/peer-link.ts
+++ b/src/peer/peer-link.ts
@@ -33,7 +33,7 @@
 /**
  * The connection that this node opened to a peer. It carries this node's
  * requests and their responses; the peer sends its own requests on another
- * connection. Invariant: a request is pending at most until its time-out or the
+ * connection. Invariant: a request is pending at most until its timeout or the
  * close of the connection, whichever comes first.
  */
 export class PeerLink {
--- a/src/peer/peer-network.ts
+++ b/src/peer/peer-network.ts
@@ -13,10 +13,10 @@
 const CONNECTIONS_PER_PEER = 4;
 const SPARE_CONNECTIONS = 4;
 
-/** Connect time-out, in multiples of `reconnectDelayMs`. */
+/** Connect timeout, in multiples of `reconnectDelayMs`. */
 const CONNECT_TIMEOUT_DELAYS = 2;
 
-/** Idle time-out of incoming connections, in multiples of `reconnectDelayMs`. Peers send their status far more often. */
+/** Idle timeout of incoming connections, in multiples of `reconnectDelayMs`. Peers send their status far more often. */
 const IDLE_TIMEOUT_DELAYS = 30;
 
 /** Name and address of a peer. */
