--- a/src/controller/leader/demand-store.ts
+++ b/src/controller/leader/demand-store.ts
@@ -1,8 +1,8 @@
 /**
- * Saves the demand forecast for the next leader, which would provision too few
- * machines without it, and restores the forecast that an earlier leader saved. Owns
- * the keys `loads` and `loads/<page>`, and the version of the newest job that the
- * forecast counts.
+ * Saves the demand forecast for the next leader and restores the forecast that an
+ * earlier leader saved. Without it, a new leader would provision too few machines.
+ * Owns the keys `loads` and `loads/<page>`, and the version of the newest job that
+ * the forecast counts.
  *
  * Serves docs/design.md "Safety" 1: the writes are conditioned on the version of
  * this term's leader key, so an earlier leader can't overwrite the keys.
@@ -66,7 +66,10 @@
     this.countedVersion = upTo;
   }
 
-  /** Saves the forecast at regular intervals; throws `AbortedError` when the signal is aborted. */
+  /**
+   * Saves the forecast at regular intervals until the signal is aborted. Then returns
+   * or throws `AbortedError`.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx } = this;
     while (!signal.aborted) {
@@ -116,7 +119,7 @@
     let freeBytes = pageBytes;
     for (const forecast of this.scaleOut.snapshot().sort((a, b) => b.mean - a.mean)) {
       const stored = encodeForecast(forecast);
-      // Includes the comma that follows it.
+      // Adds 1 for the comma after the forecast.
       const bytes = storedBytes(stored) + 1;
       // A forecast that does not fit on any page must not keep the others from being saved.
       if (bytes > pageBytes) continue;
--- a/src/controller/leader/progress-writer.ts
+++ b/src/controller/leader/progress-writer.ts
@@ -27,8 +27,8 @@
 const PROGRESS_SHARE = 0.3;
 
 /**
- * Unused changes for progress are kept for bursts, up to this many seconds of all
- * allowed changes.
+ * Unused changes for progress are kept for bursts, up to the number of all changes
+ * that are allowed in this many seconds.
  */
 const PROGRESS_BURST_S = 0.5;
 
@@ -55,8 +55,8 @@
   ) {}
 
   /**
-   * Writes pending changes at regular intervals; throws `AbortedError` when the
-   * signal is aborted.
+   * Writes pending changes at regular intervals until the signal is aborted. Then
+   * returns or throws `AbortedError`.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { ctx, cluster } = this;
@@ -135,7 +135,7 @@
       return 'settled';
     } catch (err) {
       if (err instanceof RequestRejectedError) return this.splitOrGiveUp(batch, err);
-      // A refused request was not applied. One without a response may have been applied, or may be later.
+      // A refused request was not applied. One without a response may have been applied or may still be.
       const mayBeApplied = !(err instanceof RequestRefusedError);
       for (const write of batch) write.retry(mayBeApplied);
       if (!term.signal.aborted)
--- a/src/controller/membership/peer-errors.ts
+++ b/src/controller/membership/peer-errors.ts
@@ -1,6 +1,6 @@
-/** Errors of requests between controllers, except those of the connection. */
+/** Errors of requests between controllers, except connection errors. */
 
-/** A peer sent a request or response that this version does not support. */
+/** A peer sent a malformed response or a request that this version does not support. */
 export class PeerProtocolError extends Error {}
 
 /** A recent mailbox request to the node failed, and no further one is sent before the back-off ends. */
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -20,8 +20,8 @@
 /**
  * Share of the start objective for guaranteed work that a batch within its team's
  * guarantee waits before it preempts work that is not of lower priority
- * (docs/design.md, "What was changed, and why"). It waits longer than for lower
- * priorities, because only the guarantee justifies the preemption.
+ * (docs/design.md, "What was changed, and why"). The share is larger than that for
+ * work of lower priority, because only the guarantee justifies the preemption.
  */
 const GUARANTEE_PREEMPTION_DELAY_SHARE = 0.6;
 /**
@@ -238,7 +238,8 @@
 
 /**
  * Returns how long a batch within its team's guarantee waits before it preempts
- * work that is not of lower priority.
+ * work that is not of lower priority. Without a start objective for guaranteed work,
+ * it waits as long as for work of lower priority.
  */
 function guaranteePreemptionDelayMs(cluster: ClusterState, spec: JobSpec): number {
   const { guaranteedStartS } = cluster.objectives;
@@ -290,6 +291,7 @@
   return slots;
 }
 
+/** Reports whether the batch may preempt the attempt now. A larger priority index means a lower priority. */
 function isPreemptible(
   cluster: ClusterState,
   batch: Batch,
--- a/src/scheduler/reconcile/failure-attribution.ts
+++ b/src/scheduler/reconcile/failure-attribution.ts
@@ -79,7 +79,8 @@
     let failures = 0;
     for (const count of machine.failedJobs.values()) failures += count;
     const severalJobs = machine.failedJobs.size >= this.policy.quarantineJobs;
-    // The job has succeeded elsewhere, so its failures are attributed to the machine.
+    // The failures of all jobs since the last success on this machine count. The job that failed
+    // now must have succeeded on some machine. Otherwise the job itself may be at fault.
     const manyFailures = failures >= this.policy.quarantineFailures && job.succeeded;
     if (severalJobs || manyFailures) this.machines.drain(machine, 'quarantined');
   }
--- a/src/scheduler/scaling/scale-out.ts
+++ b/src/scheduler/scaling/scale-out.ts
@@ -25,7 +25,7 @@
 /** The demand that a plan was made for, as logged. */
 export interface ScaleOutReason {
   class: string;
-  /** Number of tasks of the kind of work to run concurrently. */
+  /** Number of tasks of this kind of work that should run concurrently. */
   slots: number;
   /** Number of those tasks that existing and planned machines did not cover. */
   short: number;
@@ -149,9 +149,9 @@
 }
 
 /**
- * Returns the number of machines to plan, rounded to the nearest integer. A small
- * remainder waits for existing machines, unless tasks are ready and no machine
- * could ever run them.
+ * Returns the number of machines to plan, rounded to the nearest integer. Demand for
+ * less than half a machine waits for existing machines, unless tasks are ready and no
+ * existing or planned machine could ever run them. It then gets one machine.
  */
 function machineCountFor(
   demand: Demand,
@@ -176,7 +176,7 @@
   );
 }
 
-/** Counts the zones that offer the option's type, on-demand or spot like the option. */
+/** Counts the zones in which `options` has a pool of the same type, and spot or not, as the given one. */
 function countZones(options: PoolOption[], { type, spot }: PoolOption): number {
   return options.filter((option) => option.type === type && option.spot === spot).length;
 }
