--- a/src/scheduler/persistence/bitmap-chunk-write.ts
+++ b/src/scheduler/persistence/bitmap-chunk-write.ts
@@ -18,8 +18,8 @@
 
 /**
  * Returns the chunks with finished tasks to write whose version in the state
- * service is unknown, because a write of them received no response. They are
- * written once the version has been read.
+ * service is unknown, because a write of them received no response or was in
+ * conflict with the stored chunk. They are written once the version has been read.
  */
 export function chunksWithUnknownVersion(cluster: ClusterState): BitmapChunk[] {
   const chunks: BitmapChunk[] = [];
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -26,7 +26,8 @@
 const GUARANTEE_PREEMPTION_DELAY_SHARE = 0.6;
 /**
  * Heartbeat intervals that a batch of a class without a start objective waits before
- * it preempts.
+ * it preempts work of lower priority. The same delay applies to other work if there is
+ * no start objective for guaranteed work.
  */
 const DEFAULT_PREEMPTION_DELAY_HEARTBEATS = 2;
 /**
