--- a/test/durable-writes.test.ts
+++ b/test/durable-writes.test.ts
@@ -11,6 +11,7 @@
   createCluster,
   jobSpec,
   joinCluster,
+  rosterEntry,
   ScriptedAgent,
   sendHeartbeat,
 } from './support/scheduler.js';
@@ -112,17 +113,10 @@
 });
 
 test('a machine whose move to another page received no response is not moved to a third page', () => {
-  const entry = (index: number) => ({
-    id: `n-${index}`,
-    type: 'm',
-    zone: 'a',
-    spot: true,
-    address: '',
-  });
-  const entryBytes = JSON.stringify(entry(1)).length + 1;
+  const entryBytes = JSON.stringify(rosterEntry(1)).length + 1;
   const roster = new Roster(4, 3 * entryBytes);
   // The page was written under a higher limit and still holds one machine too many without n-5.
-  roster.restore('3-1', 10, [1, 2, 3, 4, 5].map(entry));
+  roster.restore('3-1', 10, [1, 2, 3, 4, 5].map(rosterEntry));
   roster.removeMachine('n-5');
   const [move] = roster.rewriteUnsavedPages(9);
   assert.deepEqual(
--- a/test/external-names.test.ts
+++ b/test/external-names.test.ts
@@ -5,10 +5,11 @@
  * a template. Comments don't count.
  */
 import assert from 'node:assert/strict';
-import { readdirSync, readFileSync } from 'node:fs';
+import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
 import ts from 'typescript';
+import { sourceFiles } from './support/source-files.js';
 
 /** External names, separated by whitespace, and the files or folders whose code must contain them. */
 interface ExternalNames {
@@ -180,13 +181,6 @@
 /** Folder of the message parsers. There, reads of a property count as well, because a parser may name a field nowhere else. */
 const PARSER_FOLDER = join('src', 'protocol');
 
-function sourceFiles(path: string): string[] {
-  if (path.endsWith('.ts')) return [path];
-  return readdirSync(path, { recursive: true, encoding: 'utf8' })
-    .filter((file) => file.endsWith('.ts'))
-    .map((file) => join(path, file));
-}
-
 /** Returns the names of properties and the texts of strings and templates in the code of a file. */
 function namesAndTexts(file: string): string[] {
   const isParser = file.startsWith(PARSER_FOLDER);
@@ -239,15 +233,24 @@
   return texts.some((text) => part.test(text) || optionOrHeader.test(text));
 }
 
+const TEXTS_BY_FILE = new Map(sourceFiles('src').map((file) => [file, namesAndTexts(file)]));
+
+/** Returns the names and texts of a file, or of all files below a folder. */
+function textsOf(module: string): string[] {
+  return [...TEXTS_BY_FILE].flatMap(([file, texts]) =>
+    file === module || file.startsWith(`${module}/`) ? texts : [],
+  );
+}
+
 for (const { place, modules, names } of EXTERNAL_NAMES)
   test(`${place} keep their external names`, () => {
-    const texts = modules.flatMap(sourceFiles).flatMap(namesAndTexts);
+    const texts = modules.flatMap(textsOf);
     const missing = names.split(/\s+/).filter((name) => !contains(texts, name));
     assert.deepEqual(missing, []);
   });
 
 test('log texts that operators search for occur in the code', () => {
-  const texts = sourceFiles('src').flatMap(namesAndTexts);
+  const texts = textsOf('src');
   assert.deepEqual(
     SEARCHED_LOG_TEXTS.filter((text) => !texts.some((found) => found.includes(text))),
     [],
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -14,6 +14,7 @@
   createCluster,
   jobSpec,
   joinCluster,
+  rosterEntry,
   ScriptedAgent,
   sendHeartbeat,
   teamQuota,
@@ -349,16 +350,9 @@
 });
 
 test('the roster stores many machines on a page and stays correct when writes are lost or applied late', () => {
-  const entry = (index: number) => ({
-    id: `n-${index}`,
-    type: 'm',
-    zone: 'a',
-    spot: true,
-    address: '',
-  });
   // A page has space for three of them.
-  const roster = new Roster(4, 3 * (JSON.stringify(entry(1)).length + 1));
-  const writes = roster.add([1, 2, 3, 4].map(entry));
+  const roster = new Roster(4, 3 * (JSON.stringify(rosterEntry(1)).length + 1));
+  const writes = roster.add([1, 2, 3, 4].map(rosterEntry));
   assert.deepEqual(
     writes.map((pageWrite) => [pageWrite.keySuffix, pageWrite.version, pageWrite.entries.length]),
     [
@@ -371,11 +365,11 @@
   first.applied(10);
   // The second write was refused, so the same page takes its machine and the next one.
   second.notApplied();
-  const [retried] = roster.add([4, 5].map(entry));
+  const [retried] = roster.add([4, 5].map(rosterEntry));
   assert.deepEqual([retried?.version, retried?.entries.length], [0, 2]);
   // This write received no response, so its page is not written again while it holds machines.
   retried?.outcomeUnknown();
-  const [replacement] = roster.add([4, 5].map(entry));
+  const [replacement] = roster.add([4, 5].map(rosterEntry));
   assert.notEqual(replacement?.keySuffix, retried?.keySuffix);
   replacement?.applied(12);
   assert.deepEqual(roster.rewriteUnsavedPages(9), []);
--- a/test/import-direction.test.ts
+++ b/test/import-direction.test.ts
@@ -1,8 +1,9 @@
 /** Guards against imports from a higher layer (docs/architecture.md) and against import cycles. */
 import assert from 'node:assert/strict';
-import { readdirSync, readFileSync } from 'node:fs';
+import { readFileSync } from 'node:fs';
 import { dirname, join, normalize } from 'node:path';
 import { test } from 'node:test';
+import { sourceFiles } from './support/source-files.js';
 
 const SOURCE = 'src';
 
@@ -18,14 +19,6 @@
   ['runtime', 'version.ts'],
 ];
 
-function sourceFiles(folder: string): string[] {
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
-    const path = join(folder, entry.name);
-    if (entry.isDirectory()) return sourceFiles(path);
-    return path.endsWith('.ts') ? [path] : [];
-  });
-}
-
 /** Returns the modules of src that each module imports, including imports of types. */
 function readImports(): Map<string, string[]> {
   const imports = new Map<string, string[]>();
--- a/test/support/scheduler.ts
+++ b/test/support/scheduler.ts
@@ -1,6 +1,6 @@
 import type { ExitCause, Heartbeat, TaskState } from '../../src/model/heartbeat.js';
 import type { JobSpec } from '../../src/model/job.js';
-import type { MachineType } from '../../src/model/machine.js';
+import type { MachineType, RosterEntry } from '../../src/model/machine.js';
 import type { TeamQuota } from '../../src/model/resources.js';
 import type { TaskCommand } from '../../src/model/task-command.js';
 import { BitmapLayout } from '../../src/records/bitmap-layout.js';
@@ -24,6 +24,11 @@
   return { guaranteedCpus: 0, guaranteedGpus: 0, maxCpus: 0, maxGpus: 0, ...fields };
 }
 
+/** Returns an entry of the roster; entries with a one-digit index have the same size. */
+export function rosterEntry(index: number): RosterEntry {
+  return { id: `n-${index}`, type: 'm', zone: 'a', spot: true, address: '' };
+}
+
 export function createCluster(
   options: { term?: number; teams?: TeamQuota[]; types?: MachineType[] } = {},
 ) {
